--- a/internal/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -5,155 +5,158 @@
 	"time"
 )
 
-// maxRounds bounds the rounds that wait for a majority. Those older than a lease are worth nothing and are dropped.
+// maxRounds bounds the rounds that wait for a majority. Rounds older than a lease are useless and are dropped.
 const maxRounds = 16
 
-// known is what a leader knows of one life.
-type known struct {
-	life  uint64
-	heard time.Duration // when it was last asked for, or the leader's start for it
-	over  bool          // proposed as lost: nothing is granted to it
+// tracked is what the leader tracks about one server under one fencing token.
+type tracked struct {
+	token     uint64
+	renewedAt time.Duration // of the last renewal, or when this leader began to track the token
+	proposed  bool          // proposed as expired: nothing is granted to it
 }
 
-// round is a read index that was asked for, with the renewals that had come before.
+// round is a read index that was requested, with the renewals that had arrived before.
 type round struct {
-	id    uint64
-	began time.Duration
-	asked map[string]Renewal // by box, the newest
+	id        uint64
+	startedAt time.Duration
+	renewals  map[string]Renewal // the newest by server name
 }
 
-// Granter is the leader's side. Renewals wait until a round of raft's read index that began after they came was
-// confirmed by a majority: this box then led when they were sent, or later. Times are of the leader's own process.
-// It has to be made by NewGranter.
+// Granter is the leader's side. Renewals wait until a majority has confirmed a round of raft's read index that began
+// after they arrived: this server was then the leader when they were sent, or later. Times are of the leader's own
+// process. A Granter must be created by NewGranter.
 type Granter struct {
-	terms   Terms
-	term    uint64 // 0 = it does not lead
-	known   map[string]*known
-	waiting map[string]Renewal
-	rounds  []round
-	last    uint64        // round; growing over all terms of this process
-	looked  time.Duration // when it last looked for who is over
+	terms     Terms
+	term      uint64 // 0 = this server is not the leader
+	servers   map[string]*tracked
+	pending   map[string]Renewal
+	rounds    []round
+	lastRound uint64        // id of the last round; increases over all terms of this process
+	checkedAt time.Duration // when expired leases were last looked for
 }
 
-// NewGranter returns a granter that does not lead.
+// NewGranter returns a granter for a server that is not the leader.
 func NewGranter(terms Terms) *Granter { return &Granter{terms: terms} }
 
-// Lead begins a term: everybody counts as asked for just now, for no grant of an earlier leader is for a renewal sent
-// later than this. Told again of the same term it changes nothing. now must be read after the election.
+// Lead begins a term. Every server counts as if it had renewed just now, because no grant of an earlier leader is for
+// a renewal sent later than this. Repeating the call for the same term has no effect. now must be read after the
+// election.
 func (g *Granter) Lead(term uint64, now time.Duration) {
 	if g.term == term {
 		return
 	}
 	g.Follow()
-	g.term, g.looked = term, now
-	g.known, g.waiting = map[string]*known{}, map[string]Renewal{}
+	g.term, g.checkedAt = term, now
+	g.servers, g.pending = map[string]*tracked{}, map[string]Renewal{}
 }
 
-// Follow ends the term. Rounds that are not confirmed never are.
-func (g *Granter) Follow() { *g = Granter{terms: g.terms, last: g.last} }
+// Follow ends the term. Unconfirmed rounds are discarded.
+func (g *Granter) Follow() { *g = Granter{terms: g.terms, lastRound: g.lastRound} }
 
-// know gives what is known of a box's present life. One that it meets for the first time counts as asked for just now.
-func (g *Granter) know(b *Box, now time.Duration) *known {
-	k := g.known[b.Name]
-	if k == nil || k.life != b.Life {
-		k = &known{life: b.Life, heard: now}
-		g.known[b.Name] = k
+// track returns the state of a server's current token. A token seen for the first time counts as renewed just now.
+func (g *Granter) track(server *Box, now time.Duration) *tracked {
+	lease := g.servers[server.Name]
+	if lease == nil || lease.token != server.Life {
+		lease = &tracked{token: server.Life, renewedAt: now}
+		g.servers[server.Name] = lease
 	}
-	return k
+	return lease
 }
 
-// Asked takes a renewal. now must be read after it came. An error tells why nothing will be granted.
+// Asked accepts a renewal. now must be read after the renewal arrived. The error says why nothing will be granted.
 func (g *Granter) Asked(s *State, r Renewal, now time.Duration) error {
-	b := s.Box(r.Box)
+	server := s.Box(r.Box)
 	switch {
 	case g.term == 0:
 		return ErrFollows
-	case b == nil:
-		return fmt.Errorf("box %.70q asks for a lease: %w", r.Box, ErrUnknown)
-	case b.Life != r.Life || b.Lost:
-		return fmt.Errorf("box %s asks as %d, the log has it as %d, lost %v: %w", b.Name, r.Life, b.Life, b.Lost, ErrLife)
+	case server == nil:
+		return fmt.Errorf("server %.70q requests a lease: %w", r.Box, ErrUnknown)
+	case server.Life != r.Life || server.Lost:
+		return fmt.Errorf("server %s renews token %d, the log has token %d, expired %v: %w", server.Name, r.Life,
+			server.Life, server.Lost, ErrLife)
 	}
-	k := g.know(b, now)
-	if k.over {
-		return fmt.Errorf("box %s was proposed as lost as %d: %w", b.Name, b.Life, ErrLife)
+	lease := g.track(server, now)
+	if lease.proposed {
+		return fmt.Errorf("server %s was proposed as expired under token %d: %w", server.Name, server.Life, ErrLife)
 	}
-	k.heard = now
-	if r.Seq > g.waiting[b.Name].Seq || r.Life != g.waiting[b.Name].Life {
-		g.waiting[b.Name] = r
+	lease.renewedAt = now
+	if r.Seq > g.pending[server.Name].Seq || r.Life != g.pending[server.Name].Life {
+		g.pending[server.Name] = r
 	}
 	return nil
 }
 
-// Round begins a round with what waits; false = there is nothing, or too many are on their way. Its read index has to
-// be asked for after this.
+// Round begins a round with the pending renewals. It returns false if there are none or too many rounds are in flight.
+// The round's read index must be requested after this call.
 func (g *Granter) Round(now time.Duration) (id uint64, ok bool) {
-	for len(g.rounds) > 0 && now-g.rounds[0].began > g.terms.Length {
+	for len(g.rounds) > 0 && now-g.rounds[0].startedAt > g.terms.Length {
 		g.rounds = g.rounds[1:]
 	}
-	if len(g.waiting) == 0 || len(g.rounds) == maxRounds {
+	if len(g.pending) == 0 || len(g.rounds) == maxRounds {
 		return 0, false
 	}
-	g.last++
-	g.rounds = append(g.rounds, round{g.last, now, g.waiting})
-	g.waiting = map[string]Renewal{}
-	return g.last, true
+	g.lastRound++
+	g.rounds = append(g.rounds, round{g.lastRound, now, g.pending})
+	g.pending = map[string]Renewal{}
+	return g.lastRound, true
 }
 
-// Confirmed gives the grants of a round that a majority confirmed, and with it of all earlier ones: it began after
-// their renewals came too. All up to the round's read index must be applied in s.
+// Confirmed returns the grants of a round that a majority confirmed, and those of all earlier rounds: the confirmed
+// read index began after their renewals arrived too. All entries up to the round's read index must be applied to s.
 func (g *Granter) Confirmed(s *State, id uint64) (grants []Grant) {
 	newest := map[string]Renewal{}
 	for len(g.rounds) > 0 && g.rounds[0].id <= id {
-		for name, r := range g.rounds[0].asked {
+		for name, r := range g.rounds[0].renewals {
 			newest[name] = r
 		}
 		g.rounds = g.rounds[1:]
 	}
 	for i := range s.Boxes {
-		b := &s.Boxes[i]
-		r, ok := newest[b.Name]
-		if ok && s.Lives(b.Name, r.Life) && !g.known[b.Name].over {
+		server := &s.Boxes[i]
+		r, ok := newest[server.Name]
+		if ok && s.Lives(server.Name, r.Life) && !g.servers[server.Name].proposed {
 			grants = append(grants, Grant{r.Box, r.Life, r.Seq, g.terms.Length})
 		}
 	}
 	return grants
 }
 
-// Over gives the entries to propose, in this term alone, of those whose lease is over by every clock. Nothing is
-// granted to them from then on, unless the proposal is Refused. A leader that has not looked for half a lease was
-// stopped itself: what was sent meanwhile may wait unread, so everybody starts anew.
-func (g *Granter) Over(s *State, now time.Duration) (lost []Entry) {
+// Over returns the entries to propose, in this term only, for the servers whose lease has ended by every clock.
+// Nothing is granted to them from then on, unless ProposalFailed is called. A leader that has not
+// called this for half a lease was itself stopped, and renewals sent meanwhile may still be unread: every server then
+// counts as renewed just now.
+func (g *Granter) Over(s *State, now time.Duration) (expired []Entry) {
 	if g.term == 0 {
 		return nil
 	}
-	slept := now-g.looked > g.terms.Length/2
-	g.looked = now
+	stalled := now-g.checkedAt > g.terms.Length/2
+	g.checkedAt = now
 	for i := range s.Boxes {
-		b := &s.Boxes[i]
-		if b.Lost {
+		server := &s.Boxes[i]
+		if server.Lost {
 			continue
 		}
-		k := g.know(b, now)
-		if slept {
-			k.heard = now
+		lease := g.track(server, now)
+		if stalled {
+			lease.renewedAt = now
 		}
-		if !k.over && now-k.heard >= g.terms.Patience() {
-			k.over = true
-			lost = append(lost, Entry{Kind: Lost, Box: b.Name, Life: b.Life})
+		if !lease.proposed && now-lease.renewedAt >= g.terms.Patience() {
+			lease.proposed = true
+			expired = append(expired, Entry{Kind: Lost, Box: server.Name, Life: server.Life})
 		}
 	}
-	for name := range g.known {
+	for name := range g.servers {
 		if s.Box(name) == nil {
-			delete(g.known, name)
+			delete(g.servers, name)
 		}
 	}
-	return lost
+	return expired
 }
 
-// Refused tells that a proposal of Over is in no log, nor ever will be, or was applied to no effect. The life may be
-// granted a lease again.
-func (g *Granter) Refused(box string, life uint64) {
-	if k := g.known[box]; k != nil && k.life == life {
-		k.over = false
+// Refused reports that a proposal of ExpiredServers is in no log and never will be, or was applied without effect. The
+// token may be granted a lease again.
+func (g *Granter) Refused(server string, token uint64) {
+	if lease := g.servers[server]; lease != nil && lease.token == token {
+		lease.proposed = false
 	}
 }
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Renewal asks for a lease.
+// Renewal requests a lease.
 type Renewal struct {
 	Box  string
 	Life uint64
-	Seq  uint64 // growing over all that a process asks
+	Seq  uint64 // increases over all renewals of a process
 }
 
 // Grant answers a renewal.
@@ -14,71 +14,73 @@
 	Box  string
 	Life uint64
 	Seq  uint64
-	For  time.Duration // from the moment at which that renewal was sent
+	For  time.Duration // duration of the lease from the moment the renewal was sent
 }
 
-// Holder is a box's own side: it asks, and knows until when it holds. Times are of its own process's clock. Between two
-// calls nothing has to happen for a lease to end: a process that was stopped finds it over at its next look.
+// Holder is a server's own side: it sends renewals and knows until when its lease lasts. Times are of its own
+// process's clock. A lease ends without any event between two calls: a process that was stopped finds it ended at
+// its next check.
 type Holder struct {
-	box   string
-	terms Terms
-	life  uint64 // 0 = none, or lost
-	seq   uint64
-	next  time.Duration // when it asks next
-	until time.Duration
-	sent  []time.Duration // by seq
+	server      string
+	terms       Terms
+	token       uint64 // 0 = none, or expired
+	seq         uint64
+	nextRenewal time.Duration // when the next renewal is due
+	leaseEnd    time.Duration
+	sentAt      []time.Duration // by sequence number, modulo the length
 }
 
-// NewHolder is the side of a box that has no life yet.
-func NewHolder(box string, terms Terms) *Holder {
-	return &Holder{box: box, terms: terms, sent: make([]time.Duration, terms.kept())}
+// NewHolder returns a holder for a server that has no fencing token yet.
+func NewHolder(server string, terms Terms) *Holder {
+	return &Holder{server: server, terms: terms, sentAt: make([]time.Duration, terms.outstanding())}
 }
 
-// Life is the life it holds or asks for; 0 = none: it has to propose that it lives.
-func (h *Holder) Life() uint64 { return h.life }
+// Life returns the fencing token that a lease is held or requested for; 0 = none: the process must first register.
+func (h *Holder) Life() uint64 { return h.token }
 
-// Live tells what the log says of this very process: it lives under a life. Told again it changes nothing.
-func (h *Holder) Live(life uint64, now time.Duration) {
-	if life != h.life {
-		h.life, h.next, h.until = life, now, 0
+// Live sets the fencing token under which the log has registered this very process. Repeating a token has no effect.
+func (h *Holder) Live(token uint64, now time.Duration) {
+	if token != h.token {
+		h.token, h.nextRenewal, h.leaseEnd = token, now, 0
 	}
 }
 
-// Lost tells that the log says that its life is over, or that the process is about to end: it holds no longer.
-func (h *Holder) Lost() { h.life, h.until = 0, 0 }
+// Lost drops token and lease: the log has declared the token expired, or the process is about to end.
+func (h *Holder) Lost() { h.token, h.leaseEnd = 0, 0 }
 
-// Ask gives the renewal to send at once, if it is time for one. now must be read before it is sent.
+// Ask returns the renewal to send at once, if one is due. now must be read before it is sent.
 func (h *Holder) Ask(now time.Duration) (Renewal, bool) {
-	if now < h.next {
+	if now < h.nextRenewal {
 		return Renewal{}, false
 	}
 	return h.AskNow(now)
 }
 
-// AskNow returns a renewal to send at once, whenever the last one was sent; false = there is no life to renew. now must be read
-// before it is sent.
+// AskNow returns a renewal to send at once, whenever the last one was sent. It returns false if there is no token to
+// renew. now must be read before the renewal is sent.
 func (h *Holder) AskNow(now time.Duration) (Renewal, bool) {
-	if h.life == 0 {
+	if h.token == 0 {
 		return Renewal{}, false
 	}
 	h.seq++
-	h.sent[h.seq%h.terms.kept()] = now
-	h.next = now + h.terms.Every
-	return Renewal{h.box, h.life, h.seq}, true
+	h.sentAt[h.seq%h.terms.outstanding()] = now
+	h.nextRenewal = now + h.terms.Every
+	return Renewal{h.server, h.token, h.seq}, true
 }
 
-// Granted takes a grant. One that is late, comes twice, is for another life or for what was never asked changes nothing
-// for the worse: a lease ends at the latest end that was granted.
+// Granted accepts a grant. A grant that is late, repeated, for another token or for a renewal that was never sent
+// cannot shorten the lease: it ends at the latest end that was granted.
 func (h *Holder) Granted(g Grant) {
-	if g.Box != h.box || g.Life != h.life || g.Life == 0 || g.Seq == 0 || g.Seq > h.seq || h.seq-g.Seq >= h.terms.kept() {
+	if g.Box != h.server || g.Life != h.token || g.Life == 0 || g.Seq == 0 || g.Seq > h.seq ||
+		h.seq-g.Seq >= h.terms.outstanding() {
 		return
 	}
-	h.until = max(h.until, h.sent[g.Seq%h.terms.kept()]+min(g.For, h.terms.Length))
+	h.leaseEnd = max(h.leaseEnd, h.sentAt[g.Seq%h.terms.outstanding()]+min(g.For, h.terms.Length))
 }
 
-// Holds tells that it holds at a time. What rests on it has to carry the life as well, for a process may stop between
-// this look and what it does by it.
-func (h *Holder) Holds(now time.Duration) bool { return h.life != 0 && now < h.until }
+// Holds reports whether the lease runs at the given time. Work that relies on it must carry the fencing token as well,
+// because the process may stop between this check and the work.
+func (h *Holder) Holds(now time.Duration) bool { return h.token != 0 && now < h.leaseEnd }
 
-// Until is when its lease ends; 0 = it has had none under this life.
-func (h *Holder) Until() time.Duration { return h.until }
+// Until returns when the lease ends; 0 = none was granted under this token.
+func (h *Holder) Until() time.Duration { return h.leaseEnd }
--- a/internal/fleet/lease/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -11,8 +11,8 @@
 
 func ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// live is a state in which a box lives as 1.
-func live(t *testing.T, name string) *State {
+// registered returns a state in which a server is registered under token 1.
+func registered(t *testing.T, name string) *State {
 	t.Helper()
 	s := &State{}
 	if err := s.Apply(1, &Entry{Kind: Live, Box: name, Zone: "a", Incarnation: 3}); err != nil {
@@ -23,186 +23,198 @@
 
 func TestApply(t *testing.T) {
 	long := string(make([]byte, 300))
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name    string
 		before  *Entry
 		e       Entry
 		err     error
 		changes bool
 	}{
-		{name: "again", e: Entry{Kind: Live, Box: "a1", Incarnation: 3}},
-		{name: "a new process", e: Entry{Kind: Live, Box: "a1", Incarnation: 4}, changes: true},
-		{name: "an old process", e: Entry{Kind: Live, Box: "a1", Incarnation: 2}, err: ErrLife},
-		{name: "no process", e: Entry{Kind: Live, Box: "a1"}, err: ErrInvalid},
+		{name: "repeated registration", e: Entry{Kind: Live, Box: "a1", Incarnation: 3}},
+		{name: "registration of a new process", e: Entry{Kind: Live, Box: "a1", Incarnation: 4}, changes: true},
+		{name: "registration of an old process", e: Entry{Kind: Live, Box: "a1", Incarnation: 2}, err: ErrLife},
+		{name: "no incarnation", e: Entry{Kind: Live, Box: "a1"}, err: ErrInvalid},
 		{name: "no name", e: Entry{Kind: Live, Incarnation: 1}, err: ErrInvalid},
-		{name: "long pool", e: Entry{Kind: Live, Box: "a2", Incarnation: 1, Pool: long}, err: ErrInvalid},
-		{name: "lost", e: Entry{Kind: Lost, Box: "a1", Life: 1}, changes: true},
-		{name: "another life lost", e: Entry{Kind: Lost, Box: "a1", Life: 2}, err: ErrLife},
-		{name: "nobody lost", e: Entry{Kind: Lost, Box: "a2", Life: 1}, err: ErrUnknown},
-		{name: "gone while it lives", e: Entry{Kind: Gone, Box: "a1"}, err: ErrHolds},
-		{name: "lost twice", before: &Entry{Kind: Lost, Box: "a1", Life: 1}, e: Entry{Kind: Lost, Box: "a1", Life: 1}, err: ErrLife},
-		{name: "lives again", before: &Entry{Kind: Lost, Box: "a1", Life: 1}, e: Entry{Kind: Live, Box: "a1", Incarnation: 3}, changes: true},
-		{name: "gone", before: &Entry{Kind: Lost, Box: "a1", Life: 1}, e: Entry{Kind: Gone, Box: "a1"}, changes: true},
-		{name: "no kind", e: Entry{Box: "a1"}, err: ErrInvalid},
+		{name: "long pool address", e: Entry{Kind: Live, Box: "a2", Incarnation: 1, Pool: long}, err: ErrInvalid},
+		{name: "expired", e: Entry{Kind: Lost, Box: "a1", Life: 1}, changes: true},
+		{name: "another token expired", e: Entry{Kind: Lost, Box: "a1", Life: 2}, err: ErrLife},
+		{name: "unknown server expired", e: Entry{Kind: Lost, Box: "a2", Life: 1}, err: ErrUnknown},
+		{name: "removed while registered", e: Entry{Kind: Gone, Box: "a1"}, err: ErrHolds},
+		{name: "expired twice", before: &Entry{Kind: Lost, Box: "a1", Life: 1},
+			e: Entry{Kind: Lost, Box: "a1", Life: 1}, err: ErrLife},
+		{name: "registered again", before: &Entry{Kind: Lost, Box: "a1", Life: 1},
+			e: Entry{Kind: Live, Box: "a1", Incarnation: 3}, changes: true},
+		{name: "removed after expiry", before: &Entry{Kind: Lost, Box: "a1", Life: 1},
+			e: Entry{Kind: Gone, Box: "a1"}, changes: true},
+		{name: "no entry kind", e: Entry{Box: "a1"}, err: ErrInvalid},
 	} {
-		s := live(t, "a1")
-		if k.before != nil {
-			if err := s.Apply(2, k.before); err != nil {
-				t.Fatal(k.name, err)
+		s := registered(t, "a1")
+		if test.before != nil {
+			if err := s.Apply(2, test.before); err != nil {
+				t.Fatal(test.name, err)
 			}
 		}
-		was := s.Clone()
-		if err := s.Apply(9, &k.e); !errors.Is(err, k.err) {
-			t.Errorf("%s: %v, want %v", k.name, err, k.err)
+		before := s.Clone()
+		if err := s.Apply(9, &test.e); !errors.Is(err, test.err) {
+			t.Errorf("%s: %v, want %v", test.name, err, test.err)
 		}
-		if was.Index = 9; cmp.Equal(was, *s) == k.changes {
-			t.Errorf("%s: %s", k.name, cmp.Diff(was, *s))
+		if before.Index = 9; cmp.Equal(before, *s) == test.changes {
+			t.Errorf("%s: %s", test.name, cmp.Diff(before, *s))
 		}
-		if k.changes && s.Epoch != 9 || k.e.Kind == Live && k.changes && !s.Lives("a1", 9) {
-			t.Errorf("%s: %+v", k.name, s)
+		if test.changes && s.Epoch != 9 || test.e.Kind == Live && test.changes && !s.Lives("a1", 9) {
+			t.Errorf("%s: %+v", test.name, s)
 		}
 	}
 	s := &State{}
 	for i := range MaxBoxes + 1 {
-		if err := s.Apply(uint64(i+1), &Entry{Kind: Live, Box: fmt.Sprint("b", MaxBoxes-i), Incarnation: 1}); (err != nil) != (i == MaxBoxes) {
+		if err := s.Apply(uint64(i+1),
+			&Entry{Kind: Live, Box: fmt.Sprint("b", MaxBoxes-i), Incarnation: 1}); (err != nil) != (i == MaxBoxes) {
 			t.Fatal(i, err)
 		}
 	}
 }
 
-// A lease runs from the sending of what was granted, whatever comes late, twice, out of order or is of another life.
+// A lease runs from the moment its renewal was sent, whether grants are late, repeated, out of order or for another
+// token.
 func TestHolder(t *testing.T) {
-	h := NewHolder("a1", MeshTerms)
-	if _, ok := h.AskNow(0); ok {
-		t.Error("asks without a life")
+	holder := NewHolder("a1", MeshTerms)
+	if _, ok := holder.AskNow(0); ok {
+		t.Error("renews without a token")
 	}
-	if _, ok := h.Ask(0); ok || h.Holds(0) {
-		t.Error("asks or holds without a life")
+	if _, ok := holder.Ask(0); ok || holder.Holds(0) {
+		t.Error("renews or holds a lease without a token")
 	}
-	h.Live(7, ms(100))
-	one, _ := h.Ask(ms(100))
-	if _, ok := h.Ask(ms(100) + MeshTerms.Every - 1); ok {
-		t.Error("asks too early")
+	holder.Live(7, ms(100))
+	firstRenewal, _ := holder.Ask(ms(100))
+	if _, ok := holder.Ask(ms(100) + MeshTerms.Every - 1); ok {
+		t.Error("renews too early")
 	}
-	two, ok := h.Ask(ms(100) + MeshTerms.Every)
-	if !ok || one.Seq >= two.Seq {
-		t.Error(one, two, ok)
+	secondRenewal, ok := holder.Ask(ms(100) + MeshTerms.Every)
+	if !ok || firstRenewal.Seq >= secondRenewal.Seq {
+		t.Error(firstRenewal, secondRenewal, ok)
 	}
-	if now, ok := h.AskNow(ms(100) + MeshTerms.Every); !ok || now.Seq <= two.Seq {
+	if now, ok := holder.AskNow(ms(100) + MeshTerms.Every); !ok || now.Seq <= secondRenewal.Seq {
 		t.Error(now, ok)
 	} else {
-		two = now
+		secondRenewal = now
 	}
 	end := ms(100) + MeshTerms.Every + MeshTerms.Length
 	grant := func(r Renewal) Grant { return Grant{r.Box, r.Life, r.Seq, MeshTerms.Length} }
-	for _, k := range []struct {
-		g     Grant
+	for _, test := range []struct {
+		grant Grant
 		until time.Duration
 	}{
-		{Grant{"a2", 7, two.Seq, MeshTerms.Length}, 0}, {Grant{"a1", 6, two.Seq, MeshTerms.Length}, 0}, {Grant{"a1", 7, two.Seq + 1, MeshTerms.Length}, 0}, {Grant{"a1", 7, 0, MeshTerms.Length}, 0},
-		{grant(one), ms(100) + MeshTerms.Length}, {grant(two), end}, {grant(one), end}, {Grant{"a1", 7, two.Seq, time.Hour}, end},
+		{Grant{"a2", 7, secondRenewal.Seq, MeshTerms.Length}, 0},
+		{Grant{"a1", 6, secondRenewal.Seq, MeshTerms.Length}, 0},
+		{Grant{"a1", 7, secondRenewal.Seq + 1, MeshTerms.Length}, 0}, {Grant{"a1", 7, 0, MeshTerms.Length}, 0},
+		{grant(firstRenewal), ms(100) + MeshTerms.Length}, {grant(secondRenewal), end}, {grant(firstRenewal), end},
+		{Grant{"a1", 7, secondRenewal.Seq, time.Hour}, end},
 	} {
-		if h.Granted(k.g); h.Until() != k.until {
-			t.Errorf("%+v: until %v", k.g, h.Until())
+		if holder.Granted(test.grant); holder.Until() != test.until {
+			t.Errorf("%+v: until %v", test.grant, holder.Until())
 		}
 	}
-	if !h.Holds(end-1) || h.Holds(end) {
-		t.Errorf("the end is not at %v", end)
+	if !holder.Holds(end-1) || holder.Holds(end) {
+		t.Errorf("the lease does not end at %v", end)
 	}
 	for now := end; now < end+2*MeshTerms.Length; now += MeshTerms.Every {
-		h.Ask(now)
+		holder.Ask(now)
 	}
-	if h.Granted(grant(one)); h.Until() != end {
-		t.Error("a grant of long ago counts for another renewal")
+	if holder.Granted(grant(firstRenewal)); holder.Until() != end {
+		t.Error("an old grant counts for another renewal")
 	}
-	h.Live(7, end+2*MeshTerms.Length)
-	if h.Until() == 0 {
-		t.Error("the same life again ended its lease")
+	holder.Live(7, end+2*MeshTerms.Length)
+	if holder.Until() == 0 {
+		t.Error("repeating the token ended the lease")
 	}
-	h.Live(8, ms(8000))
-	if h.Until() != 0 {
-		t.Error("another life has the lease of the one before")
+	holder.Live(8, ms(8000))
+	if holder.Until() != 0 {
+		t.Error("a new token inherited the previous lease")
 	}
-	h.Lost()
-	if h.Granted(grant(two)); h.Holds(0) || h.Life() != 0 {
-		t.Error("holds though lost")
+	holder.Lost()
+	if holder.Granted(grant(secondRenewal)); holder.Holds(0) || holder.Life() != 0 {
+		t.Error("holds a lease after it was dropped")
 	}
 }
 
 func TestGranter(t *testing.T) {
-	s := live(t, "a1")
-	g := NewGranter(MeshTerms)
-	r := Renewal{"a1", 1, 1}
-	if err := g.Asked(s, r, 0); !errors.Is(err, ErrFollows) {
+	state := registered(t, "a1")
+	granter := NewGranter(MeshTerms)
+	renewal := Renewal{"a1", 1, 1}
+	if err := granter.Asked(state, renewal, 0); !errors.Is(err, ErrFollows) {
 		t.Error(err)
 	}
-	g.Lead(5, ms(1000))
+	granter.Lead(5, ms(1000))
 	for _, bad := range []Renewal{{"a2", 1, 1}, {"a1", 2, 1}} {
-		if err := g.Asked(s, bad, ms(1000)); err == nil {
-			t.Errorf("%+v is taken", bad)
+		if err := granter.Asked(state, bad, ms(1000)); err == nil {
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
-	if _, ok := g.Round(ms(1000)); ok {
-		t.Error("a round with nothing in it")
+	if _, ok := granter.Round(ms(1000)); ok {
+		t.Error("a round without renewals")
 	}
 	ask := func(seq uint64, now int) (id uint64) {
 		t.Helper()
-		if err := g.Asked(s, Renewal{"a1", 1, seq}, ms(now)); err != nil {
+		if err := granter.Asked(state, Renewal{"a1", 1, seq}, ms(now)); err != nil {
 			t.Fatal(err)
 		}
-		id, ok := g.Round(ms(now))
+		id, ok := granter.Round(ms(now))
 		if !ok {
 			t.Fatal("no round")
 		}
 		return id
 	}
-	first := ask(1, 1100)
-	second := ask(2, 1500)
-	if got := g.Confirmed(s, second); !cmp.Equal(got, []Grant{{"a1", 1, 2, MeshTerms.Length}}) {
+	firstRound := ask(1, 1100)
+	secondRound := ask(2, 1500)
+	if got := granter.Confirmed(state, secondRound); !cmp.Equal(got, []Grant{{"a1", 1, 2, MeshTerms.Length}}) {
 		t.Error(got)
 	}
-	if got := g.Confirmed(s, first); got != nil {
+	if got := granter.Confirmed(state, firstRound); got != nil {
 		t.Error("granted twice", got)
 	}
-	late := ask(3, 1600)
+	lateRound := ask(3, 1600)
 	for now := 1700; ms(now) < ms(1600)+MeshTerms.Patience(); now += 100 {
-		if e := g.Over(s, ms(now)); e != nil {
-			t.Fatal("over at", now)
+		if entries := granter.Over(state, ms(now)); entries != nil {
+			t.Fatal("expired at", now)
 		}
 	}
 	now := ms(1600) + MeshTerms.Patience()
-	if e := g.Over(s, now); !cmp.Equal(e, []Entry{{Kind: Lost, Box: "a1", Life: 1}}) || !e[0].InTerm() {
-		t.Fatal(e)
+	if entries := granter.Over(state, now); !cmp.Equal(entries, []Entry{{Kind: Lost, Box: "a1", Life: 1}}) ||
+		!entries[0].InTerm() {
+		t.Fatal(entries)
 	}
-	if g.Over(s, now) != nil || g.Confirmed(s, late) != nil || g.Asked(s, Renewal{"a1", 1, 4}, now) == nil {
+	if granter.Over(state, now) != nil || granter.Confirmed(state, lateRound) != nil ||
+		granter.Asked(state, Renewal{"a1", 1, 4}, now) == nil {
 		t.Error("proposed twice, or granted after it was proposed")
 	}
-	g.Refused("a1", 1)
-	four := ask(4, int(now/time.Millisecond))
-	g.Lead(6, now) // an older term's rounds are worth nothing
-	if g.Confirmed(s, four) != nil {
+	granter.Refused("a1", 1)
+	staleRound := ask(4, int(now/time.Millisecond))
+	granter.Lead(6, now) // rounds of an earlier term must not be confirmed
+	if granter.Confirmed(state, staleRound) != nil {
 		t.Error("granted in another term")
 	}
 	for i := range maxRounds {
 		ask(uint64(5+i), int(now/time.Millisecond)+i)
 	}
-	g.Asked(s, Renewal{"a1", 1, 99}, now)
-	if _, ok := g.Round(now + MeshTerms.Length); ok {
-		t.Error("rounds without a bound")
+	granter.Asked(state, Renewal{"a1", 1, 99}, now)
+	if _, ok := granter.Round(now + MeshTerms.Length); ok {
+		t.Error("the number of rounds is not bounded")
 	}
-	five, ok := g.Round(now + MeshTerms.Length + 1)
+	newRound, ok := granter.Round(now + MeshTerms.Length + 1)
 	if !ok {
-		t.Error("a round that is too old holds up the others")
+		t.Error("a round that is too old blocks the others")
 	}
-	// It was asked for before an older leader's entry was applied here.
-	if err := s.Apply(2, &Entry{Kind: Lost, Box: "a1", Life: 1}); err != nil || g.Confirmed(s, five) != nil {
-		t.Error("granted to one who is lost", err)
+	// The renewal came before an earlier leader's entry was applied here.
+	if err := state.Apply(2, &Entry{Kind: Lost, Box: "a1", Life: 1}); err != nil || granter.Confirmed(state, newRound) != nil {
+		t.Error("granted to an expired server", err)
 	}
-	if g.Lead(7, now); g.Over(s, now) != nil || g.Over(s, now+MeshTerms.Length/2) != nil || g.Over(s, now+MeshTerms.Length) != nil || g.Over(s, now+MeshTerms.Length*3/2) != nil {
-		t.Error("lost again")
+	if granter.Lead(7, now); granter.Over(state, now) != nil || granter.Over(state, now+MeshTerms.Length/2) != nil ||
+		granter.Over(state, now+MeshTerms.Length) != nil || granter.Over(state, now+MeshTerms.Length*3/2) != nil {
+		t.Error("expired again")
 	}
-	// A leader that was stopped gives everybody a new start.
-	if err := s.Apply(3, &Entry{Kind: Live, Box: "a1", Incarnation: 3}); err != nil || g.Over(s, now+2*MeshTerms.Length) != nil || g.Over(s, now+4*MeshTerms.Length) != nil {
-		t.Error("lost while the leader was stopped", err)
+	// After a leader was stopped, every server counts as renewed again.
+	if err := state.Apply(3, &Entry{Kind: Live, Box: "a1", Incarnation: 3}); err != nil ||
+		granter.Over(state, now+2*MeshTerms.Length) != nil || granter.Over(state, now+4*MeshTerms.Length) != nil {
+		t.Error("expired while the leader was stopped", err)
 	}
 }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -20,396 +20,408 @@
 )
 
 var (
-	seeds = flag.Uint64("seeds", 6, "histories of the simulation")
-	first = flag.Uint64("first", 1, "seed of the first, to play one again")
+	seeds = flag.Uint64("seeds", 6, "number of simulated histories")
+	first = flag.Uint64("first", 1, "seed of the first history, to replay one")
 )
 
 const (
-	step    = 2 * time.Millisecond // of true time
-	boxes   = 5                    // three voters, two learners
-	history = 40 * time.Second
+	stepTime    = 2 * time.Millisecond // of true time
+	servers     = 5                    // three voters, two learners
+	historyTime = 40 * time.Second
 )
 
-// defects are what is left out of the boxes of a simulation, on purpose.
+// defects are safeguards that a simulation leaves out on purpose.
 type defects struct {
-	receipt bool // a lease runs from the receipt of its grant
-	noWait  bool // a new leader takes nobody for just granted
-	noRound bool // grants without a read index
-	noDrift bool // the leader waits for the length of a lease by its own clock
-	forgets bool // grants go on while a life is proposed as lost
+	leaseFromReceipt    bool // a lease runs from the receipt of its grant
+	noInitialWait       bool // a new leader does not count every server as just renewed
+	noReadIndex         bool // grants are given without a read index
+	noClockDrift        bool // the leader waits only for the length of a lease by its own clock
+	grantsAfterProposal bool // grants go on after a token was proposed as expired
 }
 
-// command is an entry of the log as a box proposes it.
+// command is an entry of the log as a server proposes it.
 type command struct {
 	Term  uint64
 	Entry Entry
 }
 
-// packet is one of raft, a renewal or a grant, on its way.
+// packet is a message in transit: one of raft, a renewal or a grant.
 type packet struct {
-	from, at int // at: a step
+	from, at int // at: the step of its arrival
 	raft     []byte
 	renewal  *Renewal
 	grant    *Grant
 }
 
-// simBox is one box: its log lives over its processes. Its process does its stages in turn, and may stop between two.
-type simBox struct {
-	i            int
-	name         string
-	rate         float64       // of its clock
-	start        time.Duration // of its process, in true time
-	inc          uint64
-	up           bool
-	wake, stage  int
-	store        *raft.MemoryStorage
-	raw          *raft.RawNode
-	state        State
-	applied      uint64
-	tick, spoke  time.Duration
-	leader       int // who led last as far as it knows
-	holder       *Holder
-	granter      *Granter
-	reads        []raft.ReadState
-	inbox, later []packet
+// simServer is one server: its log outlives its processes. Its process runs its stages in turn, and may stop between
+// two.
+type simServer struct {
+	index                  int
+	name                   string
+	clockRate              float64       // of its clock
+	startedAt              time.Duration // of its process, in true time
+	incarnation            uint64
+	up                     bool
+	wakeStep, stage        int
+	storage                *raft.MemoryStorage
+	node                   *raft.RawNode
+	state                  State
+	applied                uint64
+	nextTick, registeredAt time.Duration
+	leader                 int // the last leader that it knows of
+	holder                 *Holder
+	granter                *Granter
+	readStates             []raft.ReadState
+	inbox, spareInbox      []packet
 }
 
 type world struct {
-	t       *testing.T
-	bad     defects
-	rnd     *rand.Rand
-	now     int // steps
-	boxes   []*simBox
-	cut     [boxes][boxes]bool
-	loss    int // in a hundred
-	delay   int // steps at most
-	lost    map[uint64]int
-	terms   map[uint64]bool
-	held    int // looks at a box that held
-	history []string
-	broken  string // what must never be
+	t           *testing.T
+	omitted     defects
+	random      *rand.Rand
+	now         int // in steps
+	servers     []*simServer
+	cut         [servers][servers]bool
+	loss        int // percent
+	delay       int // steps, the maximum
+	expiredAt   map[uint64]int
+	terms       map[uint64]bool
+	leaseChecks int // how often a server was found to hold a lease
+	events      []string
+	violation   string // the first violation of the invariant; "" = none
 }
 
-func newWorld(t *testing.T, seed uint64, bad defects) *world {
+func newWorld(t *testing.T, seed uint64, omitted defects) *world {
 	cryptotest.SetGlobalRandom(t, seed)
-	w := &world{t: t, bad: bad, rnd: rand.New(rand.NewPCG(seed, 4)), delay: 2, lost: map[uint64]int{}, terms: map[uint64]bool{}}
-	conf := &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4, 5}}
-	for i := range boxes {
-		b := &simBox{i: i, name: fmt.Sprint("b", i), store: raft.NewMemoryStorage(), rate: 1 + (2*w.rnd.Float64()-1)/Drift}
-		if k := w.rnd.IntN(4); k < 2 {
-			b.rate = 1 + float64(2*k-1)/Drift // the fastest and the slowest
+	w := &world{t: t, omitted: omitted, random: rand.New(rand.NewPCG(seed, 4)), delay: 2, expiredAt: map[uint64]int{},
+		terms: map[uint64]bool{}}
+	configuration := &raftpb.ConfState{Voters: []uint64{1, 2, 3}, Learners: []uint64{4, 5}}
+	for i := range servers {
+		server := &simServer{index: i, name: fmt.Sprint("b", i), storage: raft.NewMemoryStorage(),
+			clockRate: 1 + (2*w.random.Float64()-1)/Drift}
+		if choice := w.random.IntN(4); choice < 2 {
+			server.clockRate = 1 + float64(2*choice-1)/Drift // the fastest or the slowest
 		}
-		if err := b.store.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: conf}}); err != nil {
+		if err := server.storage.ApplySnapshot(&raftpb.Snapshot{Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: configuration}}); err != nil {
 			t.Fatal(err)
 		}
-		w.boxes = append(w.boxes, b)
-		w.begin(b)
+		w.servers = append(w.servers, server)
+		w.startProcess(server)
 	}
 	return w
 }
 
-func (w *world) note(format string, a ...any) {
-	w.history = append(w.history, fmt.Sprintf("%6v ", time.Duration(w.now)*step)+fmt.Sprintf(format, a...))
+func (w *world) logf(format string, a ...any) {
+	w.events = append(w.events, fmt.Sprintf("%6v ", time.Duration(w.now)*stepTime)+fmt.Sprintf(format, a...))
 }
 
-// begin starts a process of a box; it applies its log anew.
-func (w *world) begin(b *simBox) {
-	raw, err := raft.NewRawNode(&raft.Config{ID: uint64(b.i + 1), ElectionTick: 8, HeartbeatTick: 1, Storage: b.store, Applied: 1, MaxSizePerMsg: 1 << 20,
+// startProcess starts a process of a server, which applies its log from the start.
+func (w *world) startProcess(server *simServer) {
+	node, err := raft.NewRawNode(&raft.Config{ID: uint64(server.index + 1), ElectionTick: 8, HeartbeatTick: 1,
+		Storage: server.storage, Applied: 1, MaxSizePerMsg: 1 << 20,
 		MaxInflightMsgs: 64, CheckQuorum: true, PreVote: true, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	*b = simBox{i: b.i, name: b.name, rate: b.rate, store: b.store, inc: b.inc + 1, start: time.Duration(w.now) * step, up: true, raw: raw, holder: NewHolder(b.name, MeshTerms), granter: NewGranter(MeshTerms), leader: b.i, spoke: -time.Hour}
+	*server = simServer{index: server.index, name: server.name, clockRate: server.clockRate, storage: server.storage,
+		incarnation: server.incarnation + 1, startedAt: time.Duration(w.now) * stepTime, up: true, node: node,
+		holder: NewHolder(server.name, MeshTerms), granter: NewGranter(MeshTerms), leader: server.index,
+		registeredAt: -time.Hour}
 }
 
-// clock is what a box's process reads.
-func (w *world) clock(b *simBox) time.Duration {
-	return time.Duration(float64(time.Duration(w.now)*step-b.start) * b.rate)
+// clock returns what a server's process reads from its clock.
+func (w *world) clock(server *simServer) time.Duration {
+	return time.Duration(float64(time.Duration(w.now)*stepTime-server.startedAt) * server.clockRate)
 }
 
 func (w *world) send(from, to int, p packet) {
-	if o := w.boxes[to]; from == to {
-		o.inbox = append(o.inbox, p)
-	} else if !w.cut[from][to] && w.rnd.IntN(100) >= w.loss && o.up {
-		p.from, p.at = from, w.now+1+w.rnd.IntN(w.delay)
-		o.inbox = append(o.inbox, p)
-		if w.rnd.IntN(50) == 0 {
-			o.inbox = append(o.inbox, p)
+	if receiver := w.servers[to]; from == to {
+		receiver.inbox = append(receiver.inbox, p)
+	} else if !w.cut[from][to] && w.random.IntN(100) >= w.loss && receiver.up {
+		p.from, p.at = from, w.now+1+w.random.IntN(w.delay)
+		receiver.inbox = append(receiver.inbox, p)
+		if w.random.IntN(50) == 0 {
+			receiver.inbox = append(receiver.inbox, p)
 		}
 	}
 }
 
-func (w *world) leads(b *simBox) (uint64, bool) {
-	s := b.raw.BasicStatus()
-	return s.GetTerm(), s.RaftState == raft.StateLeader
+func (w *world) leads(server *simServer) (uint64, bool) {
+	status := server.node.BasicStatus()
+	return status.GetTerm(), status.RaftState == raft.StateLeader
 }
 
-// stages are a turn of a process.
-var stages = []func(*world, *simBox){(*world).receive, (*world).flush, (*world).rounds, (*world).over, (*world).own, (*world).flush}
+// stages are the steps of one iteration of a process.
+var stages = []func(*world, *simServer){(*world).receive, (*world).flush, (*world).beginRound,
+	(*world).proposeExpired, (*world).ownLease, (*world).flush}
 
-func (w *world) receive(b *simBox) {
-	due := b.inbox
-	b.inbox = b.later[:0]
-	for _, p := range due {
+func (w *world) receive(server *simServer) {
+	arrived := server.inbox
+	server.inbox = server.spareInbox[:0]
+	for _, packet := range arrived {
 		switch {
-		case p.at > w.now:
-			b.inbox = append(b.inbox, p)
-		case p.raft != nil:
-			m := &raftpb.Message{}
-			if err := proto.Unmarshal(p.raft, m); err != nil {
+		case packet.at > w.now:
+			server.inbox = append(server.inbox, packet)
+		case packet.raft != nil:
+			message := &raftpb.Message{}
+			if err := proto.Unmarshal(packet.raft, message); err != nil {
 				w.t.Fatal(err)
 			}
-			_ = b.raw.Step(m) // proposals are dropped while nobody leads
-		case p.renewal != nil:
-			if err := b.granter.Asked(&b.state, *p.renewal, w.clock(b)); err == nil && w.bad.noRound {
-				id, _ := b.granter.Round(w.clock(b))
-				w.grant(b, id)
+			_ = server.node.Step(message) // proposals are dropped while there is no leader
+		case packet.renewal != nil:
+			if err := server.granter.Asked(&server.state, *packet.renewal, w.clock(server)); err == nil && w.omitted.noReadIndex {
+				id, _ := server.granter.Round(w.clock(server))
+				w.grant(server, id)
 			}
 		default:
-			if w.bad.receipt {
-				b.holder.sent[p.grant.Seq%MeshTerms.kept()] = w.clock(b)
+			if w.omitted.leaseFromReceipt {
+				server.holder.sentAt[packet.grant.Seq%MeshTerms.outstanding()] = w.clock(server)
 			}
-			b.holder.Granted(*p.grant)
+			server.holder.Granted(*packet.grant)
 		}
 	}
-	b.later = due
+	server.spareInbox = arrived
 }
 
-func (w *world) grant(b *simBox, id uint64) {
-	for _, g := range b.granter.Confirmed(&b.state, id) {
-		w.send(b.i, int(g.Box[1]-'0'), packet{grant: &g})
+func (w *world) grant(server *simServer, id uint64) {
+	for _, grant := range server.granter.Confirmed(&server.state, id) {
+		w.send(server.index, int(grant.Box[1]-'0'), packet{grant: &grant})
 	}
 }
 
-// sync has the granter lead when raft does. It comes in the same stage as what it is for.
-func (w *world) sync(b *simBox) (term uint64, leads bool) {
-	if term, leads = w.leads(b); !leads {
-		b.granter.Follow()
+// syncLeadership makes the granter lead while raft does. It runs in the same stage as the action that needs it.
+func (w *world) syncLeadership(server *simServer) (term uint64, leads bool) {
+	if term, leads = w.leads(server); !leads {
+		server.granter.Follow()
 		return
 	}
-	if w.terms[term] = true; b.granter.term != term && w.bad.noWait {
-		b.granter.Lead(term, w.clock(b))
-		for _, x := range b.state.Boxes {
-			b.granter.known[x.Name] = &known{life: x.Life, heard: -time.Hour}
+	if w.terms[term] = true; server.granter.term != term && w.omitted.noInitialWait {
+		server.granter.Lead(term, w.clock(server))
+		for _, registration := range server.state.Boxes {
+			server.granter.servers[registration.Name] = &tracked{token: registration.Life, renewedAt: -time.Hour}
 		}
 	}
-	b.granter.Lead(term, w.clock(b))
+	server.granter.Lead(term, w.clock(server))
 	return
 }
 
-func (w *world) rounds(b *simBox) {
-	if _, leads := w.sync(b); !leads {
+func (w *world) beginRound(server *simServer) {
+	if _, leads := w.syncLeadership(server); !leads {
 		return
 	}
-	if id, ok := b.granter.Round(w.clock(b)); ok {
-		b.raw.ReadIndex(binary.LittleEndian.AppendUint64(nil, id))
+	if id, ok := server.granter.Round(w.clock(server)); ok {
+		server.node.ReadIndex(binary.LittleEndian.AppendUint64(nil, id))
 	}
 }
 
-func (w *world) over(b *simBox) {
-	term, leads := w.sync(b)
+func (w *world) proposeExpired(server *simServer) {
+	term, leads := w.syncLeadership(server)
 	if !leads {
 		return
 	}
-	now := w.clock(b)
-	if w.bad.noDrift {
+	now := w.clock(server)
+	if w.omitted.noClockDrift {
 		now += MeshTerms.Patience() - MeshTerms.Length
-		b.granter.looked = now
+		server.granter.checkedAt = now
 	}
-	for _, e := range b.granter.Over(&b.state, now) {
-		data, _ := cbor.Marshal(command{term, e})
-		w.note("%s proposes %s lost as %d", b.name, e.Box, e.Life)
-		if b.raw.Propose(data) != nil || w.bad.forgets {
-			b.granter.Refused(e.Box, e.Life)
+	for _, entry := range server.granter.Over(&server.state, now) {
+		data, _ := cbor.Marshal(command{term, entry})
+		w.logf("%s proposes %s as expired under token %d", server.name, entry.Box, entry.Life)
+		if server.node.Propose(data) != nil || w.omitted.grantsAfterProposal {
+			server.granter.Refused(entry.Box, entry.Life)
 		}
 	}
 }
 
-// own is what a box does for its own lease.
-func (w *world) own(b *simBox) {
-	now := w.clock(b)
-	if now >= b.tick {
-		b.tick = now + 100*time.Millisecond
-		b.raw.Tick()
+// ownLease runs a server's side of its own lease.
+func (w *world) ownLease(server *simServer) {
+	now := w.clock(server)
+	if now >= server.nextTick {
+		server.nextTick = now + 100*time.Millisecond
+		server.node.Tick()
 	}
-	if l := b.raw.BasicStatus().Lead; l != 0 {
-		b.leader = int(l - 1)
+	if leader := server.node.BasicStatus().Lead; leader != 0 {
+		server.leader = int(leader - 1)
 	}
-	switch x := b.state.Box(b.name); {
-	case x != nil && x.Incarnation == b.inc && !x.Lost:
-		b.holder.Live(x.Life, now)
-	case now-b.spoke >= 500*time.Millisecond:
-		b.holder.Lost()
-		b.spoke = now
-		data, _ := cbor.Marshal(command{0, Entry{Kind: Live, Box: b.name, Zone: "z", Incarnation: b.inc}})
-		_ = b.raw.Propose(data) // again in 500 ms
+	switch registration := server.state.Box(server.name); {
+	case registration != nil && registration.Incarnation == server.incarnation && !registration.Lost:
+		server.holder.Live(registration.Life, now)
+	case now-server.registeredAt >= 500*time.Millisecond:
+		server.holder.Lost()
+		server.registeredAt = now
+		data, _ := cbor.Marshal(command{0, Entry{Kind: Live, Box: server.name, Zone: "z", Incarnation: server.incarnation}})
+		_ = server.node.Propose(data) // repeated every 500 ms
 	default:
-		b.holder.Lost()
+		server.holder.Lost()
 	}
-	if r, ok := b.holder.Ask(now); ok {
-		w.send(b.i, b.leader, packet{renewal: &r})
+	if renewal, ok := server.holder.Ask(now); ok {
+		w.send(server.index, server.leader, packet{renewal: &renewal})
 	}
 }
 
-func (w *world) flush(b *simBox) {
-	for b.raw.HasReady() {
-		rd := b.raw.Ready()
-		if rd.HardState != nil && !raft.IsEmptyHardState(rd.HardState) {
-			_ = b.store.SetHardState(rd.HardState)
+func (w *world) flush(server *simServer) {
+	for server.node.HasReady() {
+		ready := server.node.Ready()
+		if ready.HardState != nil && !raft.IsEmptyHardState(ready.HardState) {
+			_ = server.storage.SetHardState(ready.HardState)
 		}
-		if err := b.store.Append(rd.Entries); err != nil {
+		if err := server.storage.Append(ready.Entries); err != nil {
 			w.t.Fatal(err)
 		}
-		for _, m := range rd.Messages {
-			data, _ := proto.Marshal(m)
-			w.send(b.i, int(m.GetTo()-1), packet{raft: data})
+		for _, message := range ready.Messages {
+			data, _ := proto.Marshal(message)
+			w.send(server.index, int(message.GetTo()-1), packet{raft: data})
 		}
-		for _, e := range rd.CommittedEntries {
-			w.apply(b, e)
+		for _, entry := range ready.CommittedEntries {
+			w.apply(server, entry)
 		}
-		b.reads = append(b.reads, rd.ReadStates...)
-		b.raw.Advance(rd)
+		server.readStates = append(server.readStates, ready.ReadStates...)
+		server.node.Advance(ready)
 	}
-	w.sync(b)
-	b.reads = slices.DeleteFunc(b.reads, func(r raft.ReadState) bool {
-		if r.Index > b.applied {
+	w.syncLeadership(server)
+	server.readStates = slices.DeleteFunc(server.readStates, func(readState raft.ReadState) bool {
+		if readState.Index > server.applied {
 			return false
 		}
-		w.grant(b, binary.LittleEndian.Uint64(r.RequestCtx))
+		w.grant(server, binary.LittleEndian.Uint64(readState.RequestCtx))
 		return true
 	})
 }
 
-func (w *world) apply(b *simBox, e *raftpb.Entry) {
-	var c command
-	b.applied = e.GetIndex()
-	if len(e.GetData()) == 0 || cbor.Unmarshal(e.GetData(), &c) != nil || c.Term != 0 && c.Term != e.GetTerm() {
+func (w *world) apply(server *simServer, entry *raftpb.Entry) {
+	var proposal command
+	server.applied = entry.GetIndex()
+	if len(entry.GetData()) == 0 || cbor.Unmarshal(entry.GetData(), &proposal) != nil ||
+		proposal.Term != 0 && proposal.Term != entry.GetTerm() {
 		return
 	}
-	if b.state.Apply(e.GetIndex(), &c.Entry) != nil {
-		b.granter.Refused(c.Entry.Box, c.Entry.Life)
-	} else if c.Entry.Kind == Lost && w.lost[c.Entry.Life] == 0 {
-		w.lost[c.Entry.Life] = w.now
-		w.note("%s applies %s lost as %d", b.name, c.Entry.Box, c.Entry.Life)
+	if server.state.Apply(entry.GetIndex(), &proposal.Entry) != nil {
+		server.granter.Refused(proposal.Entry.Box, proposal.Entry.Life)
+	} else if proposal.Entry.Kind == Lost && w.expiredAt[proposal.Entry.Life] == 0 {
+		w.expiredAt[proposal.Entry.Life] = w.now
+		w.logf("%s applies that %s expired under token %d", server.name, proposal.Entry.Box, proposal.Entry.Life)
 	}
 }
 
-// turn is a step of true time.
-func (w *world) turn(faults bool) {
+// step advances true time by one step.
+func (w *world) step(faults bool) {
 	w.now++
-	for _, b := range w.boxes {
-		for b.up && w.now >= b.wake {
-			stages[b.stage](w, b)
-			b.stage = (b.stage + 1) % len(stages)
-			if faults && w.rnd.IntN(20_000) == 0 {
-				w.stop(b, "between two stages")
+	for _, server := range w.servers {
+		for server.up && w.now >= server.wakeStep {
+			stages[server.stage](w, server)
+			server.stage = (server.stage + 1) % len(stages)
+			if faults && w.random.IntN(20_000) == 0 {
+				w.stop(server, "between two stages")
 			}
-			if b.stage == 0 {
+			if server.stage == 0 {
 				break
 			}
 		}
-		if !b.up && w.now >= b.wake {
-			w.begin(b)
+		if !server.up && w.now >= server.wakeStep {
+			w.startProcess(server)
 		}
-		if b.up && b.holder.Holds(w.clock(b)) {
-			if w.held++; w.lost[b.holder.Life()] > 0 && w.broken == "" {
-				w.broken = fmt.Sprintf("%s holds as %d until %v of its clock, now %v, and was lost at %v", b.name, b.holder.Life(), b.holder.Until(), w.clock(b), time.Duration(w.lost[b.holder.Life()])*step)
+		if server.up && server.holder.Holds(w.clock(server)) {
+			if w.leaseChecks++; w.expiredAt[server.holder.Life()] > 0 && w.violation == "" {
+				w.violation = fmt.Sprintf("%s holds token %d until %v of its clock, now %v, although it was declared expired at %v", server.name, server.holder.Life(), server.holder.Until(), w.clock(server), time.Duration(w.expiredAt[server.holder.Life()])*stepTime)
 			}
 		}
 	}
 }
 
-func (w *world) stop(b *simBox, why string) {
-	b.wake = w.now + 50 + w.rnd.IntN(3000)
-	w.note("%s stops %s until %v", b.name, why, time.Duration(b.wake)*step)
+func (w *world) stop(server *simServer, why string) {
+	server.wakeStep = w.now + 50 + w.random.IntN(3000)
+	w.logf("%s is stopped %s until %v", server.name, why, time.Duration(server.wakeStep)*stepTime)
 }
 
-// fault is one thing that goes wrong, or is healed.
-func (w *world) fault() {
-	b := w.boxes[w.rnd.IntN(boxes)]
-	for _, o := range w.boxes {
-		if _, leads := w.leads(o); leads && w.rnd.IntN(2) == 0 {
-			b = o
+// injectFault injects one fault, or heals all.
+func (w *world) injectFault() {
+	server := w.servers[w.random.IntN(servers)]
+	for _, other := range w.servers {
+		if _, leads := w.leads(other); leads && w.random.IntN(2) == 0 {
+			server = other
 		}
 	}
-	switch k := w.rnd.IntN(8); k {
+	switch kind := w.random.IntN(8); kind {
 	case 0:
-		w.stop(b, "")
+		w.stop(server, "")
 	case 1:
-		w.note("%s is killed", b.name)
-		b.up, b.inbox, b.wake = false, nil, w.now+200+w.rnd.IntN(1500)
-	case 2, 3: // a box is cut off from some, one way or both
-		for j := range boxes {
-			if j != b.i && w.rnd.IntN(3) > 0 {
-				w.cut[b.i][j], w.cut[j][b.i] = k == 2 || w.rnd.IntN(2) == 0, true
+		w.logf("%s is killed", server.name)
+		server.up, server.inbox, server.wakeStep = false, nil, w.now+200+w.random.IntN(1500)
+	case 2, 3: // a server is cut off from some others, in one or both directions
+		for j := range servers {
+			if j != server.index && w.random.IntN(3) > 0 {
+				w.cut[server.index][j], w.cut[j][server.index] = kind == 2 || w.random.IntN(2) == 0, true
 			}
 		}
-		w.note("%s is cut off: %v", b.name, w.cut)
+		w.logf("%s is cut off: %v", server.name, w.cut)
 	case 4:
-		w.delay, w.loss = 1+w.rnd.IntN(300), w.rnd.IntN(20)
-		w.note("delay %v, loss %d%%", time.Duration(w.delay)*step, w.loss)
-	case 5: // a leader sleeps through its end, and a box still asks it and nobody else
-		w.stop(b, "for long")
-		b.wake += 1800
-		for j, x := 0, w.rnd.IntN(boxes); j < boxes; j++ {
-			w.cut[x][j], w.cut[j][x] = j != b.i, j != b.i
+		w.delay, w.loss = 1+w.random.IntN(300), w.random.IntN(20)
+		w.logf("delay %v, loss %d%%", time.Duration(w.delay)*stepTime, w.loss)
+	case 5: // a leader is stopped beyond the end of its term, and one server still reaches only that leader
+		w.stop(server, "for a long time")
+		server.wakeStep += 1800
+		for j, isolated := 0, w.random.IntN(servers); j < servers; j++ {
+			w.cut[isolated][j], w.cut[j][isolated] = j != server.index, j != server.index
 		}
-		w.note("cut %v", w.cut)
+		w.logf("cut %v", w.cut)
 	default:
-		w.note("healed")
-		w.cut, w.loss, w.delay = [boxes][boxes]bool{}, 0, 1+w.rnd.IntN(3)
+		w.logf("healed")
+		w.cut, w.loss, w.delay = [servers][servers]bool{}, 0, 1+w.random.IntN(3)
 	}
 }
 
-// play is a history under faults, and the calm after it.
-func play(t *testing.T, seed uint64, bad defects) *world {
-	w := newWorld(t, seed, bad)
+// runHistory runs one history with faults, followed by a period without faults.
+func runHistory(t *testing.T, seed uint64, omitted defects) *world {
+	w := newWorld(t, seed, omitted)
 	next := 2000
-	for w.broken == "" && w.now < int(history/step) {
+	for w.violation == "" && w.now < int(historyTime/stepTime) {
 		if w.now >= next {
-			w.fault()
-			next = w.now + 50 + w.rnd.IntN(1200)
+			w.injectFault()
+			next = w.now + 50 + w.random.IntN(1200)
 		}
-		w.turn(true)
+		w.step(true)
 	}
-	w.cut, w.loss, w.delay = [boxes][boxes]bool{}, 0, 2
-	all := func(b *simBox) bool { return b.up && b.holder.Holds(w.clock(b)) }
-	for end := w.now + 8000; w.broken == "" && (w.now < end-6000 || slices.IndexFunc(w.boxes, func(b *simBox) bool { return !all(b) }) >= 0); {
-		if w.turn(false); w.now > end {
-			w.broken = "not all hold long after all was well"
+	w.cut, w.loss, w.delay = [servers][servers]bool{}, 0, 2
+	holdsLease := func(server *simServer) bool { return server.up && server.holder.Holds(w.clock(server)) }
+	for end := w.now + 8000; w.violation == "" &&
+		(w.now < end-6000 || slices.IndexFunc(w.servers,
+			func(server *simServer) bool { return !holdsLease(server) }) >= 0); {
+		if w.step(false); w.now > end {
+			w.violation = "not all servers hold a lease long after the last fault"
 		}
 	}
 	return w
 }
 
-// No box holds under a life that the log has lost anywhere, whatever stops, is cut off, comes late or leads, with clocks
-// as far apart as they may be.
-func TestNoneHoldsWhoIsLost(t *testing.T) {
-	lost, terms, held, steps := 0, 0, 0, 0
+// No server holds a lease under a token that any log has declared expired, under process stops, partitions, delays and
+// leader changes, with clocks that differ as much as is allowed.
+func TestExpiredServerHoldsNoLease(t *testing.T) {
+	expired, terms, holding, steps := 0, 0, 0, 0
 	for seed := *first; seed < *first+*seeds; seed++ {
-		w := play(t, seed, defects{})
-		if w.broken != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, w.broken, strings.Join(w.history, "\n"))
+		w := runHistory(t, seed, defects{})
+		if w.violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, w.violation, strings.Join(w.events, "\n"))
 		}
-		lost, terms, held, steps = lost+len(w.lost), terms+len(w.terms), held+w.held, steps+w.now
+		expired, terms, holding, steps = expired+len(w.expiredAt), terms+len(w.terms), holding+w.leaseChecks, steps+w.now
 	}
-	t.Logf("%d lives lost, %d terms, %d boxes of %d held on average", lost, terms, held/steps, boxes)
-	if lost < int(*seeds) || terms < int(*seeds) || held < steps {
-		t.Error("too little has happened")
+	t.Logf("%d tokens expired, %d terms, %d of %d servers held a lease on average", expired, terms, holding/steps, servers)
+	if expired < int(*seeds) || terms < int(*seeds) || holding < steps {
+		t.Error("the histories had too few expiries, terms or leases")
 	}
 }
 
-// What the proof rests on is needed: without any one of it a history of the simulation breaks the rule.
+// Each assumption of the proof is necessary: without any one of them some history of the simulation breaks the rule.
 func TestEachDefectIsFound(t *testing.T) {
 	for name, k := range map[string]struct {
-		from uint64 // a seed that is known to find it, or near
+		from uint64 // a seed that finds it, or shortly before one
 		bad  defects
-	}{"receipt": {1, defects{receipt: true}}, "no wait": {1, defects{noWait: true}}, "no round": {28, defects{noRound: true}},
-		"no drift": {1, defects{noDrift: true}}, "forgets": {570, defects{forgets: true}}} {
+	}{"receipt": {1, defects{leaseFromReceipt: true}}, "no initial wait": {1, defects{noInitialWait: true}},
+		"no read index":  {28, defects{noReadIndex: true}},
+		"no clock drift": {1, defects{noClockDrift: true}}, "grants after proposal": {570, defects{grantsAfterProposal: true}}} {
 		t.Run(name, func(t *testing.T) {
 			for seed := k.from; seed < k.from+300; seed++ {
-				if w := play(t, seed, k.bad); strings.Contains(w.broken, "was lost") {
-					t.Logf("seed %d: %s", seed, w.broken)
+				if w := runHistory(t, seed, k.bad); strings.Contains(w.violation, "was declared expired") {
+					t.Logf("seed %d: %s", seed, w.violation)
 					return
 				}
 			}
@@ -418,22 +430,24 @@
 	}
 }
 
-// From a box's death to the entry that says so: the patience by the leader's clock at most, and its turn.
-func TestHowSoonADeathIsKnown(t *testing.T) {
-	var worst time.Duration
+// The delay from a server's crash to the entry that declares it expired is at most the leader's expiry delay and
+// one step.
+func TestExpiryDelayAfterCrash(t *testing.T) {
+	var longest time.Duration
 	for seed := range uint64(20) {
 		w := newWorld(t, seed, defects{})
-		b := w.boxes[4]
+		crashed := w.servers[4]
 		for w.now < 3000+int(seed)*11 {
-			w.turn(false)
+			w.step(false)
 		}
-		life, died := b.holder.Life(), w.now
-		for b.up, b.wake = false, 1<<30; w.lost[life] == 0 && w.now < died+5000; {
-			w.turn(false)
+		token, crashedAt := crashed.holder.Life(), w.now
+		for crashed.up, crashed.wakeStep = false, 1<<30; w.expiredAt[token] == 0 && w.now < crashedAt+5000; {
+			w.step(false)
 		}
-		worst = max(worst, time.Duration(w.now-died)*step)
+		longest = max(longest, time.Duration(w.now-crashedAt)*stepTime)
 	}
-	if t.Logf("%v at most", worst); worst < MeshTerms.Length-MeshTerms.Every || worst > MeshTerms.Patience()+100*time.Millisecond {
-		t.Errorf("%v", worst)
+	if t.Logf("%v at most", longest); longest < MeshTerms.Length-MeshTerms.Every ||
+		longest > MeshTerms.Patience()+100*time.Millisecond {
+		t.Errorf("%v", longest)
 	}
 }
--- a/internal/fleet/lease/terms.go
+++ b/internal/fleet/lease/terms.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// What is assumed of clocks and timers, whatever the terms.
+// Assumptions about clocks and timers, whatever the terms.
 const (
-	Drift  = 100                    // a clock gains or loses at most one part in so many
-	Margin = 100 * time.Millisecond // on top, for what rounds and timers lose
+	Drift  = 100                    // a clock gains or loses at most one part in Drift
+	Margin = 100 * time.Millisecond // additional allowance for the delays of rounds and timers
 )
 
-// Terms are the times of the leases of a fleet. All its servers have the same.
+// Terms are the durations of a fleet's leases. All its servers use the same.
 type Terms struct {
-	Length time.Duration // from the moment at which its renewal was sent, by the holder's clock
-	Every  time.Duration // between two renewals of a server
+	Length time.Duration // from the moment its renewal was sent, by the holder's clock
+	Every  time.Duration // interval between two renewals of a server
 }
 
-// MeshTerms are those of a fleet in which every server is a member of raft.
+// MeshTerms are the terms of a fleet in which every server is a member of raft.
 var MeshTerms = Terms{Length: 3 * time.Second, Every: 300 * time.Millisecond}
 
-// ControlTierTerms are those of a fleet whose servers renew through sessions to control nodes: they leave the time to
-// move a session that was lost at the worst moment.
+// ControlTierTerms are the terms of a fleet whose servers renew through sessions to control nodes. They leave the time
+// to move a session that was lost at the worst moment.
 var ControlTierTerms = Terms{Length: 6 * time.Second, Every: 500 * time.Millisecond}
 
-// Patience returns how long the leader waits by its own clock after it was last asked: the lease by a clock that is slow
-// against one that is fast, and the margin. 3.16 s for a mesh, 6.22 s with a control tier.
+// Patience returns how long the leader waits by its own clock after the last renewal before it declares a server
+// expired: the lease by the slowest clock as measured by the fastest, plus the margin. That is 3.16 s for a mesh and
+// 6.22 s with a control tier.
 func (t Terms) Patience() time.Duration {
 	return t.Length + 2*t.Length/Drift + Margin
 }
 
-// kept returns how many renewals a grant may still be for: more than fit into a lease.
-func (t Terms) kept() uint64 {
+// outstanding returns how many of the latest renewals a grant may still refer to: more than are sent in one lease.
+func (t Terms) outstanding() uint64 {
 	return uint64(t.Length/t.Every) + 3
 }
--- a/internal/fleet/lease/terms_test.go
+++ b/internal/fleet/lease/terms_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The terms that docs/design has, and what the proof of lease.md needs of any: a lease by the slowest clock is over before the
-// patience by the fastest is.
+// Checks the terms that docs/design states, and the condition of the proof in lease.md on any terms: a lease by the
+// slowest clock ends before the expiry delay by the fastest clock does.
 func TestTerms(t *testing.T) {
 	for _, k := range []struct {
 		terms                   Terms
@@ -20,7 +20,8 @@
 		}
 		lease := float64(k.length) / (1 - 1.0/Drift)
 		if patience := float64(k.terms.Patience()) / (1 + 1.0/Drift); patience < lease {
-			t.Errorf("%+v: a lease may last %v, the leader may wait %v", k.terms, time.Duration(lease), time.Duration(patience))
+			t.Errorf("%+v: a lease may last %v, the leader may wait only %v", k.terms, time.Duration(lease),
+				time.Duration(patience))
 		}
 	}
 }
