--- a/internal/fleet/place/apply.go
+++ b/internal/fleet/place/apply.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// Kind tells what an entry does.
+// Kind is the kind of an entry.
 type Kind uint8
 
 // The kinds of entry.
 const (
-	Join  Kind = iota + 1 // boxes can be homes from now on
-	Leave                 // boxes that are home to nothing cannot be any longer
-	Move                  // slices have other homes
+	Join  Kind = iota + 1 // servers can hold replicas from now on
+	Leave                 // servers that hold no replica can hold none any longer
+	Move                  // shards get other replicas
 )
 
-// Change gives a slice its homes. Second is "" in a fleet of one.
+// Change assigns the replicas of a shard: First is the primary, Second the backup. Second is "" in a fleet of one
+// server.
 type Change struct {
 	Slice         int
 	First, Second string
 }
 
-// Entry is one entry of the log. Which fields count depends on Kind.
+// Entry is one entry of the log. Which fields are used depends on Kind.
 type Entry struct {
 	Kind    Kind
-	Boxes   []string // Join, Leave
-	Epoch   uint64   // Move: that of the state for which it was made
-	Changes []Change // Move: by slice
-	Missing []string // Move: boxes that its proposer took to be lost or gone, with all that they had
+	Boxes   []string // Join and Leave only
+	Epoch   uint64   // Move only: epoch of the state for which it was made
+	Changes []Change // Move only: sorted by shard
+	Missing []string // Move only: servers that the proposer takes as lost with all their records
 	Why     string
 }
 
-// Apply carries out the entry of an index. It is the same on every box: it looks at nothing but the state and the
-// entry. An entry that cannot be changes nothing but the index, and the error says why, on every box alike.
+// Apply applies the entry of an index. It is deterministic: it depends on nothing but the state and the entry. An
+// invalid entry changes nothing but the index, and the error, which is the same on every server, says why.
 func (s *State) Apply(index uint64, e *Entry) error {
 	s.Index = index
 	if len(e.Why) > maxWhy {
-		return fmt.Errorf("a reason of %d bytes, %d at most: %w", len(e.Why), maxWhy, ErrInvalid)
+		return fmt.Errorf("a reason of %d bytes, the maximum is %d: %w", len(e.Why), maxWhy, ErrInvalid)
 	}
 	switch e.Kind {
 	case Join:
@@ -49,91 +50,91 @@
 	return fmt.Errorf("entry of kind %d: %w", e.Kind, ErrInvalid)
 }
 
-// join makes boxes known. One that is known already stays so.
+// join adds servers. One that is known already stays as it is.
 func (s *State) join(names []string) error {
-	all := slices.Clone(s.Boxes)
-	for _, n := range names {
-		if n == "" || len(n) > maxName {
-			return fmt.Errorf("box %.70q: a name of 1 to %d bytes is missing: %w", n, maxName, ErrInvalid)
+	servers := slices.Clone(s.Boxes)
+	for _, name := range names {
+		if name == "" || len(name) > maxName {
+			return fmt.Errorf("server %.70q: a name must have 1 to %d bytes: %w", name, maxName, ErrInvalid)
 		}
-		if i, ok := slices.BinarySearch(all, n); !ok && len(all) < MaxBoxes {
-			all = slices.Insert(all, i, n)
+		if i, ok := slices.BinarySearch(servers, name); !ok && len(servers) < MaxBoxes {
+			servers = slices.Insert(servers, i, name)
 		} else if !ok {
-			return fmt.Errorf("box %s: %d boxes are the most: %w", n, MaxBoxes, ErrInvalid)
+			return fmt.Errorf("server %s: the maximum of %d servers is reached: %w", name, MaxBoxes, ErrInvalid)
 		}
 	}
-	s.rename(all)
+	s.setServers(servers)
 	return nil
 }
 
-// leave takes boxes out that are home to nothing.
+// leave removes servers that hold no replica.
 func (s *State) leave(names []string) error {
 	if s.Homes != nil {
 		for i, p := range s.Homes {
-			for _, n := range [2]string{s.name(p.First), s.name(p.Second)} {
-				if n != "" && slices.Contains(names, n) {
-					return fmt.Errorf("box %s is a home of slice %d: %w", n, i, ErrHome)
+			for _, name := range [2]string{s.serverAt(p.First), s.serverAt(p.Second)} {
+				if name != "" && slices.Contains(names, name) {
+					return fmt.Errorf("server %s holds a replica of shard %d: %w", name, i, ErrHome)
 				}
 			}
 		}
 	}
-	s.rename(slices.DeleteFunc(slices.Clone(s.Boxes), func(n string) bool { return slices.Contains(names, n) }))
+	s.setServers(slices.DeleteFunc(slices.Clone(s.Boxes), func(name string) bool { return slices.Contains(names, name) }))
 	return nil
 }
 
-// rename has the pairs mean the same boxes in another list of names.
-func (s *State) rename(all []string) {
-	was := *s
-	s.Boxes = all
-	if was.Homes == nil {
+// setServers replaces the list of servers and adjusts the positions in the pairs to it.
+func (s *State) setServers(servers []string) {
+	before := *s
+	s.Boxes = servers
+	if before.Homes == nil {
 		return
 	}
-	to := make([]uint16, len(was.Boxes)+1)
-	for i, n := range was.Boxes {
-		to[i+1] = s.place(n)
+	positions := make([]uint16, len(before.Boxes)+1)
+	for i, name := range before.Boxes {
+		positions[i+1] = s.position(name)
 	}
 	s.Homes = new(Homes)
-	for i, p := range was.Homes {
-		s.Homes[i] = Pair{to[p.First], to[p.Second]}
+	for i, p := range before.Homes {
+		s.Homes[i] = Pair{positions[p.First], positions[p.Second]}
 	}
 }
 
-// move gives slices other homes, all of them or none. A slice keeps one of the homes that it had, unless all that it
-// had are named as missing.
+// move assigns other replicas to shards, to all of them or to none. A shard keeps one of its replicas, unless all of
+// them are named as missing.
 func (s *State) move(index uint64, e *Entry) error {
 	switch {
 	case e.Epoch != s.Epoch:
-		return fmt.Errorf("a move made for epoch %d, it is %d: %w", e.Epoch, s.Epoch, ErrEpoch)
+		return fmt.Errorf("a move made for epoch %d, the state is at %d: %w", e.Epoch, s.Epoch, ErrEpoch)
 	case len(e.Changes) == 0 || len(e.Changes) > Slices || len(e.Missing) > MaxBoxes:
-		return fmt.Errorf("a move of %d slices with %d boxes missing: %w", len(e.Changes), len(e.Missing), ErrInvalid)
+		return fmt.Errorf("a move of %d shards with %d servers missing: %w", len(e.Changes), len(e.Missing), ErrInvalid)
 	}
 	next, since := new(Homes), new(Since)
 	if s.Homes != nil {
 		*next, *since = *s.Homes, *s.Since
 	}
-	for i, c := range e.Changes {
-		if c.Slice < 0 || c.Slice >= Slices || i > 0 && e.Changes[i-1].Slice >= c.Slice {
-			return fmt.Errorf("a move of slice %d, twice or out of order: %w", c.Slice, ErrInvalid)
+	for i, change := range e.Changes {
+		if change.Slice < 0 || change.Slice >= Slices || i > 0 && e.Changes[i-1].Slice >= change.Slice {
+			return fmt.Errorf("a move of shard %d, out of range, repeated or out of order: %w", change.Slice, ErrInvalid)
 		}
-		to := Pair{s.place(c.First), s.place(c.Second)}
-		if to.First == 0 || to.Second == 0 && c.Second != "" {
-			return fmt.Errorf("slice %d to boxes %.70q and %.70q: %w", c.Slice, c.First, c.Second, ErrUnknown)
+		pair := Pair{s.position(change.First), s.position(change.Second)}
+		if pair.First == 0 || pair.Second == 0 && change.Second != "" {
+			return fmt.Errorf("shard %d to servers %.70q and %.70q: %w", change.Slice, change.First, change.Second, ErrUnknown)
 		}
-		if to.First == to.Second {
-			return fmt.Errorf("slice %d to box %s twice: %w", c.Slice, c.First, ErrInvalid)
+		if pair.First == pair.Second {
+			return fmt.Errorf("shard %d to server %s twice: %w", change.Slice, change.First, ErrInvalid)
 		}
-		first, second := s.Pair(c.Slice)
-		kept := func(n string) bool { return n != "" && (n == c.First || n == c.Second) }
-		gone := func(n string) bool { return n == "" || slices.Contains(e.Missing, n) }
-		if !kept(first) && !kept(second) && !(gone(first) && gone(second)) {
-			return fmt.Errorf("slice %d would leave both %s and %s: %w", c.Slice, first, second, ErrHome)
+		primary, backup := s.Pair(change.Slice)
+		kept := func(name string) bool { return name != "" && (name == change.First || name == change.Second) }
+		gone := func(name string) bool { return name == "" || slices.Contains(e.Missing, name) }
+		if !kept(primary) && !kept(backup) && !(gone(primary) && gone(backup)) {
+			return fmt.Errorf("shard %d would leave both %s and %s: %w", change.Slice, primary, backup, ErrHome)
 		}
-		for _, n := range [2]string{c.First, c.Second} {
-			if n != "" && n != first && n != second {
-				since[c.Slice] = index
+		for _, name := range [2]string{change.First, change.Second} {
+			if name != "" && name != primary && name != backup {
+				since[change.Slice] = index
 			}
 		}
-		next[c.Slice] = to
+		next[change.Slice] = pair
 	}
 	if s.Origin == 0 {
 		s.Origin = index
--- a/internal/fleet/place/level.go
+++ b/internal/fleet/place/level.go
@@ -10,212 +10,221 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// level is a placement while it is brought to the shares. Boxes are numbers: places in boxes; -1 = none.
-type level struct {
-	boxes []Member
-	zoned bool // no slice has both homes in one zone
-	seeds []uint64
-	pairs [Slices][2]int
-	was   [Slices][2]int // as they were before any was given
-	have  []int          // homes of each box
-	want  []int
+// balance is a placement while its replicas are balanced. Servers are positions in the list of servers; -1 = none.
+type balance struct {
+	servers      []Member
+	zoned        bool // no shard has both replicas in one zone
+	seeds        []uint64
+	pairs        [Slices][2]int
+	initial      [Slices][2]int // the replicas that could stay, before any was assigned
+	replicaCount []int          // replicas that each server has
+	quota        []int
 }
 
-// slot is a home of a slice that a box has, or that nobody has.
-type slot struct{ slice, box int }
+// slot is a replica of a shard, held by a server or by none.
+type slot struct{ shard, server int }
 
-// newLevel keeps of the homes what can stay, whose boxes become first if they were second.
-func newLevel(s *State, boxes []Member) *level {
-	l := &level{}
-	l.boxes, l.zoned = weighted(boxes)
-	at := map[string]int{}
-	for i, b := range l.boxes {
-		at[b.Name] = i
-		l.seeds = append(l.seeds, xxhash.Sum64String(b.Name))
+// newBalance keeps the current replicas that can stay. A backup whose primary cannot stay becomes the primary.
+func newBalance(s *State, members []Member) *balance {
+	l := &balance{}
+	l.servers, l.zoned = weighted(members)
+	positions := map[string]int{}
+	for i, server := range l.servers {
+		positions[server.Name] = i
+		l.seeds = append(l.seeds, xxhash.Sum64String(server.Name))
 	}
-	l.have = make([]int, len(l.boxes))
+	l.replicaCount = make([]int, len(l.servers))
 	for i := range l.pairs {
-		p := &l.pairs[i]
-		*p = [2]int{-1, -1}
-		first, second := s.Pair(i)
-		for _, name := range [2]string{first, second} {
-			if b, ok := at[name]; ok && l.fits(i, -1, b) {
-				l.give(slot{i, -1}, b)
+		pair := &l.pairs[i]
+		*pair = [2]int{-1, -1}
+		primary, backup := s.Pair(i)
+		for _, name := range [2]string{primary, backup} {
+			if server, ok := positions[name]; ok && l.canHold(i, -1, server) {
+				l.assign(slot{i, -1}, server)
 			}
 		}
 	}
-	l.was = l.pairs
-	gs := groups(l.boxes, l.zoned)
-	shares, held := make([]float64, len(gs)), make([]int, len(gs))
+	l.initial = l.pairs
+	zoneGroups := quotaGroups(l.servers, l.zoned)
+	shares, held := make([]float64, len(zoneGroups)), make([]int, len(zoneGroups))
 	sum := 0.0
-	for i, g := range gs {
-		shares[i] = g.share
-		sum += g.share
-		for _, n := range l.have[g.from:g.to] {
-			held[i] += n
+	for i, group := range zoneGroups {
+		shares[i] = group.share
+		sum += group.share
+		for _, replicas := range l.replicaCount[group.from:group.to] {
+			held[i] += replicas
 		}
 	}
-	for i, n := range apportion(shares, held, int(sum+0.5)) {
-		g := gs[i]
-		own := make([]float64, g.to-g.from)
-		for j, b := range l.boxes[g.from:g.to] {
-			own[j] = float64(n) * b.Weight / g.weight
+	for i, replicas := range apportion(shares, held, int(sum+0.5)) {
+		group := zoneGroups[i]
+		own := make([]float64, group.to-group.from)
+		for j, server := range l.servers[group.from:group.to] {
+			own[j] = float64(replicas) * server.Weight / group.weight
 		}
-		l.want = append(l.want, apportion(own, l.have[g.from:g.to], n)...)
+		l.quota = append(l.quota, apportion(own, l.replicaCount[group.from:group.to], replicas)...)
 	}
 	return l
 }
 
-// fits tells that a box can have the home of a slice that another has, or nobody.
-func (l *level) fits(slice, from, box int) bool {
-	p := l.pairs[slice]
-	other := p[0]
+// canHold reports whether a server can hold the replica of a shard that another server holds, or that none holds.
+func (l *balance) canHold(shard, from, server int) bool {
+	pair := l.pairs[shard]
+	other := pair[0]
 	if from >= 0 && other == from {
-		other = p[1]
+		other = pair[1]
 	}
-	return other < 0 || other != box && !(l.zoned && l.boxes[other].Zone == l.boxes[box].Zone)
+	return other < 0 || other != server && !(l.zoned && l.servers[other].Zone == l.servers[server].Zone)
 }
 
-// give gives a home to another box. It comes in as second: the one that stays has the records.
-func (l *level) give(s slot, box int) {
-	p := &l.pairs[s.slice]
-	if s.box >= 0 {
-		l.have[s.box]--
-		if p[0] == s.box {
-			p[0] = p[1]
+// assign assigns a replica to another server. It becomes the backup, because the remaining replica has the records.
+func (l *balance) assign(replica slot, server int) {
+	pair := &l.pairs[replica.shard]
+	if replica.server >= 0 {
+		l.replicaCount[replica.server]--
+		if pair[0] == replica.server {
+			pair[0] = pair[1]
 		}
 	}
-	if p[1] = box; p[0] < 0 {
-		p[0], p[1] = box, -1
+	if pair[1] = server; pair[0] < 0 {
+		pair[0], pair[1] = server, -1
 	}
-	l.have[box]++
+	l.replicaCount[server]++
 }
 
-// open tells that a slice lacks a home.
-func (l *level) open(slice int) bool {
-	return l.pairs[slice][0] < 0 || l.pairs[slice][1] < 0 && len(l.boxes) > 1
+// lacksReplica reports whether a shard lacks a replica.
+func (l *balance) lacksReplica(shard int) bool {
+	return l.pairs[shard][0] < 0 || l.pairs[shard][1] < 0 && len(l.servers) > 1
 }
 
-// draw is what a box draws for a slice: evenly from 0 to 1, without either end.
-func (l *level) draw(box, slice int) float64 {
+// draw returns a server's random value for a shard: uniform in the open interval from 0 to 1.
+func (l *balance) draw(server, shard int) float64 {
 	var key [10]byte
-	binary.LittleEndian.PutUint64(key[:], l.seeds[box])
-	binary.LittleEndian.PutUint16(key[8:], uint16(slice))
+	binary.LittleEndian.PutUint64(key[:], l.seeds[server])
+	binary.LittleEndian.PutUint16(key[8:], uint16(shard))
 	return (float64(xxhash.Sum64(key[:])>>11) + 0.5) / (1 << 53)
 }
 
-// homes gives what nobody has to those that have too few, by weighted rendezvous: each draws a time, exponential with
-// what it lacks for rate, and the earliest has it. Then those that still lack some take what others have too many of.
-func (l *level) homes() {
-	for i := range l.pairs {
-		for l.open(i) {
-			box, earliest := -1, math.Inf(1)
-			for b := range l.boxes {
-				if lack := l.want[b] - l.have[b]; lack > 0 && l.fits(i, -1, b) {
-					if t := -math.Log(l.draw(b, i)) / float64(lack); t < earliest {
-						box, earliest = b, t
+// assignReplicas assigns missing replicas to servers under their quota by weighted rendezvous hashing: each server
+// draws an exponential time with its deficit as rate, and the earliest gets the replica. Then servers that are still
+// under their quota take replicas of servers over theirs.
+func (l *balance) assignReplicas() {
+	for shard := range l.pairs {
+		for l.lacksReplica(shard) {
+			chosen, earliest := -1, math.Inf(1)
+			for server := range l.servers {
+				if deficit := l.quota[server] - l.replicaCount[server]; deficit > 0 && l.canHold(shard, -1, server) {
+					if arrival := -math.Log(l.draw(server, shard)) / float64(deficit); arrival < earliest {
+						chosen, earliest = server, arrival
 					}
 				}
 			}
-			if box < 0 {
+			if chosen < 0 {
 				break
 			}
-			l.give(slot{i, -1}, box)
+			l.assign(slot{shard, -1}, chosen)
 		}
 	}
-	for b := range l.boxes {
-		l.take(b)
+	for server := range l.servers {
+		l.takeSurplus(server)
 	}
-	for range 4 * Slices { // more than there are homes
-		box := -1
-		for i := range l.boxes {
-			if d := l.want[i] - l.have[i]; d > 0 && (box < 0 || d > l.want[box]-l.have[box]) {
-				box = i
+	for range 4 * Slices { // more iterations than there are replicas
+		chosen := -1
+		for server := range l.servers {
+			if deficit := l.quota[server] - l.replicaCount[server]; deficit > 0 &&
+				(chosen < 0 || deficit > l.quota[chosen]-l.replicaCount[chosen]) {
+				chosen = server
 			}
 		}
-		if box < 0 || !l.chain(box, true) && !l.chain(box, false) {
+		if chosen < 0 || !l.assignByChain(chosen, true) && !l.assignByChain(chosen, false) {
 			break
 		}
 	}
-	for i := range l.pairs { // what the zones leave no other way for
-		for l.open(i) {
+	for shard := range l.pairs { // replicas that the zones leave no other place for
+		for l.lacksReplica(shard) {
 			least := -1
-			for b := range l.boxes {
-				if l.fits(i, -1, b) && (least < 0 || l.have[b]-l.want[b] < l.have[least]-l.want[least]) {
-					least = b
+			for server := range l.servers {
+				if l.canHold(shard, -1, server) &&
+					(least < 0 || l.replicaCount[server]-l.quota[server] < l.replicaCount[least]-l.quota[least]) {
+					least = server
 				}
 			}
-			l.give(slot{i, -1}, least)
+			l.assign(slot{shard, -1}, least)
 		}
 	}
 }
 
-// take gives a box what it lacks of what others have too many of, those first for which it draws least.
-func (l *level) take(box int) {
-	if l.have[box] >= l.want[box] {
+// takeSurplus lets a server under its quota take replicas of servers over theirs, those with its lowest draws first.
+func (l *balance) takeSurplus(server int) {
+	if l.replicaCount[server] >= l.quota[server] {
 		return
 	}
 	drawn := map[slot]float64{}
-	for i, p := range l.pairs {
-		for _, from := range p {
-			if from >= 0 && l.have[from] > l.want[from] && l.fits(i, from, box) {
-				drawn[slot{i, from}] = l.draw(box, i)
+	for i, pair := range l.pairs {
+		for _, from := range pair {
+			if from >= 0 && l.replicaCount[from] > l.quota[from] && l.canHold(i, from, server) {
+				drawn[slot{i, from}] = l.draw(server, i)
 			}
 		}
 	}
-	for _, s := range slices.SortedFunc(maps.Keys(drawn), func(a, b slot) int { return cmp.Or(cmp.Compare(drawn[a], drawn[b]), a.box-b.box) }) {
-		if l.have[box] < l.want[box] && l.have[s.box] > l.want[s.box] && l.fits(s.slice, s.box, box) {
-			l.give(s, box)
+	for _, candidate := range slices.SortedFunc(maps.Keys(drawn),
+		func(a, b slot) int { return cmp.Or(cmp.Compare(drawn[a], drawn[b]), a.server-b.server) }) {
+		if l.replicaCount[server] < l.quota[server] && l.replicaCount[candidate.server] > l.quota[candidate.server] &&
+			l.canHold(candidate.shard, candidate.server, server) {
+			l.assign(candidate, server)
 		}
 	}
 }
 
-// find looks for the home that a box takes: one that nobody has, else one of a box that has too many; of several the
-// one for which it draws least.
-func (l *level) find(box int) (best slot, ok bool) {
+// findReplica returns the replica that a server should take: a missing one, else one of a server over its quota; of
+// several candidates the one with the server's lowest draw.
+func (l *balance) findReplica(server int) (best slot, ok bool) {
 	free, least := false, 0.0
-	for i, p := range l.pairs {
-		for _, from := range p {
+	for shard, pair := range l.pairs {
+		for _, from := range pair {
 			nobody := from < 0
-			if nobody && !l.open(i) || !nobody && (free || from == box || l.have[from] <= l.want[from]) || !l.fits(i, from, box) {
+			if nobody && !l.lacksReplica(shard) ||
+				!nobody && (free || from == server || l.replicaCount[from] <= l.quota[from]) ||
+				!l.canHold(shard, from, server) {
 				continue
 			}
-			if d := l.draw(box, i); !ok || nobody && !free || d < least {
-				best, ok, free, least = slot{i, from}, true, nobody, d
+			if draw := l.draw(server, shard); !ok || nobody && !free || draw < least {
+				best, ok, free, least = slot{shard, from}, true, nobody, draw
 			}
 		}
 	}
 	return best, ok
 }
 
-// chain gives a box one home more, or one to a box by which it may come to it; false = there is no way. Where none of
-// what is left over can be its own, a third box gives it a home and takes one of those: the shortest such chain is taken.
-// With fresh no home that a box had before is given by such a third: what it was just given costs nothing.
-func (l *level) chain(box int, fresh bool) bool {
+// assignByChain moves one more replica to a server, or to a server on the way to it; it returns false if there is no
+// way. If the server can hold none of the available replicas, another server hands it a replica and takes an available
+// one in return; the shortest such chain is used. With fresh, these other servers hand on only replicas that were
+// assigned in this run, because moving those costs nothing.
+func (l *balance) assignByChain(target int, fresh bool) bool {
 	type link struct {
-		gives slot // what a box gives, once it has another home for it
+		gives slot // the replica that a server hands on once it has another for it
 		to    int
 	}
-	links := make([]link, len(l.boxes))
-	seen := make([]bool, len(l.boxes))
-	seen[box] = true
-	for queue := []int{box}; len(queue) > 0; queue = queue[1:] {
-		x := queue[0]
-		if s, ok := l.find(x); ok {
-			for l.fits(s.slice, s.box, x) { // it may no longer, where a slice is in the chain twice
-				l.give(s, x)
-				if x == box {
+	links := make([]link, len(l.servers))
+	seen := make([]bool, len(l.servers))
+	seen[target] = true
+	for queue := []int{target}; len(queue) > 0; queue = queue[1:] {
+		current := queue[0]
+		if available, ok := l.findReplica(current); ok {
+			for l.canHold(available.shard, available.server, current) { // it may no longer fit if a shard is in the chain twice
+				l.assign(available, current)
+				if current == target {
 					break
 				}
-				s, x = links[x].gives, links[x].to
+				available, current = links[current].gives, links[current].to
 			}
 			return true
 		}
-		for i, p := range l.pairs {
-			for _, e := range p {
-				if e >= 0 && !seen[e] && !(fresh && slices.Contains(l.was[i][:], e)) && l.fits(i, e, x) {
-					links[e], seen[e] = link{slot{i, e}, x}, true
-					queue = append(queue, e)
+		for shard, pair := range l.pairs {
+			for _, server := range pair {
+				if server >= 0 && !seen[server] && !(fresh && slices.Contains(l.initial[shard][:], server)) &&
+					l.canHold(shard, server, current) {
+					links[server], seen[server] = link{slot{shard, server}, current}, true
+					queue = append(queue, server)
 				}
 			}
 		}
@@ -223,61 +232,63 @@
 	return false
 }
 
-// firsts turns pairs round until each box is first for its share, or as near as the pairs let it be.
-func (l *level) firsts() {
-	have, shares, sum := make([]int, len(l.boxes)), make([]float64, len(l.boxes)), 0.0
-	for _, p := range l.pairs {
-		have[p[0]]++
+// balancePrimaries swaps primaries and backups until each server is primary for its share of the shards, or as close to
+// it as the pairs allow.
+func (l *balance) balancePrimaries() {
+	have, shares, sum := make([]int, len(l.servers)), make([]float64, len(l.servers)), 0.0
+	for _, pair := range l.pairs {
+		have[pair[0]]++
 	}
-	for _, b := range l.boxes {
-		sum += b.Weight
+	for _, server := range l.servers {
+		sum += server.Weight
 	}
-	for i, b := range l.boxes {
-		shares[i] = Slices * b.Weight / sum
+	for i, server := range l.servers {
+		shares[i] = Slices * server.Weight / sum
 	}
 	want := apportion(shares, have, Slices)
 	for i := range l.pairs {
-		if p := &l.pairs[i]; p[1] >= 0 && have[p[0]] > want[p[0]] && have[p[1]] < want[p[1]] {
-			have[p[0]]--
-			have[p[1]]++
-			slices.Reverse(p[:])
+		if pair := &l.pairs[i]; pair[1] >= 0 && have[pair[0]] > want[pair[0]] && have[pair[1]] < want[pair[1]] {
+			have[pair[0]]--
+			have[pair[1]]++
+			slices.Reverse(pair[:])
 		}
 	}
-	for l.turn(have, want) {
+	for l.shiftPrimary(have, want) {
 	}
 }
 
-// turn has one that is first too often be so once less, and one that is too seldom once more; false = there is no way.
-func (l *level) turn(have, want []int) bool {
-	by := make([][]int, len(l.boxes)) // the slices of which a box is first
-	for i, p := range l.pairs {
-		if p[1] >= 0 {
-			by[p[0]] = append(by[p[0]], i)
+// shiftPrimary takes one primary from a server with too many and gives one to a server with too few, possibly over
+// others. It returns false if there is no way.
+func (l *balance) shiftPrimary(have, want []int) bool {
+	primaryOf := make([][]int, len(l.servers)) // the shards of which a server is the primary
+	for shard, pair := range l.pairs {
+		if pair[1] >= 0 {
+			primaryOf[pair[0]] = append(primaryOf[pair[0]], shard)
 		}
 	}
-	via := make([]int, len(l.boxes)) // the slice by which a box was come to
+	via := make([]int, len(l.servers)) // the shard over which the search reached a server
 	var queue []int
-	for i := range via {
-		if via[i] = -1; have[i] > want[i] {
-			queue = append(queue, i)
-			via[i] = Slices
+	for server := range via {
+		if via[server] = -1; have[server] > want[server] {
+			queue = append(queue, server)
+			via[server] = Slices
 		}
 	}
 	for ; len(queue) > 0; queue = queue[1:] {
-		for _, i := range by[queue[0]] {
-			if b := l.pairs[i][1]; via[b] < 0 {
-				via[b] = i
-				queue = append(queue, b)
+		for _, shard := range primaryOf[queue[0]] {
+			if server := l.pairs[shard][1]; via[server] < 0 {
+				via[server] = shard
+				queue = append(queue, server)
 			}
 		}
-		if b := queue[0]; have[b] < want[b] {
-			have[b]++
-			for via[b] < Slices {
-				p := &l.pairs[via[b]]
-				b = p[0]
-				slices.Reverse(p[:])
+		if server := queue[0]; have[server] < want[server] {
+			have[server]++
+			for via[server] < Slices {
+				pair := &l.pairs[via[server]]
+				server = pair[0]
+				slices.Reverse(pair[:])
 			}
-			have[b]--
+			have[server]--
 			return true
 		}
 	}
--- a/internal/fleet/place/next.go
+++ b/internal/fleet/place/next.go
@@ -7,98 +7,102 @@
 	"slices"
 )
 
-// Next derives what the leader proposes towards the target of some boxes; nil = nothing now. Boxes are those that shall
-// be homes, and those of weight 0 that live and shall not; a home that is not among them is taken to be lost with all
-// that it had. How long a lost box is waited for is the caller's: meanwhile it leaves it among them.
+// Next derives the entry that the leader proposes to bring the placement closer to the target of some servers; nil =
+// nothing now. servers are those that shall hold replicas, and those of weight 0 that are registered and shall hold
+// none. A replica on any other server is taken as lost with all its records. How long to wait for a lost server is up
+// to the caller, which leaves it in servers meanwhile.
 //
-// settled tells that the second home of a slice has all the records that its first has. A slice that has both its homes
-// is changed only when it is settled, by one home at a time, and a box comes in as second: so what is first has had all
-// records. At most limit slices are unsettled by that at a time. A slice that has lost one home gets another, limit of
-// them an entry; those that have lost both get two new ones at once.
-func Next(s *State, boxes []Member, limit int, settled func(slice int) bool) (*Entry, error) {
-	target, err := Target(s, boxes)
+// inSync reports whether the backup of a shard has all the records of its primary. A shard with both replicas is
+// changed only while it is in sync, one replica at a time, and a new server becomes the backup: so a primary has always
+// had all records. At most limit shards are out of sync because of that at a time. A shard that has lost one replica
+// gets another, limit of them per entry; shards that have lost both get two new ones at once.
+func Next(s *State, servers []Member, limit int, inSync func(shard int) bool) (*Entry, error) {
+	target, err := Target(s, servers)
 	if err != nil {
 		return nil, err
 	}
 	zones := map[string]string{}
-	var come []string
-	for _, b := range boxes {
-		zones[b.Name] = b.Zone
-		if b.Weight > 0 && s.place(b.Name) == 0 {
-			come = append(come, b.Name)
+	var joining []string
+	for _, server := range servers {
+		zones[server.Name] = server.Zone
+		if server.Weight > 0 && s.position(server.Name) == 0 {
+			joining = append(joining, server.Name)
 		}
 	}
-	if come != nil {
-		slices.Sort(come)
-		return &Entry{Kind: Join, Boxes: come, Why: fmt.Sprintf("%d boxes have come", len(come))}, nil
+	if joining != nil {
+		slices.Sort(joining)
+		return &Entry{Kind: Join, Boxes: joining, Why: fmt.Sprintf("%d boxes have come", len(joining))}, nil
 	}
-	has := func(name string) bool { _, ok := zones[name]; return ok }
-	var none, half, whole []Change // by how many homes are left
-	homes, missing := map[string]bool{}, map[string]bool{}
-	unsettled := 0
-	for i, want := range target {
-		a, b := s.Pair(i)
-		for _, n := range [2]string{a, b} {
-			homes[n] = true
-			if n != "" && !has(n) {
-				missing[n] = true
+	present := func(name string) bool { _, ok := zones[name]; return ok }
+	var unplaced, degraded, movable []Change // changes by the number of replicas that are left: 0, 1, 2
+	assigned, missing := map[string]bool{}, map[string]bool{}
+	syncing := 0
+	for shard, goal := range target {
+		primary, backup := s.Pair(shard)
+		for _, name := range [2]string{primary, backup} {
+			assigned[name] = true
+			if name != "" && !present(name) {
+				missing[name] = true
 			}
 		}
-		to := want
+		change := goal
 		switch {
-		case has(a) && has(b):
-			if !settled(i) {
-				unsettled++
-			} else if to = step(a, b, want, zones); to.First != a || to.Second != b {
-				whole = append(whole, to)
+		case present(primary) && present(backup):
+			if !inSync(shard) {
+				syncing++
+			} else if change = nextStep(primary, backup, goal, zones); change.First != primary || change.Second != backup {
+				movable = append(movable, change)
 			}
-		case has(a) || has(b):
-			left := a
-			if !has(a) {
-				left = b
+		case present(primary) || present(backup):
+			remaining := primary
+			if !present(primary) {
+				remaining = backup
 			}
-			if to = beside(left, want, zones); to.First != a || to.Second != b {
-				half = append(half, to)
+			if change = pairWith(remaining, goal, zones); change.First != primary || change.Second != backup {
+				degraded = append(degraded, change)
 			}
 		default:
-			none = append(none, to)
+			unplaced = append(unplaced, change)
 		}
 	}
-	changes := slices.Concat(none, half[:max(0, min(limit, len(half)))], whole[:max(0, min(limit-unsettled, len(whole)))])
+	changes := slices.Concat(unplaced, degraded[:max(0, min(limit, len(degraded)))],
+		movable[:max(0, min(limit-syncing, len(movable)))])
 	if len(changes) > 0 {
 		slices.SortFunc(changes, func(a, b Change) int { return cmp.Compare(a.Slice, b.Slice) })
 		return &Entry{Kind: Move, Epoch: s.Epoch, Changes: changes, Missing: slices.Sorted(maps.Keys(missing)),
-			Why: fmt.Sprintf("%d slices have no home, %d one, %d others are not where they should be, %d unsettled", len(none), len(half), len(whole), unsettled)}, nil
+			Why: fmt.Sprintf("%d slices have no home, %d one, %d others are not where they should be, %d unsettled",
+				len(unplaced), len(degraded), len(movable), syncing)}, nil
 	}
-	if left := slices.DeleteFunc(slices.Clone(s.Boxes), func(n string) bool { return has(n) || homes[n] }); len(left) > 0 {
-		return &Entry{Kind: Leave, Boxes: left, Why: fmt.Sprintf("%d boxes are home to nothing", len(left))}, nil
+	if remaining := slices.DeleteFunc(slices.Clone(s.Boxes),
+		func(name string) bool { return present(name) || assigned[name] }); len(remaining) > 0 {
+		return &Entry{Kind: Leave, Boxes: remaining, Why: fmt.Sprintf("%d boxes are home to nothing", len(remaining))}, nil
 	}
 	return nil, nil
 }
 
-// step is the next pair of a settled slice on its way from two homes to those that it should have.
-func step(a, b string, want Change, zones map[string]string) Change {
-	is := func(n string) bool { return n == a || n == b }
+// nextStep returns the next pair of an in-sync shard on its way from the replicas a and b to the target.
+func nextStep(a, b string, want Change, zones map[string]string) Change {
+	holds := func(name string) bool { return name == a || name == b }
 	switch {
-	case is(want.First) && is(want.Second):
+	case holds(want.First) && holds(want.Second):
 		return want
-	case is(want.First):
-		return beside(want.First, want, zones)
-	case is(want.Second):
-		return beside(want.Second, want, zones)
+	case holds(want.First):
+		return pairWith(want.First, want, zones)
+	case holds(want.Second):
+		return pairWith(want.Second, want, zones)
 	}
-	return beside(a, want, zones)
+	return pairWith(a, want, zones)
 }
 
-// beside is the pair of a box that has the records and goes on having them, and the one that comes in beside it: of
-// those that it should be, one in another zone if there is one.
-func beside(a string, want Change, zones map[string]string) Change {
-	switch x, y := want.First, want.Second; {
-	case a == x:
+// pairWith returns the pair of a replica that has the records and stays, and a new replica beside it: of the target's
+// replicas, one in another zone if there is one.
+func pairWith(survivor string, want Change, zones map[string]string) Change {
+	switch first, second := want.First, want.Second; {
+	case survivor == first:
 		return want
-	case a == y, y == "", zones[x] != zones[a], zones[y] == zones[a]:
-		return Change{want.Slice, a, x}
+	case survivor == second, second == "", zones[first] != zones[survivor], zones[second] == zones[survivor]:
+		return Change{want.Slice, survivor, first}
 	default:
-		return Change{want.Slice, a, y}
+		return Change{want.Slice, survivor, second}
 	}
 }
--- a/internal/fleet/place/state.go
+++ b/internal/fleet/place/state.go
@@ -1,7 +1,7 @@
-// Package place says which box is home to what: keys and subjects fall into slices of a hash, and each slice has a first
-// and a second home. State is what all boxes agree on, changed by nothing but the entries of their log; Target and Next
-// derive what the leader proposes; a View, from it and from who lives, is what a box acts under. It does no I/O and
-// reads no clock.
+// Package place decides which servers hold the replicas of what: keys and subjects are hashed into shards, and each
+// shard has a primary and a backup. State is the replicated state, changed only by entries of the log. Target and Next
+// derive what the leader proposes. A View, derived from State and the registered servers, is what a server acts under.
+// The package does no I/O and reads no clock.
 package place
 
 import (
@@ -16,168 +16,171 @@
 	"larchscale/internal/fleet/limits"
 )
 
-// Slices is how many parts the hash has. It is a power of two, and never changes in a fleet.
-const Slices = 1 << sliceBits
+// Slices is the number of shards. It is a power of two, and never changes in a fleet.
+const Slices = 1 << shardBits
 
-// Bounds of what is agreed.
+// Bounds of the replicated state.
 const (
-	sliceBits = 10
+	shardBits = 10
 	MaxBoxes  = limits.MaxMeshServers
-	maxName   = 64  // bytes, of a box
+	maxName   = 64  // bytes, of a server
 	maxWhy    = 256 // bytes
 )
 
-// Slice is the part that a key or subject falls into, 0 to Slices-1: the highest bits of its xxhash.
-func Slice(key []byte) int { return int(xxhash.Sum64(key) >> (64 - sliceBits)) }
+// Slice returns the shard of a key or subject, 0 to Shards-1: the highest bits of its xxhash.
+func Slice(key []byte) int { return int(xxhash.Sum64(key) >> (64 - shardBits)) }
 
-// Pair is the homes of a slice: places in State.Boxes, counted from 1; 0 = none. There is no second without a first.
+// Pair is the primary and the backup of a shard, as positions in State.Boxes, counted from 1; 0 = none. There is no
+// backup without a primary.
 type Pair struct{ First, Second uint16 }
 
-// Homes are the pairs of all slices. In cbor they are 4 bytes a slice.
+// Homes are the pairs of all shards. In CBOR they take 4 bytes per shard.
 type Homes [Slices]Pair
 
-// MarshalBinary writes the pairs one after the other, each number in 2 bytes, the low one first.
+// MarshalBinary writes the pairs in order, each position as 2 bytes, little endian.
 func (h *Homes) MarshalBinary() ([]byte, error) {
-	b := make([]byte, 0, 4*Slices)
-	for _, p := range h {
-		b = binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint16(b, p.First), p.Second)
+	data := make([]byte, 0, 4*Slices)
+	for _, pair := range h {
+		data = binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint16(data, pair.First), pair.Second)
 	}
-	return b, nil
+	return data, nil
 }
 
-// UnmarshalBinary reads them back.
-func (h *Homes) UnmarshalBinary(b []byte) error {
-	if len(b) != 4*Slices {
-		return fmt.Errorf("homes of %d bytes, not %d: %w", len(b), 4*Slices, ErrInvalid)
+// UnmarshalBinary reads what MarshalBinary wrote.
+func (h *Homes) UnmarshalBinary(data []byte) error {
+	if len(data) != 4*Slices {
+		return fmt.Errorf("pairs of %d bytes, not %d: %w", len(data), 4*Slices, ErrInvalid)
 	}
 	for i := range h {
-		h[i] = Pair{binary.LittleEndian.Uint16(b[4*i:]), binary.LittleEndian.Uint16(b[4*i+2:])}
+		h[i] = Pair{binary.LittleEndian.Uint16(data[4*i:]), binary.LittleEndian.Uint16(data[4*i+2:])}
 	}
 	return nil
 }
 
-// Since are the log indexes of the entries by which a box that was no home of a slice before became one. In cbor they
-// are runs of slices with the same: how many, and which, as varints.
+// Since holds for each shard the log index of the last entry that assigned it to a server which did not hold it before.
+// In CBOR it is run-length encoded: the number of shards with the same index, and the index, as varints.
 type Since [Slices]uint64
 
-// MarshalBinary writes the runs one after the other.
-func (t *Since) MarshalBinary() (b []byte, err error) {
+// MarshalBinary writes the runs in order.
+func (t *Since) MarshalBinary() (data []byte, err error) {
 	for i := 0; i < Slices; {
-		n := 1
-		for i+n < Slices && t[i+n] == t[i] {
-			n++
+		run := 1
+		for i+run < Slices && t[i+run] == t[i] {
+			run++
 		}
-		b = binary.AppendUvarint(binary.AppendUvarint(b, uint64(n)), t[i])
-		i += n
+		data = binary.AppendUvarint(binary.AppendUvarint(data, uint64(run)), t[i])
+		i += run
 	}
-	return b, nil
+	return data, nil
 }
 
-// UnmarshalBinary reads them back.
-func (t *Since) UnmarshalBinary(b []byte) error {
+// UnmarshalBinary reads what MarshalBinary wrote.
+func (t *Since) UnmarshalBinary(data []byte) error {
 	for i := 0; i < Slices; {
-		n, k := binary.Uvarint(b)
-		x, l := binary.Uvarint(b[max(0, k):])
-		if k <= 0 || l <= 0 || n == 0 || n > uint64(Slices-i) {
+		run, runSize := binary.Uvarint(data)
+		index, indexSize := binary.Uvarint(data[max(0, runSize):])
+		if runSize <= 0 || indexSize <= 0 || run == 0 || run > uint64(Slices-i) {
 			return fmt.Errorf("indexes end after %d of %d: %w", i, Slices, ErrInvalid)
 		}
-		for b = b[k+l:]; n > 0; n-- {
-			t[i] = x
+		for data = data[runSize+indexSize:]; run > 0; run-- {
+			t[i] = index
 			i++
 		}
 	}
-	if len(b) > 0 {
-		return fmt.Errorf("%d bytes behind the indexes: %w", len(b), ErrInvalid)
+	if len(data) > 0 {
+		return fmt.Errorf("%d bytes after the indexes: %w", len(data), ErrInvalid)
 	}
 	return nil
 }
 
-// State is what all boxes agree on. Its zero value has no boxes and no homes.
+// State is the replicated state. Its zero value has no servers and no replicas.
 type State struct {
-	Index  uint64   // of the last entry applied
-	Epoch  uint64   // of the last entry that moved a slice
-	Origin uint64   // of the entry that gave slices their first homes; 0 = none has
-	Boxes  []string // that can be a home, sorted
-	Homes  *Homes   // nil = no slice has had one
-	Since  *Since   // nil with Homes
+	Index  uint64   // of the last applied entry
+	Epoch  uint64   // of the last entry that moved a shard
+	Origin uint64   // of the entry that first assigned shards; 0 = none has
+	Boxes  []string // the servers that can hold replicas, sorted
+	Homes  *Homes   // nil = no shard has been assigned
+	Since  *Since   // nil exactly if Homes is
 }
 
-// Errors of Apply, of reading a State back, and of what is derived.
+// Errors of Apply, of decoding a State, and of Target and Next.
 var (
-	ErrInvalid = errors.New("cannot be")
-	ErrUnknown = errors.New("unknown box")
+	ErrInvalid = errors.New("invalid")
+	ErrUnknown = errors.New("unknown server")
 	ErrEpoch   = errors.New("made for another epoch")
-	ErrHome    = errors.New("a home would be lost")
+	ErrHome    = errors.New("no current replica would remain")
 )
 
-// Clone gives a state that shares nothing with this one.
+// Clone returns a copy that shares nothing with this state.
 func (s *State) Clone() State {
 	out := State{s.Index, s.Epoch, s.Origin, slices.Clone(s.Boxes), nil, nil}
 	if s.Homes != nil {
-		h, t := *s.Homes, *s.Since
-		out.Homes, out.Since = &h, &t
+		homes, since := *s.Homes, *s.Since
+		out.Homes, out.Since = &homes, &since
 	}
 	return out
 }
 
-// Pair gives the homes of a slice by name; "" = none.
-func (s *State) Pair(slice int) (first, second string) {
+// Pair returns the names of a shard's primary and backup; "" = none.
+func (s *State) Pair(shard int) (primary, backup string) {
 	if s.Homes == nil {
 		return "", ""
 	}
-	p := s.Homes[slice]
-	return s.name(p.First), s.name(p.Second)
+	pair := s.Homes[shard]
+	return s.serverAt(pair.First), s.serverAt(pair.Second)
 }
 
-func (s *State) name(place uint16) string {
-	if place == 0 {
+func (s *State) serverAt(position uint16) string {
+	if position == 0 {
 		return ""
 	}
-	return s.Boxes[place-1]
+	return s.Boxes[position-1]
 }
 
-// place is where a box stands, from 1; 0 = it is "" or unknown.
-func (s *State) place(name string) uint16 {
+// position returns the position of a server, from 1; 0 = the name is "" or unknown.
+func (s *State) position(name string) uint16 {
 	if i, ok := slices.BinarySearch(s.Boxes, name); ok {
 		return uint16(i + 1)
 	}
 	return 0
 }
 
-// Check finds what cannot be in a state that was read from elsewhere.
+// Check returns an error if a decoded state is invalid.
 func (s *State) Check() error {
 	if len(s.Boxes) > MaxBoxes {
-		return fmt.Errorf("placement on %d boxes, %d at most: %w", len(s.Boxes), MaxBoxes, ErrInvalid)
+		return fmt.Errorf("placement on %d servers, the maximum is %d: %w", len(s.Boxes), MaxBoxes, ErrInvalid)
 	}
-	for i, n := range s.Boxes {
-		if n == "" || len(n) > maxName || i > 0 && s.Boxes[i-1] >= n {
-			return fmt.Errorf("placement: box %d of %d is %.70q: %w", i, len(s.Boxes), n, ErrInvalid)
+	for i, name := range s.Boxes {
+		if name == "" || len(name) > maxName || i > 0 && s.Boxes[i-1] >= name {
+			return fmt.Errorf("placement: server %d of %d is named %.70q: %w", i, len(s.Boxes), name, ErrInvalid)
 		}
 	}
 	if (s.Homes == nil) != (s.Since == nil) {
-		return fmt.Errorf("placement: homes without the entries that made them, or the other way: %w", ErrInvalid)
+		return fmt.Errorf("placement: replicas without the indexes of their entries, or the reverse: %w", ErrInvalid)
 	}
 	if s.Homes == nil {
 		return nil
 	}
-	for i, p := range s.Homes {
-		if int(max(p.First, p.Second)) > len(s.Boxes) || p.First == p.Second && p.First != 0 || p.First == 0 && p.Second != 0 {
-			return fmt.Errorf("placement: slice %d has homes %d and %d of %d boxes: %w", i, p.First, p.Second, len(s.Boxes), ErrInvalid)
+	for i, pair := range s.Homes {
+		if int(max(pair.First, pair.Second)) > len(s.Boxes) || pair.First == pair.Second && pair.First != 0 ||
+			pair.First == 0 && pair.Second != 0 {
+			return fmt.Errorf("placement: shard %d has replicas %d and %d of %d servers: %w", i, pair.First,
+				pair.Second, len(s.Boxes), ErrInvalid)
 		}
 	}
 	return nil
 }
 
-// UnmarshalCBOR reads a state, and refuses one that cannot be.
+// UnmarshalCBOR decodes a state, and returns an error if it is invalid.
 func (s *State) UnmarshalCBOR(data []byte) error {
 	type plain State
-	var p plain
-	if err := cbor.Unmarshal(data, &p); err != nil {
+	var decoded plain
+	if err := cbor.Unmarshal(data, &decoded); err != nil {
 		return fmt.Errorf("placement: %w", err)
 	}
-	if err := (*State)(&p).Check(); err != nil {
+	if err := (*State)(&decoded).Check(); err != nil {
 		return err
 	}
-	*s = State(p)
+	*s = State(decoded)
 	return nil
 }
--- a/internal/fleet/place/target.go
+++ b/internal/fleet/place/target.go
@@ -8,127 +8,129 @@
 	"strings"
 )
 
-// MaxWeight bounds the weight of a box.
+// MaxWeight is the maximum weight of a server.
 const MaxWeight = 1e6
 
-// Member is a box that may be a home. Its share of the slices goes by its weight against that of the others; 0 = it
-// shall be home to none, and gives away what it has.
+// Member is a server that may hold replicas. Its share of them is its weight relative to the others; 0 = it shall hold
+// none, and hands over what it holds.
 type Member struct {
 	Name, Zone string
 	Weight     float64
 }
 
-// check finds what of a fleet cannot be.
-func check(boxes []Member) error {
-	if len(boxes) == 0 || len(boxes) > MaxBoxes {
-		return fmt.Errorf("placement on %d boxes, 1 to %d can be: %w", len(boxes), MaxBoxes, ErrInvalid)
+// checkMembers returns an error if a list of servers is invalid.
+func checkMembers(servers []Member) error {
+	if len(servers) == 0 || len(servers) > MaxBoxes {
+		return fmt.Errorf("placement on %d servers, 1 to %d are allowed: %w", len(servers), MaxBoxes, ErrInvalid)
 	}
 	names := map[string]bool{}
 	sum := 0.0
-	for _, b := range boxes {
+	for _, server := range servers {
 		switch {
-		case b.Name == "" || len(b.Name) > maxName || len(b.Zone) > maxName:
-			return fmt.Errorf("box %.70q in zone %.70q: a name of 1 to %d bytes is missing: %w", b.Name, b.Zone, maxName, ErrInvalid)
-		case names[b.Name]:
-			return fmt.Errorf("box %s is there twice: %w", b.Name, ErrInvalid)
-		case !(b.Weight >= 0 && b.Weight <= MaxWeight):
-			return fmt.Errorf("box %s has the weight %v, 0 to %v can be: %w", b.Name, b.Weight, MaxWeight, ErrInvalid)
+		case server.Name == "" || len(server.Name) > maxName || len(server.Zone) > maxName:
+			return fmt.Errorf("server %.70q in zone %.70q: names must have at most %d bytes, and a server must have one: %w", server.Name, server.Zone, maxName, ErrInvalid)
+		case names[server.Name]:
+			return fmt.Errorf("server %s is listed twice: %w", server.Name, ErrInvalid)
+		case !(server.Weight >= 0 && server.Weight <= MaxWeight):
+			return fmt.Errorf("server %s has the weight %v, 0 to %v are allowed: %w", server.Name, server.Weight,
+				MaxWeight, ErrInvalid)
 		}
-		names[b.Name] = true
-		sum += b.Weight
+		names[server.Name] = true
+		sum += server.Weight
 	}
 	if sum == 0 {
-		return fmt.Errorf("no box of %d has a weight: %w", len(boxes), ErrInvalid)
+		return fmt.Errorf("none of %d servers has a weight: %w", len(servers), ErrInvalid)
 	}
 	return nil
 }
 
-// Target derives the homes that all slices should have, from those that they have: each box its share by weight, the
-// two of a slice in different zones where there are two, and as few new homes as that takes. Which slices a box takes
-// from those that have too many is drawn by a hash of both (the idea of rendezvous hashing, Thaler and Ravishankar,
-// "Using name-based mappings to increase hit rates", 1998), so that its slices have all others for partners. No box is
-// further than 2 from its share of homes (a zone, or a box of a single zone, has no more than one home of each slice).
-func Target(s *State, boxes []Member) ([]Change, error) {
-	if err := check(boxes); err != nil {
+// Target derives the replicas that all shards should have from those that they have: each server gets its share by
+// weight, the two replicas of a shard are in different zones if there are two, and as few replicas as possible are new.
+// Which shards a server takes from those with too many is drawn by a hash of both (the idea of rendezvous hashing,
+// Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), so that its shards have all other
+// servers as partners. No server is further than 2 from its share of replicas (a zone, or a server of a single zone, has
+// at most one replica of each shard).
+func Target(s *State, servers []Member) ([]Change, error) {
+	if err := checkMembers(servers); err != nil {
 		return nil, err
 	}
-	l := newLevel(s, boxes)
-	l.homes()
-	l.firsts()
-	out := make([]Change, Slices)
-	for i, p := range l.pairs {
-		out[i] = Change{Slice: i, First: l.boxes[p[0]].Name}
-		if p[1] >= 0 {
-			out[i].Second = l.boxes[p[1]].Name
+	level := newBalance(s, servers)
+	level.assignReplicas()
+	level.balancePrimaries()
+	changes := make([]Change, Slices)
+	for i, pair := range level.pairs {
+		changes[i] = Change{Slice: i, First: level.servers[pair[0]].Name}
+		if pair[1] >= 0 {
+			changes[i].Second = level.servers[pair[1]].Name
 		}
 	}
-	return out, nil
+	return changes, nil
 }
 
-// weighted are the boxes that have a weight, by zone and name, and whether they are in several zones.
-func weighted(boxes []Member) (out []Member, zoned bool) {
-	out = slices.DeleteFunc(slices.Clone(boxes), func(b Member) bool { return b.Weight == 0 })
-	slices.SortFunc(out, func(a, b Member) int {
+// weighted returns the servers that have a weight, by zone and name, and whether they are in several zones.
+func weighted(servers []Member) (selected []Member, zoned bool) {
+	selected = slices.DeleteFunc(slices.Clone(servers), func(server Member) bool { return server.Weight == 0 })
+	slices.SortFunc(selected, func(a, b Member) int {
 		return cmp.Or(strings.Compare(a.Zone, b.Zone), strings.Compare(a.Name, b.Name))
 	})
-	return out, out[0].Zone != out[len(out)-1].Zone
+	return selected, selected[0].Zone != selected[len(selected)-1].Zone
 }
 
-// group is what can hold one home of a slice at most: a zone where there are several, else a box.
-type group struct {
-	from, to int // its boxes
+// quotaGroup is what can hold at most one replica of a shard: a zone if there are several, else a server.
+type quotaGroup struct {
+	from, to int // range of its servers
 	weight   float64
-	share    float64 // of the homes
+	share    float64 // of the replicas
 }
 
-// groups are what the boxes of weighted share the homes as: by weight, but none has more than one of each slice; what
-// it would have over that falls to the others.
-func groups(boxes []Member, zoned bool) (out []group) {
+// quotaGroups divides the replicas among the servers of weighted by weight. No group gets more than one replica of each
+// shard; what it would have beyond that is divided among the others.
+func quotaGroups(servers []Member, zoned bool) (result []quotaGroup) {
 	sum := 0.0
-	for i, b := range boxes {
-		if i == 0 || !zoned || b.Zone != boxes[i-1].Zone {
-			out = append(out, group{from: i})
+	for i, server := range servers {
+		if i == 0 || !zoned || server.Zone != servers[i-1].Zone {
+			result = append(result, quotaGroup{from: i})
 		}
-		g := &out[len(out)-1]
-		g.to, g.weight = i+1, g.weight+b.Weight
-		sum += b.Weight
+		group := &result[len(result)-1]
+		group.to, group.weight = i+1, group.weight+server.Weight
+		sum += server.Weight
 	}
-	over, rest := -1, 0.0 // the one that has more than half of the weight
-	for i, g := range out {
-		if g.weight > sum/2 {
-			over = i
+	heavy, restWeight := -1, 0.0 // heavy is the group with more than half of the weight
+	for i, group := range result {
+		if group.weight > sum/2 {
+			heavy = i
 		} else {
-			rest += g.weight
+			restWeight += group.weight
 		}
 	}
-	for i := range out {
-		switch g := &out[i]; {
-		case i == over:
-			g.share = Slices
-		case over >= 0:
-			g.share = Slices * g.weight / rest
+	for i := range result {
+		switch group := &result[i]; {
+		case i == heavy:
+			group.share = Slices
+		case heavy >= 0:
+			group.share = Slices * group.weight / restWeight
 		default:
-			g.share = 2 * Slices * g.weight / sum
+			group.share = 2 * Slices * group.weight / sum
 		}
 	}
-	return out
+	return result
 }
 
-// apportion makes whole numbers with a given sum of shares: each is rounded down, and what is left goes to those that
-// have more already, then to those that lost most by it.
+// apportion rounds shares to whole numbers with a given sum: each is rounded down, and the remainder goes first to
+// those that already have more, then to those that rounding reduced most.
 func apportion(shares []float64, have []int, sum int) []int {
-	out := make([]int, len(shares))
+	result := make([]int, len(shares))
 	order := make([]int, len(shares))
-	for i, x := range shares {
-		out[i], order[i] = int(x), i
-		sum -= out[i]
+	for i, share := range shares {
+		result[i], order[i] = int(share), i
+		sum -= result[i]
 	}
 	slices.SortStableFunc(order, func(a, b int) int {
-		more := func(i int) int { return min(1, max(0, have[i]-out[i])) }
-		return cmp.Or(more(b)-more(a), cmp.Compare(shares[b]-math.Floor(shares[b]), shares[a]-math.Floor(shares[a])))
+		hasMore := func(i int) int { return min(1, max(0, have[i]-result[i])) }
+		return cmp.Or(hasMore(b)-hasMore(a), cmp.Compare(shares[b]-math.Floor(shares[b]), shares[a]-math.Floor(shares[a])))
 	})
 	for _, i := range order[:max(0, min(sum, len(order)))] {
-		out[i]++
+		result[i]++
 	}
-	return out
+	return result
 }
