--- a/internal/fleet/ground/ground.go
+++ b/internal/fleet/ground/ground.go
@@ -1,6 +1,6 @@
-// Package ground is what the further matters of a fleet stand on, on one box: whether this box holds its lease, and
-// the view (who lives, which box is home of what) under which it acts. It carries out packages lease and place as
-// modules of the fleet's driver, and tells the rest of the program: Holds and View are safe from any goroutine.
+// Package ground provides what the other parts of a fleet rely on, on one server: whether this server holds its lease,
+// and the view (which servers are registered, which hold which replicas) under which it acts. It runs packages lease
+// and placement as modules of the fleet's driver. Holds and View are safe for use from any goroutine.
 package ground
 
 import (
@@ -15,93 +15,96 @@
 	"larchscale/internal/fleet/place"
 )
 
-// The names of the parts. A later format gets another number.
+// The names of the state machines in the log. A later format gets another number.
 const (
 	leaseName = "lease.1"
 	placeName = "place.1"
 )
 
-// Options are what the ground has to know of its box.
+// Options configure a State.
 type Options struct {
-	Pool string // address of the box's worker pool, for who takes over its work; "" = it offers none
-	// Whole tells of each slice that all its records are here, so that the first home may go; nil = always so.
+	Pool string // address of the server's worker pool, for the server that takes over its work; "" = none
+	// Whole reports for each shard whether this server has all its records, so that the other replica may be moved;
+	// nil = always so.
 	Whole func(slice int) bool
-	// Moves bounds the slices that move at a time.
+	// Moves is the maximum number of shards that move at a time.
 	Moves int
 }
 
 // View is what this process acts under.
 type View struct {
 	place.View
-	Prev uint64 // epoch of the view before; its own = that one is not known here: some may be missing between them
-	Life uint64 // this process's; 0 = none: it acts as nothing
+	Prev uint64 // epoch of the previous view; equal to Epoch = unknown: views may have been missed
+	Life uint64 // fencing token of this process; 0 = none: it must not act
 }
 
-// Ground is one process's. Its zero value is not ready: New makes it.
+// Ground is the membership state of one process. It must be created by New.
 type Ground struct {
-	opt   Options
-	log   *slog.Logger
-	until atomic.Int64  // when the lease ends, by boottime.Now; 0 = there is none
-	life  atomic.Uint64 // whose lease it is; 0 = nobody's
-	view  atomic.Pointer[View]
-	addrs atomic.Pointer[map[string]string]
-	told  func(*View)
+	opt       Options
+	log       *slog.Logger
+	leaseEnd  atomic.Int64  // end of the lease, by boottime.Now; 0 = none
+	token     atomic.Uint64 // fencing token that the lease belongs to; 0 = none
+	view      atomic.Pointer[View]
+	addresses atomic.Pointer[map[string]string]
+	notify    func(*View)
 }
 
-// New makes the ground of a process; told is given every view in turn, on the driver's loop, and must not block.
-func New(opt Options, told func(*View), log *slog.Logger) *Ground {
-	return &Ground{opt: opt, log: log, told: told}
+// New returns the membership state of a process. notify is called with every view in order, on the driver's loop, and
+// must not block.
+func New(opt Options, notify func(*View), log *slog.Logger) *Ground {
+	return &Ground{opt: opt, log: log, notify: notify}
 }
 
-// Holds tells that this process's lease runs now. What is done by it has to carry the life of View as well.
+// Holds reports whether this process's lease runs now. Work that relies on it must carry the token of View as well.
 func (g *Ground) Holds() bool {
-	until := g.until.Load()
+	until := g.leaseEnd.Load()
 	return until != 0 && int64(boottime.Now()) < until
 }
 
-// Life is the life that a lease is asked for; 0 = none.
-func (g *Ground) Life() uint64 { return g.life.Load() }
+// Life returns the fencing token for which a lease is requested; 0 = none.
+func (g *Ground) Life() uint64 { return g.token.Load() }
 
-// Until is when the lease ends, by Now; 0 = there is none.
-func (g *Ground) Until() time.Duration { return time.Duration(g.until.Load()) }
+// Until returns when the lease ends, by the clock of Now; 0 = there is none.
+func (g *Ground) Until() time.Duration { return time.Duration(g.leaseEnd.Load()) }
 
-// Now is the clock that Until is of.
+// Now returns the time of the clock that Until uses.
 func (g *Ground) Now() time.Duration { return boottime.Now() }
 
-// View is what this box acts under; nil = it is not let in yet, or nothing is agreed.
+// View returns what this server acts under; nil = it has not been admitted yet, or no state has been agreed.
 func (g *Ground) View() *View { return g.view.Load() }
 
-// Addr is where a member says that it listens for others; "" = it is none. It is safe from any goroutine.
-func (g *Ground) Addr(box string) string {
-	if m := g.addrs.Load(); m != nil {
-		return (*m)[box]
+// Addr returns the address at which a member listens for other members; "" = unknown member. It is safe for use from
+// any goroutine.
+func (g *Ground) Addr(server string) string {
+	if addresses := g.addresses.Load(); addresses != nil {
+		return (*addresses)[server]
 	}
 	return ""
 }
 
-// Modules are the driver's, new for each opening of it.
+// Modules returns new modules for the driver, for each time it is opened.
 func (g *Ground) Modules() []driver.Module {
-	l := &leases{Agreed: agree.NewAgreed[lease.State, lease.Entry](leaseName), ground: g}
-	p := &places{Agreed: agree.NewAgreed[place.State, place.Entry](placeName), ground: g, leases: l}
-	l.places = p
-	return []driver.Module{l, p}
+	leases := &leaseModule{Agreed: agree.NewAgreed[lease.State, lease.Entry](leaseName), state: g}
+	places := &placementModule{Agreed: agree.NewAgreed[place.State, place.Entry](placeName), state: g, leases: leases}
+	leases.placement = places
+	return []driver.Module{leases, places}
 }
 
-// publish makes the view anew; broken = it does not follow from the one before by one entry.
-func (g *Ground) publish(l *leases, p *places, broken bool) {
-	if l.host == nil || !l.Began() || !p.Began() {
+// publish derives a new view. gap means that it does not follow from the previous one by a single entry.
+func (g *Ground) publish(leases *leaseModule, places *placementModule, gap bool) {
+	if leases.host == nil || !leases.Began() || !places.Began() {
 		return
 	}
-	v := &View{View: *place.NewView(&l.State, &p.State), Life: l.holder.Life()}
-	v.Prev = v.Epoch
-	if was := g.view.Load(); was != nil {
-		if was.Epoch == v.Epoch && was.Life == v.Life {
+	view := &View{View: *place.NewView(&leases.State, &places.State), Life: leases.holder.Life()}
+	view.Prev = view.Epoch
+	if previous := g.view.Load(); previous != nil {
+		if previous.Epoch == view.Epoch && previous.Life == view.Life {
 			return
 		}
-		if !broken {
-			v.Prev = was.Epoch
+		if !gap {
+			view.Prev = previous.Epoch
 		}
 	}
-	g.view.Store(v)
-	g.told(v)
+	g.view.Store(view)
+	g.notify(view)
 }
--- a/internal/fleet/ground/ground_test.go
+++ b/internal/fleet/ground/ground_test.go
@@ -14,20 +14,21 @@
 
 func TestMain(m *testing.M) { os.Exit(standin.WithProgram(&program, m.Run)) }
 
-// Real processes: each has a life and a lease, all slices have two homes. One that is killed is lost once its lease is
-// over; one that is stopped and goes on finds its lease gone, and lives again under another life.
-func TestLivesLeasesAndHomesOfRealProcesses(t *testing.T) {
-	f, err := standin.NewFleet(program, t.TempDir(), standin.FleetOptions{Boxes: 5, Zones: 3, Voters: 5, DrainMs: 300, SilentMs: 1500, TakeOver: true})
+// Real processes: each registers and holds a lease, and every shard has two replicas. A killed server expires once its
+// lease has ended. A server that is stopped and continued finds its lease ended, and registers under a new token.
+func TestRegistrationsLeasesAndReplicasOfRealProcesses(t *testing.T) {
+	fleet, err := standin.NewFleet(program, t.TempDir(),
+		standin.FleetOptions{Boxes: 5, Zones: 3, Voters: 5, DrainMs: 300, SilentMs: 1500, TakeOver: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	figure := func(m *standin.Member, name string) float64 { return m.Figures()["fleet."+name] }
-	wait := func(what string, most time.Duration, is func() bool) {
+	defer fleet.Close()
+	metric := func(m *standin.Member, name string) float64 { return m.Figures()["fleet."+name] }
+	wait := func(what string, timeout time.Duration, is func() bool) {
 		t.Helper()
-		if err := standin.Until(what, most, is); err != nil {
+		if err := standin.Until(what, timeout, is); err != nil {
 			text := ""
-			for _, m := range f.Members {
+			for _, m := range fleet.Members {
 				text += fmt.Sprintf("\n%s %v\n%s", m.Name, m.Figures(), m.Log()[max(0, len(m.Log())-1500):])
 			}
 			t.Fatalf("%v%s", err, text)
@@ -43,38 +44,42 @@
 			return true
 		}
 	}
-	whole := func(lives float64) func(*standin.Member) bool {
+	healthy := func(lives float64) func(*standin.Member) bool {
 		return func(m *standin.Member) bool {
-			x := m.Figures()
-			return x["fleet.lives"] == lives && x["fleet.lease_ms"] > 0 && x["fleet.bare"] == 0 && x["fleet.homes"] > place.Slices/8
+			metrics := m.Figures()
+			return metrics["fleet.lives"] == lives && metrics["fleet.lease_ms"] > 0 && metrics["fleet.bare"] == 0 &&
+				metrics["fleet.homes"] > place.Slices/8
 		}
 	}
-	wait("all live, and each slice has two homes", 20*time.Second, all(f.Members, whole(5)))
-	leader := f.Leader()
-	var rest []*standin.Member
-	for _, m := range f.Members {
+	wait("all servers are registered, and each shard has two replicas", 20*time.Second, all(fleet.Members, healthy(5)))
+	leader := fleet.Leader()
+	var followers []*standin.Member
+	for _, m := range fleet.Members {
 		if m != leader {
-			rest = append(rest, m)
+			followers = append(followers, m)
 		}
 	}
-	killed, stopped := rest[0], rest[1]
+	killed, stopped := followers[0], followers[1]
 	began := time.Now()
 	killed.Kill()
-	wait("a killed box is lost", 5*time.Second, all(rest[1:], func(m *standin.Member) bool { return figure(m, "lives") == 4 }))
+	wait("a killed server expires", 5*time.Second,
+		all(followers[1:], func(m *standin.Member) bool { return metric(m, "lives") == 4 }))
 	if took := time.Since(began); took < 1500*time.Millisecond {
-		t.Errorf("lost after %v: its lease was not waited for", took)
+		t.Errorf("expired after %v: its lease was not waited for", took)
 	}
-	life := figure(stopped, "life")
+	token := metric(stopped, "life")
 	stopped.Freeze(true)
-	wait("a stopped box is lost", 5*time.Second, all(rest[2:], func(m *standin.Member) bool { return figure(m, "lives") == 3 }))
+	wait("a stopped server expires", 5*time.Second,
+		all(followers[2:], func(m *standin.Member) bool { return metric(m, "lives") == 3 }))
 	if err := killed.Start(); err != nil {
 		t.Fatal(err)
 	}
 	stopped.Freeze(false)
-	wait("both live again", 10*time.Second, all(f.Members, whole(5)))
-	if now := figure(stopped, "life"); now <= life {
-		t.Errorf("it lives as %v, and did as %v before it was lost", now, life)
+	wait("both are registered again", 10*time.Second, all(fleet.Members, healthy(5)))
+	if now := metric(stopped, "life"); now <= token {
+		t.Errorf("it is registered under token %v, and was under %v before it expired", now, token)
 	}
 	leader.Kill()
-	wait("the leader is lost by the next one", 8*time.Second, all(rest, func(m *standin.Member) bool { return figure(m, "lives") == 4 }))
+	wait("the next leader declares the killed one expired", 8*time.Second,
+		all(followers, func(m *standin.Member) bool { return metric(m, "lives") == 4 }))
 }
--- a/internal/fleet/ground/leases.go
+++ b/internal/fleet/ground/leases.go
@@ -13,158 +13,161 @@
 	"larchscale/internal/fleet/lease"
 )
 
-// liveEach is how often a box says again that it lives, until the log has it.
-const liveEach = 500 * time.Millisecond
+// registerInterval is the interval at which a server proposes its registration until the log has it.
+const registerInterval = 500 * time.Millisecond
 
-// leases is the module that keeps this box's lease, and as the leader those of all.
-type leases struct {
+// leaseModule is the module that maintains this server's lease and, on the leader, those of all servers.
+type leaseModule struct {
 	*agree.Agreed[lease.State, lease.Entry, *lease.State]
-	ground *Ground
-	places *places
-	host   *driver.Host
-	holder *lease.Holder
-	grants *lease.Granter
-	rounds map[uint64]uint64 // of reads that are not confirmed, to the granter's rounds
-	spoke  time.Duration
-	loaded bool // the state was replaced by a snapshot
+	state        *Ground
+	placement    *placementModule
+	host         *driver.Host
+	holder       *lease.Holder
+	granter      *lease.Granter
+	rounds       map[uint64]uint64 // granter rounds by the id of their unconfirmed read
+	registeredAt time.Duration
+	restored     bool // the state was replaced by a snapshot
 }
 
-// message is what the modules of two boxes say: one of the two.
+// message is what the modules of two servers exchange. Exactly one field is set.
 type message struct {
 	Renewal *lease.Renewal `cbor:",omitempty"`
 	Grant   *lease.Grant   `cbor:",omitempty"`
 }
 
 // Begin implements driver.Module.
-func (l *leases) Begin(h *driver.Host) {
-	l.host, l.rounds = h, map[uint64]uint64{}
-	l.holder, l.grants = lease.NewHolder(h.Self().Name, lease.MeshTerms), lease.NewGranter(lease.MeshTerms)
-	l.members()
-	l.changed(true)
+func (l *leaseModule) Begin(host *driver.Host) {
+	l.host, l.rounds = host, map[uint64]uint64{}
+	l.holder, l.granter = lease.NewHolder(host.Self().Name, lease.MeshTerms), lease.NewGranter(lease.MeshTerms)
+	l.publishAddresses()
+	l.update(true)
 }
 
-// Apply implements agree.Part: what the log says of this process counts at once, and each view comes in turn.
-func (l *leases) Apply(index uint64, entry []byte) error {
+// Apply implements agree.Part. Changes to this process's registration take effect at once, and each view is published
+// in order.
+func (l *leaseModule) Apply(index uint64, entry []byte) error {
 	err := l.Agreed.Apply(index, entry)
 	if l.host != nil {
-		l.changed(false)
+		l.update(false)
 	}
 	return err
 }
 
 // Load implements agree.Part.
-func (l *leases) Load(state []byte) error {
+func (l *leaseModule) Load(state []byte) error {
 	err := l.Agreed.Load(state)
 	if l.host != nil && err == nil {
-		l.loaded = true // what came between is not known
+		l.restored = true // the entries in between are unknown
 	}
 	return err
 }
 
 // Applied implements driver.Module.
-func (l *leases) Applied(time.Time) {
-	l.members()
-	if l.loaded {
-		l.loaded = false
-		l.changed(true)
+func (l *leaseModule) Applied(time.Time) {
+	l.publishAddresses()
+	if l.restored {
+		l.restored = false
+		l.update(true)
 	}
 }
 
-// members publishes where the members are.
-func (l *leases) members() {
+// publishAddresses publishes the addresses of the members.
+func (l *leaseModule) publishAddresses() {
 	addrs := map[string]string{}
-	for _, m := range l.host.Members() {
-		addrs[m.Name] = m.Addr
+	for _, member := range l.host.Members() {
+		addrs[member.Name] = member.Addr
 	}
-	l.ground.addrs.Store(&addrs)
+	l.state.addresses.Store(&addrs)
 }
 
-// changed takes what the log says.
-func (l *leases) changed(broken bool) {
-	b := l.State.Box(l.host.Self().Name)
-	if b != nil && b.Incarnation == l.host.Incarnation() && !b.Lost {
-		l.holder.Live(b.Life, boottime.Now())
+// update updates lease and view from the state.
+func (l *leaseModule) update(gap bool) {
+	self := l.State.Box(l.host.Self().Name)
+	if self != nil && self.Incarnation == l.host.Incarnation() && !self.Lost {
+		l.holder.Live(self.Life, boottime.Now())
 	} else {
 		l.holder.Lost()
 	}
-	l.hold()
-	l.ground.publish(l, l.places, broken)
+	l.publishLease()
+	l.state.publish(l, l.placement, gap)
 }
 
-// hold publishes whose lease it is, and how long it runs: never a lease beside a life that it is not of.
-func (l *leases) hold() {
-	if life := l.holder.Life(); l.ground.life.Load() != life {
-		l.ground.until.Store(0)
-		l.ground.life.Store(life)
+// publishLease publishes the lease and its token. At no moment is a lease visible together with a token of another one.
+func (l *leaseModule) publishLease() {
+	if token := l.holder.Life(); l.state.token.Load() != token {
+		l.state.leaseEnd.Store(0)
+		l.state.token.Store(token)
 	}
-	l.ground.until.Store(int64(l.holder.Until()))
+	l.state.leaseEnd.Store(int64(l.holder.Until()))
 }
 
 // Tick implements driver.Module.
-func (l *leases) Tick(time.Time) {
-	at := boottime.Now()
+func (l *leaseModule) Tick(time.Time) {
+	now := boottime.Now()
 	if _, leads := l.host.Leads(); !leads {
-		l.grants.Follow()
+		l.granter.Follow()
 		clear(l.rounds)
 	}
 	if !l.host.Member() || !l.Began() {
 		return
 	}
-	if l.holder.Life() == 0 && at-l.spoke >= liveEach {
-		l.live(at)
+	if l.holder.Life() == 0 && now-l.registeredAt >= registerInterval {
+		l.register(now)
 	}
-	if r, ok := l.holder.Ask(at); ok {
-		l.send(l.host.Leader(), message{Renewal: &r})
+	if renewal, ok := l.holder.Ask(now); ok {
+		l.send(l.host.Leader(), message{Renewal: &renewal})
 	}
-	l.round(at)
+	l.beginRound(now)
 }
 
-// live proposes that this process lives.
-func (l *leases) live(at time.Duration) {
-	l.spoke = at
+// register proposes the registration of this process.
+func (l *leaseModule) register(now time.Duration) {
+	l.registeredAt = now
 	self := l.host.Self()
-	e := lease.Entry{Kind: lease.Live, Box: self.Name, Zone: self.Zone, Incarnation: l.host.Incarnation(), Pool: l.ground.opt.Pool}
-	if err := l.host.Propose(e, false); err != nil {
+	entry := lease.Entry{Kind: lease.Live, Box: self.Name, Zone: self.Zone, Incarnation: l.host.Incarnation(),
+		Pool: l.state.opt.Pool}
+	if err := l.host.Propose(entry, false); err != nil {
 		l.host.Log().Debug("fleet", "do", "live", "err", err)
 	}
 }
 
-// Lead implements driver.Module. The first entry of all is the leader's own life, once every member knows the part.
-func (l *leases) Lead(time.Time) {
-	at := boottime.Now()
+// Lead implements driver.Module. The first entry of the state is the leader's own registration, once every member
+// supports the state machine.
+func (l *leaseModule) Lead(time.Time) {
+	now := boottime.Now()
 	if !l.Began() {
-		if l.host.Ready() && at-l.spoke >= liveEach {
-			l.live(at)
+		if l.host.Ready() && now-l.registeredAt >= registerInterval {
+			l.register(now)
 		}
 		return
 	}
 	term, _ := l.host.Leads()
-	l.grants.Lead(term, at)
-	for _, e := range l.grants.Over(&l.State, at) {
-		l.host.Log().Warn("fleet", "do", "lost", "box", e.Box, "life", e.Life)
-		if err := l.host.Propose(e, e.InTerm()); err != nil {
-			l.grants.Refused(e.Box, e.Life)
+	l.granter.Lead(term, now)
+	for _, entry := range l.granter.Over(&l.State, now) {
+		l.host.Log().Warn("fleet", "do", "lost", "box", entry.Box, "life", entry.Life)
+		if err := l.host.Propose(entry, entry.InTerm()); err != nil {
+			l.granter.Refused(entry.Box, entry.Life)
 		}
 	}
 	for i := range l.State.Boxes {
-		if b := &l.State.Boxes[i]; b.Lost && !l.member(b.Name) {
-			l.host.Propose(lease.Entry{Kind: lease.Gone, Box: b.Name}, true)
+		if server := &l.State.Boxes[i]; server.Lost && !l.isMember(server.Name) {
+			l.host.Propose(lease.Entry{Kind: lease.Gone, Box: server.Name}, true)
 		}
 	}
 }
 
-func (l *leases) member(name string) bool {
+func (l *leaseModule) isMember(name string) bool {
 	return slices.ContainsFunc(l.host.Members(), func(m agree.Member) bool { return m.Name == name })
 }
 
-// round has a majority asked for the renewals that wait.
-func (l *leases) round(at time.Duration) {
+// beginRound begins a round for the pending renewals.
+func (l *leaseModule) beginRound(now time.Duration) {
 	term, leads := l.host.Leads()
 	if !leads {
 		return
 	}
-	l.grants.Lead(term, at)
-	id, ok := l.grants.Round(at)
+	l.granter.Lead(term, now)
+	id, ok := l.granter.Round(now)
 	if !ok {
 		return
 	}
@@ -176,8 +179,8 @@
 	l.rounds[read] = id
 }
 
-// Read implements driver.Module: a round is confirmed, and with it all before it.
-func (l *leases) Read(id uint64, _ time.Time) {
+// Read implements driver.Module. It confirms a round, and with it all earlier ones.
+func (l *leaseModule) Read(id uint64, _ time.Time) {
 	round, ok := l.rounds[id]
 	if !ok {
 		return
@@ -187,14 +190,14 @@
 			delete(l.rounds, read)
 		}
 	}
-	for _, g := range l.grants.Confirmed(&l.State, round) {
-		l.send(g.Box, message{Grant: &g})
+	for _, grant := range l.granter.Confirmed(&l.State, round) {
+		l.send(grant.Box, message{Grant: &grant})
 	}
 }
 
-// send brings a message to a box's module. What is lost is asked for again.
-func (l *leases) send(to string, m message) {
-	data, err := cbor.Marshal(m)
+// send sends a message to a server's module. A lost message is made good by the next renewal.
+func (l *leaseModule) send(to string, msg message) {
+	data, err := cbor.Marshal(msg)
 	if err != nil {
 		l.host.Log().Error("fleet", "do", "lease", "err", err)
 		return
@@ -205,49 +208,50 @@
 }
 
 // Receive implements driver.Module.
-func (l *leases) Receive(from agree.Member, data []byte, _ time.Time) {
-	var m message
-	if err := cbor.Unmarshal(data, &m); err != nil {
+func (l *leaseModule) Receive(from agree.Member, data []byte, _ time.Time) {
+	var msg message
+	if err := cbor.Unmarshal(data, &msg); err != nil {
 		l.host.Log().Debug("fleet", "do", "lease", "from", from.Name, "err", err)
 		return
 	}
 	switch {
-	case m.Renewal != nil && m.Renewal.Box == from.Name:
+	case msg.Renewal != nil && msg.Renewal.Box == from.Name:
 		term, leads := l.host.Leads()
 		if !leads || !l.Began() {
 			return
 		}
-		at := boottime.Now()
-		l.grants.Lead(term, at)
-		if err := l.grants.Asked(&l.State, *m.Renewal, at); err != nil {
+		now := boottime.Now()
+		l.granter.Lead(term, now)
+		if err := l.granter.Asked(&l.State, *msg.Renewal, now); err != nil {
 			l.host.Log().Debug("fleet", "do", "lease", "from", from.Name, "err", err)
 		}
-	case m.Grant != nil:
-		l.holder.Granted(*m.Grant)
-		l.hold()
+	case msg.Grant != nil:
+		l.holder.Granted(*msg.Grant)
+		l.publishLease()
 	}
 }
 
-// Report implements driver.Module: a lease is asked for, not reported.
-func (l *leases) Report(time.Time) []byte { return nil }
+// Report implements driver.Module. Leases are renewed by messages, not by reports.
+func (l *leaseModule) Report(time.Time) []byte { return nil }
 
 // Heard implements driver.Module.
-func (l *leases) Heard(agree.Member, []byte, time.Time) {}
+func (l *leaseModule) Heard(agree.Member, []byte, time.Time) {}
 
-// End implements driver.Module: a process that takes no part any longer holds nothing.
-func (l *leases) End() {
+// End implements driver.Module. A process that has left the fleet holds no lease.
+func (l *leaseModule) End() {
 	l.holder.Lost()
-	l.hold()
+	l.publishLease()
 }
 
 // Lines implements driver.Module.
-func (l *leases) Lines(time.Time) []byte {
-	lives := 0
+func (l *leaseModule) Lines(time.Time) []byte {
+	registered := 0
 	for i := range l.State.Boxes {
 		if !l.State.Boxes[i].Lost {
-			lives++
+			registered++
 		}
 	}
-	left := max(0, l.holder.Until()-boottime.Now())
-	return fmt.Appendf(nil, "fleet.lives=%d\nfleet.life=%d\nfleet.lease_ms=%d\n", lives, l.holder.Life(), left.Milliseconds())
+	remaining := max(0, l.holder.Until()-boottime.Now())
+	return fmt.Appendf(nil, "fleet.lives=%d\nfleet.life=%d\nfleet.lease_ms=%d\n", registered, l.holder.Life(),
+		remaining.Milliseconds())
 }
--- a/internal/fleet/ground/places.go
+++ b/internal/fleet/ground/places.go
@@ -13,131 +13,133 @@
 )
 
 const (
-	// missFor is how long a box that is lost stays home to its slices: one that is only started anew is back by then,
-	// and nothing moves.
-	missFor = 10 * time.Second
-	// moveEach is how often the leader looks for slices to move.
-	moveEach = time.Second
+	// lostServerWait is how long a lost server keeps its replicas: a server that is only restarted is back by then, and
+	// nothing moves.
+	lostServerWait = 10 * time.Second
+	// moveInterval is the interval at which the leader looks for shards to move.
+	moveInterval = time.Second
 )
 
-// places is the module that settles which box is home of what.
-type places struct {
+// placementModule is the module that decides which server holds which replicas.
+type placementModule struct {
 	*agree.Agreed[place.State, place.Entry, *place.State]
-	ground *Ground
-	leases *leases
-	host   *driver.Host
-	whole  map[string]wholes        // by box, as reported
-	missed map[string]time.Duration // boxes that are lost, since when this leader knows
-	looked time.Duration
-	began  time.Duration // when this leader first thought of a placement; 0 = it did not
+	state        *Ground
+	leases       *leaseModule
+	host         *driver.Host
+	syncReports  map[string]syncReport    // the last report of each server
+	lostSince    map[string]time.Duration // lost servers, and when this leader noticed
+	checkedAt    time.Duration
+	waitingSince time.Duration // when this leader first looked for a placement; 0 = not yet
 }
 
-// wholes tells of which slices a box has all records, a bit each, under which life.
-type wholes struct {
+// syncReport is a server's report of the shards of which it has all records, one bit each, under its fencing token.
+type syncReport struct {
 	Life uint64
 	Bits []byte
 }
 
 // Begin implements driver.Module.
-func (p *places) Begin(h *driver.Host) {
-	p.host, p.whole, p.missed = h, map[string]wholes{}, map[string]time.Duration{}
+func (p *placementModule) Begin(host *driver.Host) {
+	p.host, p.syncReports, p.lostSince = host, map[string]syncReport{}, map[string]time.Duration{}
 }
 
-// Apply implements agree.Part: each view comes in turn.
-func (p *places) Apply(index uint64, entry []byte) error {
+// Apply implements agree.Part. Each view is published in order.
+func (p *placementModule) Apply(index uint64, entry []byte) error {
 	err := p.Agreed.Apply(index, entry)
-	p.ground.publish(p.leases, p, false)
+	p.state.publish(p.leases, p, false)
 	return err
 }
 
 // Applied implements driver.Module.
-func (p *places) Applied(time.Time) {}
+func (p *placementModule) Applied(time.Time) {}
 
 // Tick implements driver.Module.
-func (p *places) Tick(time.Time) {
+func (p *placementModule) Tick(time.Time) {
 	if _, leads := p.host.Leads(); !leads {
-		clear(p.missed)
-		p.began = 0
+		clear(p.lostSince)
+		p.waitingSince = 0
 	}
 }
 
 // Lead implements driver.Module.
-func (p *places) Lead(at time.Time) {
+func (p *placementModule) Lead(at time.Time) {
 	now := boottime.Now()
-	if !p.leases.Began() || now-p.looked < moveEach || p.State.Homes == nil && !p.gathered(now) {
+	if !p.leases.Began() || now-p.checkedAt < moveInterval || p.State.Homes == nil && !p.ready(now) {
 		return
 	}
-	p.looked = now
-	p.whole[p.host.Self().Name] = p.mine()
-	var boxes []place.Member
+	p.checkedAt = now
+	p.syncReports[p.host.Self().Name] = p.syncReport()
+	var servers []place.Member
 	for i := range p.leases.State.Boxes {
-		b := &p.leases.State.Boxes[i]
-		if !b.Lost {
-			delete(p.missed, b.Name)
-		} else if since, ok := p.missed[b.Name]; !ok {
-			p.missed[b.Name] = now
-		} else if now-since >= missFor {
+		server := &p.leases.State.Boxes[i]
+		if !server.Lost {
+			delete(p.lostSince, server.Name)
+		} else if since, ok := p.lostSince[server.Name]; !ok {
+			p.lostSince[server.Name] = now
+		} else if now-since >= lostServerWait {
 			continue
 		}
-		boxes = append(boxes, place.Member{Name: b.Name, Zone: b.Zone, Weight: 1})
+		servers = append(servers, place.Member{Name: server.Name, Zone: server.Zone, Weight: 1})
 	}
-	e, err := place.Next(&p.State, boxes, max(1, p.ground.opt.Moves), p.settled)
+	entry, err := place.Next(&p.State, servers, max(1, p.state.opt.Moves), p.inSync)
 	if err != nil {
 		p.host.Log().Error("fleet", "do", "place", "err", err)
 		return
 	}
-	if e == nil {
+	if entry == nil {
 		return
 	}
-	if p.host.Propose(*e, true) == nil {
-		p.host.Log().Info("fleet", "do", "place", "changes", len(e.Changes), "why", e.Why)
+	if p.host.Propose(*entry, true) == nil {
+		p.host.Log().Info("fleet", "do", "place", "changes", len(entry.Changes), "why", entry.Why)
 	}
 }
 
-// gathered tells that the first placement may be made: every member knows the part and lives, or those that do not were
-// waited for. Made earlier, it would be made again for each that comes.
-func (p *places) gathered(now time.Duration) bool {
-	if p.began == 0 {
-		p.began = now
+// ready reports whether the first placement may be made: every member supports the state machine and is registered,
+// or the wait for the others is over. An earlier placement would be changed by each server that registers.
+func (p *placementModule) ready(now time.Duration) bool {
+	if p.waitingSince == 0 {
+		p.waitingSince = now
 	}
-	lives := 0
-	for _, m := range p.host.Members() {
-		if b := p.leases.State.Box(m.Name); b != nil && !b.Lost {
-			lives++
+	registered := 0
+	for _, member := range p.host.Members() {
+		if server := p.leases.State.Box(member.Name); server != nil && !server.Lost {
+			registered++
 		}
 	}
-	return p.host.Ready() && (lives == len(p.host.Members()) && now-p.began >= missFor/4 || now-p.began >= missFor)
+	return p.host.Ready() && (registered == len(p.host.Members()) && now-p.waitingSince >= lostServerWait/4 ||
+		now-p.waitingSince >= lostServerWait)
 }
 
-// settled tells that all living homes of a slice have all its records.
-func (p *places) settled(slice int) bool {
-	first, second := p.State.Pair(slice)
-	for _, name := range [2]string{first, second} {
-		w := p.whole[name]
-		if name != "" && !(p.leases.State.Lives(name, w.Life) && slice/8 < len(w.Bits) && w.Bits[slice/8]>>(slice%8)&1 == 1) {
+// inSync reports whether all replicas of a shard are on registered servers and have all its records.
+func (p *placementModule) inSync(shard int) bool {
+	primary, backup := p.State.Pair(shard)
+	for _, server := range [2]string{primary, backup} {
+		report := p.syncReports[server]
+		if server != "" && !(p.leases.State.Lives(server, report.Life) && shard/8 < len(report.Bits) &&
+			report.Bits[shard/8]>>(shard%8)&1 == 1) {
 			return false
 		}
 	}
 	return true
 }
 
-// mine tells of which slices this box has all records.
-func (p *places) mine() wholes {
-	w := wholes{Life: p.leases.holder.Life(), Bits: make([]byte, place.Slices/8)}
+// syncReport returns the report of this server.
+func (p *placementModule) syncReport() syncReport {
+	report := syncReport{Life: p.leases.holder.Life(), Bits: make([]byte, place.Slices/8)}
 	for i := range place.Slices {
-		if p.ground.opt.Whole == nil || p.ground.opt.Whole(i) {
-			w.Bits[i/8] |= 1 << (i % 8)
+		if p.state.opt.Whole == nil || p.state.opt.Whole(i) {
+			report.Bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	return w
+	return report
 }
 
 // Report implements driver.Module.
-func (p *places) Report(time.Time) []byte {
+func (p *placementModule) Report(time.Time) []byte {
 	if !p.Began() {
 		return nil
 	}
-	data, err := cbor.Marshal(p.mine())
+	data, err := cbor.Marshal(p.syncReport())
 	if err != nil {
 		p.host.Log().Error("fleet", "do", "report", "err", err)
 	}
@@ -145,43 +147,43 @@
 }
 
 // Heard implements driver.Module.
-func (p *places) Heard(from agree.Member, report []byte, _ time.Time) {
-	var w wholes
+func (p *placementModule) Heard(from agree.Member, report []byte, _ time.Time) {
+	var syncReport syncReport
 	if len(report) == 0 {
 		return
 	}
-	if err := cbor.Unmarshal(report, &w); err != nil || len(w.Bits) != place.Slices/8 {
+	if err := cbor.Unmarshal(report, &syncReport); err != nil || len(syncReport.Bits) != place.Slices/8 {
 		p.host.Log().Debug("fleet", "do", "report", "from", from.Name, "bytes", len(report), "err", err)
 		return
 	}
-	p.whole[from.Name] = w
+	p.syncReports[from.Name] = syncReport
 }
 
 // Read implements driver.Module.
-func (p *places) Read(uint64, time.Time) {}
+func (p *placementModule) Read(uint64, time.Time) {}
 
-// Receive implements driver.Module: homes say nothing to each other here.
-func (p *places) Receive(agree.Member, []byte, time.Time) {}
+// Receive implements driver.Module. The module sends no messages.
+func (p *placementModule) Receive(agree.Member, []byte, time.Time) {}
 
 // End implements driver.Module.
-func (p *places) End() {}
+func (p *placementModule) End() {}
 
 // Lines implements driver.Module.
-func (p *places) Lines(time.Time) []byte {
-	v := p.ground.View()
-	if v == nil {
+func (p *placementModule) Lines(time.Time) []byte {
+	view := p.state.View()
+	if view == nil {
 		return nil
 	}
-	homes, bare := 0, 0
+	replicas, unreplicated := 0, 0
 	self := p.host.Self().Name
-	for i := range place.Slices {
-		first, second := v.Homes(i)
-		if first == self || second == self {
-			homes++
+	for shard := range place.Slices {
+		primary, backup := view.Homes(shard)
+		if primary == self || backup == self {
+			replicas++
 		}
-		if second == "" {
-			bare++
+		if backup == "" {
+			unreplicated++
 		}
 	}
-	return fmt.Appendf(nil, "fleet.epoch=%d\nfleet.homes=%d\nfleet.bare=%d\n", v.Epoch, homes, bare)
+	return fmt.Appendf(nil, "fleet.epoch=%d\nfleet.homes=%d\nfleet.bare=%d\n", view.Epoch, replicas, unreplicated)
 }
