--- a/internal/fleet/hand/defects_test.go
+++ b/internal/fleet/hand/defects_test.go
@@ -2,47 +2,47 @@
 
 import "testing"
 
-// Each of these faults, put in on purpose, breaks an invariant that the explorer or the simulation watches. What
-// finds none of them proves nothing when it finds nothing.
+// Each of these deliberate faults violates an invariant that the explorer or the simulation checks. Without this test, a
+// run of them that finds nothing would prove nothing.
 func TestDefects(t *testing.T) {
 	t.Parallel()
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name string
 		bug  defects
-		seed uint64 // of the history that finds it; 0 = the explorer does
+		seed uint64 // seed of the history that finds it; 0 = the explorer does
 	}{
-		{"the end of the lease is not looked at", defects{leaseIgnored: true}, 11},
-		{"the second home acknowledges a claim that it has not noted", defects{ackFirst: true}, 0},
-		{"messages of another epoch, or of an earlier life, are taken", defects{epochUnchecked: true}, 18},
-		{"each home takes over by its own clock", defects{ownClock: true}, 0},
-		{"the first home's word alone is enough", defects{firstAlone: true}, 0},
-		{"a second home that is not whole is promoted", defects{promoted: true}, 0},
-		{"the first of several candidates is taken for the owner", defects{contestedOwned: true}, 57},
-		{"no quarantine where no home is whole", defects{noQuarantine: true}, 0},
-		{"a piece is run before the second home has the takeover", defects{adoptEarly: true}, 0},
-		{"an end is answered before the homes have it", defects{answerEarly: true}, 12},
-		{"a piece is taken over without asking the lost pool", defects{fenceSkipped: true}, 0},
+		{"the end of the lease is ignored", defects{leaseIgnored: true}, 11},
+		{"the backup acknowledges a claim that it has not recorded", defects{ackUnrecorded: true}, 0},
+		{"messages of another epoch or an earlier token are accepted", defects{epochUnchecked: true}, 18},
+		{"each replica takes over by its own clock", defects{takeoverByOwnClock: true}, 0},
+		{"the primary's verdict alone is enough", defects{primaryAlone: true}, 0},
+		{"a backup that is not in sync is promoted", defects{promoteUnsynced: true}, 0},
+		{"the first of several candidates is taken as the owner", defects{contestedOwner: true}, 57},
+		{"no quarantine where no replica is in sync", defects{noQuarantine: true}, 0},
+		{"a request is run before the backup has the takeover", defects{adoptUnreplicated: true}, 0},
+		{"an outcome is answered before the replicas have it", defects{answerUnreplicated: true}, 12},
+		{"a request is taken over without a probe of the lost pool", defects{probeSkipped: true}, 0},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			total := 0
+			runs := 0
 			for _, callers := range [][2]int{{0, 1}, {1, 0}, {2, 1}} {
-				if k.seed > 0 && *seeds <= 50 {
+				if test.seed > 0 && *seeds <= 50 {
 					break
 				}
-				w, faults, played, _ := explore(k.bug, callers, *depth/10)
-				if total += played; w != nil {
-					t.Logf("explorer, run %d: %v: %s", total, faults, w.bad)
+				world, faults, played, _ := explore(test.bug, callers, *explorerRuns/10)
+				if runs += played; world != nil {
+					t.Logf("explorer, run %d: %v: %s", runs, faults, world.violation)
 					return
 				}
 			}
-			for seed := k.seed; seed > 0 && seed < k.seed+100; seed++ {
-				if w := play(seed, k.bug); w.bad != "" {
-					t.Logf("simulation, seed %d: %s", seed, w.bad)
+			for seed := test.seed; seed > 0 && seed < test.seed+100; seed++ {
+				if world := runHistory(seed, test.bug); world.violation != "" {
+					t.Logf("simulation, seed %d: %s", seed, world.violation)
 					return
 				}
 			}
-			t.Errorf("not found in %d runs of the explorer, nor in a hundred histories from seed %d", total, k.seed)
+			t.Errorf("not found in %d runs of the explorer, nor in a hundred histories from seed %d", runs, test.seed)
 		})
 	}
 }
--- a/internal/fleet/hand/holder.go
+++ b/internal/fleet/hand/holder.go
@@ -5,313 +5,317 @@
 	"time"
 )
 
-// hold is a key of this box's own: asked for, held, or ended and kept until it is forgotten.
-type hold struct {
-	p          Piece // without body once it has ended
-	try        uint64
-	state      holdState
-	won, ack   bool // what the homes said to this try
-	due, until time.Duration
-	end        *End
-	told       []Owner // homes that have its present state
-	bare       []Owner // homes that need the body too
-	sent       time.Duration
-	finished   bool // Finished is out
-	adopted    bool
-	busy       bool // in Hand.busy
+// claim is a claim of this server: in progress, held, or finished and kept until it expires.
+type claim struct {
+	request                 Piece // without the body once it has an outcome
+	try                     uint64
+	state                   claimState
+	primaryWon, backupAcked bool // answers of the replicas to this try
+	due, expires            time.Duration
+	outcome                 *End
+	storedBy                []Owner // replicas that have stored its current state
+	needBody                []Owner // replicas that need the body too
+	sentAt                  time.Duration
+	finished                bool // Finished has been output
+	adopted                 bool
+	queued                  bool // it is in Machine.unacknowledged
 }
 
-type holdState uint8
+type claimState uint8
 
 const (
-	asking holdState = iota
-	holding
-	over
+	stateAsking claimState = iota
+	stateHeld
+	stateEnded
 )
 
-func (x *hold) size() int64 {
-	n := int64(len(x.p.Body))
-	if x.end != nil {
-		n += int64(len(x.end.Result))
+func (c *claim) size() int64 {
+	total := int64(len(c.request.Body))
+	if c.outcome != nil {
+		total += int64(len(c.outcome.Result))
 	}
-	return n
+	return total
 }
 
-// piece gives the piece as it is told now: with what is left of its times.
-func (x *hold) piece(now time.Duration, body bool) *Piece {
-	p := x.p
-	p.Due, p.Life = max(0, x.due-now), max(0, x.until-now)
+// requestNow returns the request as it is sent now, with the times that are left.
+func (c *claim) requestNow(now time.Duration, body bool) *Piece {
+	request := c.request
+	request.Due, request.Life = max(0, c.due-now), max(0, c.expires-now)
 	if !body {
-		p.Body = nil
+		request.Body = nil
 	}
-	return &p
+	return &request
 }
 
-// Claim asks for a key. Its Verdict follows, at once if it is known here.
-func (h *Hand) Claim(now time.Duration, p Piece) {
-	if !h.live(now) {
+// Claim claims a key. Its Verdict follows, at once if it is known here.
+func (h *Hand) Claim(now time.Duration, request Piece) {
+	if !h.active(now) {
 		return
 	}
-	if x := h.mine[p.Key]; x != nil {
+	if claim := h.claims[request.Key]; claim != nil {
 		switch {
-		case x.p.Sum != p.Sum:
-			h.verdict(p.Key, Off, nil, 0, "the key is in use here for another body")
-		case x.finished:
-			h.verdict(p.Key, endState(x.end), x.end.Result, 0, x.end.Why)
+		case claim.request.Sum != request.Sum:
+			h.verdict(request.Key, Off, nil, 0, "the key is in use on this server for another body")
+		case claim.finished:
+			h.verdict(request.Key, endState(claim.outcome), claim.outcome.Result, 0, claim.outcome.Why)
 		default:
-			h.verdict(p.Key, Other, nil, 0, "it is in hand here")
+			h.verdict(request.Key, Other, nil, 0, "the key is in flight on this server")
 		}
 		return
 	}
-	homes := h.homes(p.Key.Slice())
-	r := h.slices[p.Key.Slice()].recs[p.Key]
+	replicas := h.replicas(request.Key.Slice())
+	record := h.shards[request.Key.Slice()].records[request.Key]
 	switch {
-	case r != nil && r.take != 0: // a claim and its release would undo the mark at the second home
-		h.verdict(p.Key, Other, nil, 0, "it is being taken over here")
+	case record != nil && record.takeoverTry != 0: // a claim and its release would undo the record at the backup
+		h.verdict(request.Key, Other, nil, 0, "the key is being taken over by this server")
 		return
-	case len(homes) == 0:
-		h.verdict(p.Key, Down, nil, comeBack, "its slice has no home")
+	case len(replicas) == 0:
+		h.verdict(request.Key, Down, nil, retryAfter, "the shard of the key has no replica")
 		return
-	case len(h.mine) >= h.lim.Records || h.own+int64(len(p.Body)) > h.lim.Bytes:
-		h.verdict(p.Key, Down, nil, comeBack, "as many keys as this box keeps are in hand here")
+	case len(h.claims) >= h.limits.Records || h.claimBytes+int64(len(request.Body)) > h.limits.Bytes:
+		h.verdict(request.Key, Down, nil, retryAfter, "the maximum number of keys or bytes is in flight on this server")
 		return
-	case p.Life > h.lim.Longest:
-		h.verdict(p.Key, Down, nil, 0, "its record would have to be kept longer than any")
+	case request.Life > h.limits.Longest:
+		h.verdict(request.Key, Down, nil, 0, "the record would have to be kept longer than the maximum")
 		return
 	}
-	h.try++
-	x := &hold{p: p, try: h.try, due: now + p.Due, until: now + p.Life}
-	h.mine[p.Key] = x
-	h.own += x.size()
-	h.pump(now, x)
-	h.loop(now)
+	h.lastTry++
+	claim := &claim{request: request, try: h.lastTry, due: now + request.Due, expires: now + request.Life}
+	h.claims[request.Key] = claim
+	h.claimBytes += claim.size()
+	h.sendClaim(now, claim)
+	h.deliverLoopback(now)
 }
 
-// Finish tells how a run of a key that is this box's ended. Finished follows.
-func (h *Hand) Finish(now time.Duration, k Key, ok bool, result []byte, why string) {
-	if h.over {
+// Finish reports the outcome of a run of a key that belongs to this server. Finished follows.
+func (h *Hand) Finish(now time.Duration, key Key, ok bool, result []byte, why string) {
+	if h.disowned {
 		return
 	}
-	x := h.mine[k]
-	if x != nil && x.state == over && !x.finished {
-		return // told before: its Finished is on the way
+	claim := h.claims[key]
+	if claim != nil && claim.state == stateEnded && !claim.finished {
+		return // reported before: its Finished will follow
 	}
-	if x == nil || x.state != holding {
-		h.out.Finished = append(h.out.Finished, Finished{Key: k, OK: x != nil && x.finished})
+	if claim == nil || claim.state != stateHeld {
+		h.outputs.Finished = append(h.outputs.Finished, Finished{Key: key, OK: claim != nil && claim.finished})
 		return
 	}
-	if x.adopted {
-		h.adopted--
-		h.look = true // there is room for another
+	if claim.adopted {
+		h.adoptedCount--
+		h.takeoverDue = true // another request can be taken over
 	}
-	h.own += int64(len(result)) - x.size()
-	x.state, x.told, x.end, x.p.Body = over, nil, &End{OK: ok, Result: result, Why: why}, nil
-	h.pump(now, x)
-	h.loop(now)
+	h.claimBytes += int64(len(result)) - claim.size()
+	claim.state, claim.storedBy, claim.outcome, claim.request.Body = stateEnded, nil, &End{OK: ok, Result: result, Why: why}, nil
+	h.sendClaim(now, claim)
+	h.deliverLoopback(now)
 }
 
-// Release gives up a key that is asked for, or held and never told to run.
-func (h *Hand) Release(now time.Duration, k Key) {
-	if h.over {
+// Release gives up a key that is being claimed, or that is held and was never given to a pool.
+func (h *Hand) Release(now time.Duration, key Key) {
+	if h.disowned {
 		return
 	}
-	if x := h.mine[k]; x != nil && x.state != over {
-		h.drop(x)
+	if claim := h.claims[key]; claim != nil && claim.state != stateEnded {
+		h.drop(claim)
 	}
-	h.loop(now)
+	h.deliverLoopback(now)
 }
 
-// drop forgets a key and tells its homes; one that does not hear asks.
-func (h *Hand) drop(x *hold) {
-	if x.adopted {
-		h.adopted--
+// drop deletes a claim and tells the replicas. A replica that does not get the message queries it.
+func (h *Hand) drop(claim *claim) {
+	if claim.adopted {
+		h.adoptedCount--
 	}
-	h.own -= x.size()
-	delete(h.mine, x.p.Key)
-	for _, o := range h.homes(x.p.Key.Slice()) {
-		h.send(o.Box, Item{Kind: kRelease, Key: x.p.Key, Try: x.try})
+	h.claimBytes -= claim.size()
+	delete(h.claims, claim.request.Key)
+	for _, replica := range h.replicas(claim.request.Key.Slice()) {
+		h.send(replica.Box, Item{Kind: kindRelease, Key: claim.request.Key, Try: claim.try})
 	}
 }
 
-func (h *Hand) verdict(k Key, s State, result []byte, after time.Duration, why string) {
-	h.out.Verdicts = append(h.out.Verdicts, Verdict{Key: k, State: s, Result: result, After: after, Why: why})
+func (h *Hand) verdict(key Key, state State, result []byte, after time.Duration, why string) {
+	h.outputs.Verdicts = append(h.outputs.Verdicts, Verdict{Key: key, State: state, Result: result, After: after, Why: why})
 }
 
-func endState(e *End) State {
-	if e.OK {
+func endState(end *End) State {
+	if end.OK {
 		return Done
 	}
 	return Failed
 }
 
-// pump sends a hold's state to the homes that have not acknowledged it.
-func (h *Hand) pump(now time.Duration, x *hold) {
-	x.sent = now
-	if !x.busy {
-		x.busy, h.busy = true, append(h.busy, x)
+// sendClaim sends a claim's state to the replicas that have not acknowledged it.
+func (h *Hand) sendClaim(now time.Duration, claim *claim) {
+	claim.sentAt = now
+	if !claim.queued {
+		claim.queued, h.unacknowledged = true, append(h.unacknowledged, claim)
 	}
-	for i, o := range h.homes(x.p.Key.Slice()) {
+	for i, replica := range h.replicas(claim.request.Key.Slice()) {
 		switch {
-		case x.state == asking:
-			if i == 0 && !x.won || i == 1 && !x.ack {
-				h.send(o.Box, Item{Kind: kClaim, Key: x.p.Key, Try: x.try, Piece: x.piece(now, true)})
+		case claim.state == stateAsking:
+			if i == 0 && !claim.primaryWon || i == 1 && !claim.backupAcked {
+				h.send(replica.Box, Item{Kind: kindClaim, Key: claim.request.Key, Try: claim.try,
+					Piece: claim.requestNow(now, true)})
 			}
-		case slices.Contains(x.told, o):
-		case x.state == holding:
-			it := Item{Kind: kHeld, Key: x.p.Key, Try: x.try}
-			if slices.Contains(x.bare, o) {
-				it.Piece = x.piece(now, true)
+		case slices.Contains(claim.storedBy, replica):
+		case claim.state == stateHeld:
+			item := Item{Kind: kindHeld, Key: claim.request.Key, Try: claim.try}
+			if slices.Contains(claim.needBody, replica) {
+				item.Piece = claim.requestNow(now, true)
 			}
-			h.send(o.Box, it)
+			h.send(replica.Box, item)
 		default:
-			h.send(o.Box, Item{Kind: kEnd, Key: x.p.Key, Try: x.try, Piece: x.piece(now, false), End: x.end})
+			h.send(replica.Box, Item{Kind: kindOutcome, Key: claim.request.Key, Try: claim.try,
+				Piece: claim.requestNow(now, false), End: claim.outcome})
 		}
 	}
-	if x.state == over && h.bug.answerEarly {
-		h.finish(x)
+	if claim.state == stateEnded && h.injected.answerUnreplicated {
+		h.finish(claim)
 	}
 }
 
-// finish tells the core that the end is safe, once, and the homes that they may tell it.
-func (h *Hand) finish(x *hold) {
-	if !x.finished {
-		x.finished = true
-		h.out.Finished = append(h.out.Finished, Finished{Key: x.p.Key, OK: true})
+// finish reports once that the outcome is stored, and tells the replicas that they may return it.
+func (h *Hand) finish(claim *claim) {
+	if !claim.finished {
+		claim.finished = true
+		h.outputs.Finished = append(h.outputs.Finished, Finished{Key: claim.request.Key, OK: true})
 	}
-	for _, o := range h.homes(x.p.Key.Slice()) {
-		h.send(o.Box, Item{Kind: kSealed, Key: x.p.Key})
+	for _, replica := range h.replicas(claim.request.Key.Slice()) {
+		h.send(replica.Box, Item{Kind: kindSealed, Key: claim.request.Key})
 	}
 }
 
-// settled tells that all present homes have acknowledged a hold's state.
-func (h *Hand) settled(x *hold) bool {
-	if x.state == asking {
+// acknowledged reports whether all current replicas have acknowledged a claim's state.
+func (h *Hand) acknowledged(claim *claim) bool {
+	if claim.state == stateAsking {
 		return false
 	}
-	homes := h.homes(x.p.Key.Slice())
-	for _, o := range homes {
-		if !slices.Contains(x.told, o) {
+	replicas := h.replicas(claim.request.Key.Slice())
+	for _, replica := range replicas {
+		if !slices.Contains(claim.storedBy, replica) {
 			return false
 		}
 	}
-	return len(homes) > 0
+	return len(replicas) > 0
 }
 
-// moved looks at a hold after a new view: what earlier homes said to a claim counts no longer, and homes that are new
-// hear of what is held and of what ended.
-func (h *Hand) moved(now time.Duration, x *hold) {
-	if x.state == asking {
-		h.try++
-		x.try, x.won, x.ack = h.try, false, false
+// updateClaim updates a claim for a new view: answers of earlier replicas no longer count, and new replicas are sent
+// what is held and what has an outcome.
+func (h *Hand) updateClaim(now time.Duration, claim *claim) {
+	if claim.state == stateAsking {
+		h.lastTry++
+		claim.try, claim.primaryWon, claim.backupAcked = h.lastTry, false, false
 	}
 	switch {
-	case x.state == asking, x.state == over && !x.finished:
-		h.pump(now, x)
-	case !x.busy && !h.settled(x): // with the next ticks
-		x.busy, x.sent, h.busy = true, now-h.lim.Retry, append(h.busy, x)
+	case claim.state == stateAsking, claim.state == stateEnded && !claim.finished:
+		h.sendClaim(now, claim)
+	case !claim.queued && !h.acknowledged(claim): // sent with the next ticks
+		claim.queued, claim.sentAt, h.unacknowledged = true, now-h.limits.Retry, append(h.unacknowledged, claim)
 	}
 }
 
-func (h *Hand) holderTick(now time.Duration) {
-	busy := h.busy
-	h.busy = nil
-	told := 0
-	for _, x := range busy {
-		x.busy = false
+func (h *Hand) claimTick(now time.Duration) {
+	queued := h.unacknowledged
+	h.unacknowledged = nil
+	resent := 0
+	for _, claim := range queued {
+		claim.queued = false
 		switch {
-		case h.mine[x.p.Key] != x || h.settled(x):
+		case h.claims[claim.request.Key] != claim || h.acknowledged(claim):
 			continue
-		case x.state == asking && now >= x.due:
-			h.drop(x)
-			h.verdict(x.p.Key, Down, nil, comeBack, "its homes did not answer in its time")
+		case claim.state == stateAsking && now >= claim.due:
+			h.drop(claim)
+			h.verdict(claim.request.Key, Down, nil, retryAfter, "the replicas did not answer in time")
 			continue
-		case now-x.sent >= h.lim.Retry && told < tellMost:
-			told++
-			h.pump(now, x)
+		case now-claim.sentAt >= h.limits.Retry && resent < maxResendsPerTick:
+			resent++
+			h.sendClaim(now, claim)
 		}
-		if !x.busy {
-			x.busy, h.busy = true, append(h.busy, x)
+		if !claim.queued {
+			claim.queued, h.unacknowledged = true, append(h.unacknowledged, claim)
 		}
 	}
 }
 
-// answered takes what a home said to a claim. The first home's word and the second's mark are both needed. A claim
-// that is not wanted any longer is released.
-func (h *Hand) answered(now time.Duration, from Owner, it *Item) {
-	x := h.mine[it.Key]
-	if x == nil || x.try != it.Try {
-		if it.State == Won && (x == nil || x.try > it.Try) {
-			h.send(from.Box, Item{Kind: kRelease, Key: it.Key, Try: it.Try})
+// handleAnswer processes a replica's answer to a claim. The primary's verdict and the backup's acknowledgement are both
+// needed. A claim that is no longer wanted is released.
+func (h *Hand) handleAnswer(now time.Duration, from Owner, item *Item) {
+	claim := h.claims[item.Key]
+	if claim == nil || claim.try != item.Try {
+		if item.State == Won && (claim == nil || claim.try > item.Try) {
+			h.send(from.Box, Item{Kind: kindRelease, Key: item.Key, Try: item.Try})
 		}
 		return
 	}
-	if x.state != asking {
+	if claim.state != stateAsking {
 		return
 	}
-	homes := h.homes(it.Key.Slice())
-	at := slices.Index(homes, from)
-	if h.bug.epochUnchecked && at < 0 {
-		at = map[Kind]int{kVerdict: 0, kAck: 1}[it.Kind]
+	replicas := h.replicas(item.Key.Slice())
+	position := slices.Index(replicas, from)
+	if h.injected.epochUnchecked && position < 0 {
+		position = map[Kind]int{kindVerdict: 0, kindAck: 1}[item.Kind]
 	}
 	switch {
-	case at == 0 && it.Kind == kVerdict && it.State == Won:
-		x.won = true
-	case at == 1 && it.Kind == kAck && it.State == Won:
-		x.ack = true
-	case at == 0 && it.Kind == kVerdict, at == 1 && it.Kind == kAck:
-		h.drop(x)
+	case position == 0 && item.Kind == kindVerdict && item.State == Won:
+		claim.primaryWon = true
+	case position == 1 && item.Kind == kindAck && item.State == Won:
+		claim.backupAcked = true
+	case position == 0 && item.Kind == kindVerdict, position == 1 && item.Kind == kindAck:
+		h.drop(claim)
 		var result []byte
-		if it.End != nil {
-			result = it.End.Result
+		if item.End != nil {
+			result = item.End.Result
 		}
-		h.verdict(it.Key, it.State, result, it.After, it.Why)
+		h.verdict(item.Key, item.State, result, item.After, item.Why)
 		return
 	default:
 		return
 	}
-	if x.won && (x.ack || len(homes) == 1 || h.bug.firstAlone) {
-		h.expiry.add(x.until, it.Key, false)
-		x.state, x.told, x.sent = holding, nil, now // homes hear of it with the next tick, if it has not ended by then
-		h.verdict(it.Key, Won, nil, 0, "its homes have the claim")
+	if claim.primaryWon && (claim.backupAcked || len(replicas) == 1 || h.injected.primaryAlone) {
+		h.expiries.add(claim.expires, item.Key, false)
+		// The replicas are told with the next tick, unless there is an outcome by then.
+		claim.state, claim.storedBy, claim.sentAt = stateHeld, nil, now
+		h.verdict(item.Key, Won, nil, 0, "the replicas have the claim")
 	}
 }
 
-// kept takes a home's word that it has a hold's state.
-func (h *Hand) kept(now time.Duration, from Owner, it *Item) {
-	x := h.mine[it.Key]
-	if x == nil || x.try != it.Try {
-		if x == nil || x.try > it.Try {
-			h.send(from.Box, Item{Kind: kRelease, Key: it.Key, Try: it.Try})
+// handleStored processes a replica's acknowledgement of a claim's state.
+func (h *Hand) handleStored(now time.Duration, from Owner, item *Item) {
+	claim := h.claims[item.Key]
+	if claim == nil || claim.try != item.Try {
+		if claim == nil || claim.try > item.Try {
+			h.send(from.Box, Item{Kind: kindRelease, Key: item.Key, Try: item.Try})
 		}
 		return
 	}
-	if x.state == holding && it.State == Won || x.state == over && it.State == Done {
-		if !slices.Contains(x.told, from) {
-			x.told = append(x.told, from)
+	if claim.state == stateHeld && item.State == Won || claim.state == stateEnded && item.State == Done {
+		if !slices.Contains(claim.storedBy, from) {
+			claim.storedBy = append(claim.storedBy, from)
 		}
-		if x.state == over && h.settled(x) {
-			h.finish(x)
+		if claim.state == stateEnded && h.acknowledged(claim) {
+			h.finish(claim)
 		}
 	}
 }
 
-// asked answers a home that wants to know how a key stands.
-func (h *Hand) asked(now time.Duration, from Owner, it *Item) {
-	x := h.mine[it.Key]
+// handleQuery answers a replica that queries the state of a key.
+func (h *Hand) handleQuery(now time.Duration, from Owner, item *Item) {
+	claim := h.claims[item.Key]
 	switch {
-	case x == nil:
-		if r := h.slices[it.Key.Slice()].recs[it.Key]; r == nil || r.take == 0 || r.take != it.Try {
-			h.send(from.Box, Item{Kind: kRelease, Key: it.Key, Try: it.Try})
+	case claim == nil:
+		if record := h.shards[item.Key.Slice()].records[item.Key]; record == nil || record.takeoverTry == 0 ||
+			record.takeoverTry != item.Try {
+			h.send(from.Box, Item{Kind: kindRelease, Key: item.Key, Try: item.Try})
 		}
-	case x.state == asking:
-		if it.Try < x.try { // the earlier one is given up; the present one is sent again in its time
-			h.send(from.Box, Item{Kind: kRelease, Key: it.Key, Try: it.Try})
+	case claim.state == stateAsking:
+		if item.Try < claim.try { // the earlier try is given up; the current one is sent again in its time
+			h.send(from.Box, Item{Kind: kindRelease, Key: item.Key, Try: item.Try})
 		}
 	default:
-		if it.Kind == kWant && !slices.Contains(x.bare, from) {
-			x.bare = append(x.bare, from)
+		if item.Kind == kindNeedBody && !slices.Contains(claim.needBody, from) {
+			claim.needBody = append(claim.needBody, from)
 		}
-		x.told = slices.DeleteFunc(x.told, func(o Owner) bool { return o == from })
-		h.pump(now, x)
+		claim.storedBy = slices.DeleteFunc(claim.storedBy, func(replica Owner) bool { return replica == from })
+		h.sendClaim(now, claim)
 	}
 }
--- a/internal/fleet/hand/home.go
+++ b/internal/fleet/hand/home.go
@@ -7,424 +7,433 @@
 	"time"
 )
 
-// record is a key at one of its homes.
-type record struct {
-	p          Piece // Body nil until a message brings it
-	slice      int
-	cands      []Cand // a superset of who may have won it; without doubles
-	owner      Owner  // at the first home: who has it
-	end        *End
-	sealed     bool // the other home has the end too: it may be told
-	due, until time.Duration
-	open       bool // in Hand.open
-	asked      time.Duration
-	probed     time.Duration // when the pools of lost candidates were last asked; 0 = not yet
-	take       uint64        // try of a takeover that the second home has not acknowledged
-	put        uint64        // number of the last kPut to the second home
-	sent       time.Duration // when it went
+// storedRecord is a key at one of its replicas.
+type storedRecord struct {
+	request      Piece // Body is nil until a message brings it
+	shard        int
+	candidates   []Cand // a superset of the processes that may have won it; no duplicates
+	owner        Owner  // at the primary: the process that has it
+	outcome      *End
+	sealed       bool // the other replica has the outcome too: it may be returned
+	due, expires time.Duration
+	watched      bool // it is in Machine.openRecords
+	queriedAt    time.Duration
+	probedAt     time.Duration // when the pools of lost candidates were last queried; 0 = never
+	takeoverTry  uint64        // try of a takeover that the backup has not acknowledged
+	putNumber    uint64        // number of the last kindPut to the backup
+	sentAt       time.Duration // when that was sent
 }
 
-func (r *record) cand(o Owner) int {
-	return slices.IndexFunc(r.cands, func(c Cand) bool { return c.Owner == o })
+func (r *storedRecord) indexOf(owner Owner) int {
+	return slices.IndexFunc(r.candidates, func(candidate Cand) bool { return candidate.Owner == owner })
 }
 
-func (r *record) size() int64 {
-	n := int64(len(r.p.Body))
-	if r.end != nil {
-		n += int64(len(r.end.Result))
+func (r *storedRecord) size() int64 {
+	total := int64(len(r.request.Body))
+	if r.outcome != nil {
+		total += int64(len(r.outcome.Result))
 	}
-	return n
+	return total
 }
 
-// room tells that a home takes one record more. What others already hold is taken up to twice the bound.
-func (h *Hand) room(size int64, times int) bool {
-	return h.records < times*h.lim.Records && h.bytes+size <= int64(times)*h.lim.Bytes
+// hasRoom reports whether a replica can store one more record. factor is 1 for new claims; records that others already
+// hold are accepted up to twice the limit.
+func (h *Hand) hasRoom(size int64, factor int) bool {
+	return h.recordCount < factor*h.limits.Records && h.recordBytes+size <= int64(factor)*h.limits.Bytes
 }
 
-// record begins one.
-func (h *Hand) record(now time.Duration, s *slice, k Key, p *Piece) *record {
-	r := &record{p: *p, slice: k.Slice(), due: now + p.Due, until: now + min(p.Life, h.lim.Longest)}
-	r.p.Key = k
-	if s.recs == nil {
-		s.recs = map[Key]*record{}
-	}
-	s.recs[k] = r
-	h.records++
-	h.bytes += r.size()
-	h.expiry.add(r.until, k, true)
-	h.watch(now, r)
-	return r
+// newRecord creates a record.
+func (h *Hand) newRecord(now time.Duration, shard *shardState, key Key, request *Piece) *storedRecord {
+	created := &storedRecord{request: *request, shard: key.Slice(), due: now + request.Due,
+		expires: now + min(request.Life, h.limits.Longest)}
+	created.request.Key = key
+	if shard.records == nil {
+		shard.records = map[Key]*storedRecord{}
+	}
+	shard.records[key] = created
+	h.recordCount++
+	h.recordBytes += created.size()
+	h.expiries.add(created.expires, key, true)
+	h.watch(now, created)
+	return created
 }
 
-// watch has the ticks look at a record until it has an end that is sealed.
-func (h *Hand) watch(now time.Duration, r *record) {
-	if !r.open {
-		r.open, r.asked, h.open = true, now, append(h.open, r)
+// watch makes the ticks check a record until it has a sealed outcome.
+func (h *Hand) watch(now time.Duration, record *storedRecord) {
+	if !record.watched {
+		record.watched, record.queriedAt, h.openRecords = true, now, append(h.openRecords, record)
 	}
 }
 
-func (h *Hand) forget(s *slice, r *record) {
-	if s.recs[r.p.Key] == r {
-		delete(s.recs, r.p.Key)
-		h.records--
-		h.bytes -= r.size()
-		h.untake(r)
+func (h *Hand) deleteRecord(shard *shardState, record *storedRecord) {
+	if shard.records[record.request.Key] == record {
+		delete(shard.records, record.request.Key)
+		h.recordCount--
+		h.recordBytes -= record.size()
+		h.cancelTakeover(record)
 	}
 }
 
-// close writes the end of a piece. The first that is known stands.
-func (h *Hand) close(now time.Duration, r *record, e *End) {
-	if r.end == nil {
-		h.bytes -= r.size()
-		h.untake(r)
-		r.end, r.p.Body, r.put, r.asked = e, nil, 0, now
-		h.bytes += r.size()
-		h.watch(now, r)
+// setOutcome sets the outcome of a request, unless it has one.
+func (h *Hand) setOutcome(now time.Duration, record *storedRecord, outcome *End) {
+	if record.outcome == nil {
+		h.recordBytes -= record.size()
+		h.cancelTakeover(record)
+		record.outcome, record.request.Body, record.putNumber, record.queriedAt = outcome, nil, 0, now
+		h.recordBytes += record.size()
+		h.watch(now, record)
 	}
 }
 
-// replace writes another end over one that nobody was told: the other home knew better.
-func (h *Hand) replace(now time.Duration, r *record, e *End) {
-	if !r.sealed {
-		h.bytes -= r.size()
-		r.end = nil
-		h.bytes += r.size()
-		h.close(now, r, e)
+// replaceOutcome replaces an outcome that was returned to nobody: the other replica has a more reliable one.
+func (h *Hand) replaceOutcome(now time.Duration, record *storedRecord, outcome *End) {
+	if !record.sealed {
+		h.recordBytes -= record.size()
+		record.outcome = nil
+		h.recordBytes += record.size()
+		h.setOutcome(now, record, outcome)
 	}
 }
 
-func (e *End) same(o *End) bool { return e.OK == o.OK && bytes.Equal(e.Result, o.Result) }
+func (e *End) same(other *End) bool { return e.OK == other.OK && bytes.Equal(e.Result, other.Result) }
 
-// add notes a candidate.
-func (h *Hand) add(r *record, c Cand) *Cand {
-	i := r.cand(c.Owner)
-	if i < 0 {
-		r.cands = append(r.cands, c)
-		return &r.cands[len(r.cands)-1]
-	}
-	x := &r.cands[i]
-	if c.Try > x.Try {
-		x.Try, x.Held, x.Handle, x.Cursor = c.Try, false, c.Handle, c.Cursor
-	}
-	if c.Try == x.Try && x.Handle == "" {
-		x.Handle, x.Cursor = c.Handle, c.Cursor
-	}
-	x.Held = x.Held || c.Held && c.Try == x.Try
-	x.Clear = x.Clear || c.Clear
-	return x
+// addCandidate adds or updates a candidate.
+func (h *Hand) addCandidate(record *storedRecord, candidate Cand) *Cand {
+	index := record.indexOf(candidate.Owner)
+	if index < 0 {
+		record.candidates = append(record.candidates, candidate)
+		return &record.candidates[len(record.candidates)-1]
+	}
+	existing := &record.candidates[index]
+	if candidate.Try > existing.Try {
+		existing.Try, existing.Held, existing.Handle, existing.Cursor = candidate.Try, false, candidate.Handle, candidate.Cursor
+	}
+	if candidate.Try == existing.Try && existing.Handle == "" {
+		existing.Handle, existing.Cursor = candidate.Handle, candidate.Cursor
+	}
+	existing.Held = existing.Held || candidate.Held && candidate.Try == existing.Try
+	existing.Clear = existing.Clear || candidate.Clear
+	return existing
 }
 
-// candOf is a candidate as an item of its own tells of it.
-func candOf(o Owner, it *Item) Cand {
-	c := Cand{Owner: o, Try: it.Try}
-	if it.Piece != nil {
-		c.Handle, c.Cursor = it.Piece.Handle, it.Piece.Cursor
+// candidateOf returns the candidate that an item describes.
+func candidateOf(owner Owner, item *Item) Cand {
+	candidate := Cand{Owner: owner, Try: item.Try}
+	if item.Piece != nil {
+		candidate.Handle, candidate.Cursor = item.Piece.Handle, item.Piece.Cursor
 	}
-	return c
+	return candidate
 }
 
-// settle finds who has a key at its first home: whom it gave it, or the only one who may have it. Of several, none.
-func (h *Hand) settle(s *slice, r *record) {
-	if r.owner != (Owner{}) && r.cand(r.owner) >= 0 {
+// determineOwner determines the owner of a key at its primary: the process that it was given to, or the only candidate.
+// Among several candidates there is none.
+func (h *Hand) determineOwner(shard *shardState, record *storedRecord) {
+	if record.owner != (Owner{}) && record.indexOf(record.owner) >= 0 {
 		return
 	}
-	r.owner = Owner{}
-	if !s.whole {
-		return // others may have claimed it of whom nothing is known here
+	record.owner = Owner{}
+	if !shard.inSync {
+		return // processes that are unknown here may have claimed it
 	}
-	n := 0
-	for _, c := range r.cands {
-		if !c.Clear {
-			r.owner = c.Owner
-			n++
+	remaining := 0
+	for _, candidate := range record.candidates {
+		if !candidate.Clear {
+			record.owner = candidate.Owner
+			remaining++
 		}
 	}
-	if h.bug.contestedOwned && n > 0 {
-		r.owner = r.cands[0].Owner
-	} else if n != 1 {
-		r.owner = Owner{}
+	if h.injected.contestedOwner && remaining > 0 {
+		record.owner = record.candidates[0].Owner
+	} else if remaining != 1 {
+		record.owner = Owner{}
 	}
 }
 
-// claimed takes a claim at a home: the second marks it, the first orders it.
-func (h *Hand) claimed(now time.Duration, s *slice, from Owner, it *Item) {
-	r := s.recs[it.Key]
-	say := func(k Kind, st State, e *End, why string) {
-		out := Item{Kind: k, Key: it.Key, Try: it.Try, State: st, End: e, Why: why}
-		if st == Down {
-			out.After = comeBack
+// handleClaim processes a claim at a replica: the backup records it, the primary decides the order of claims.
+func (h *Hand) handleClaim(now time.Duration, shard *shardState, from Owner, item *Item) {
+	record := shard.records[item.Key]
+	reply := func(kind Kind, state State, outcome *End, why string) {
+		answer := Item{Kind: kind, Key: item.Key, Try: item.Try, State: state, End: outcome, Why: why}
+		if state == Down {
+			answer.After = retryAfter
 		}
-		h.send(from.Box, out)
+		h.send(from.Box, answer)
 	}
-	kind := kVerdict
-	if s.place == 2 {
-		kind = kAck
+	answerKind := kindVerdict
+	if shard.role == 2 {
+		answerKind = kindAck
 	}
-	if r == nil {
+	if record == nil {
 		switch {
-		case s.place == 1 && !s.whole:
-			say(kind, Down, nil, "its first home does not yet know all claims of before")
+		case shard.role == 1 && !shard.inSync:
+			reply(answerKind, Down, nil, "its first home does not yet know all claims of before")
 			return
-		case !h.room(int64(len(it.Piece.Body)), 1):
-			say(kind, Down, nil, "its home has no room")
+		case !h.hasRoom(int64(len(item.Piece.Body)), 1):
+			reply(answerKind, Down, nil, "its home has no room")
 			return
 		}
-		if s.place == 1 || !h.bug.ackFirst {
-			r = h.record(now, s, it.Key, it.Piece)
-			r.owner = from
-			h.add(r, candOf(from, it))
+		if shard.role == 1 || !h.injected.ackUnrecorded {
+			record = h.newRecord(now, shard, item.Key, item.Piece)
+			record.owner = from
+			h.addCandidate(record, candidateOf(from, item))
 		}
-		say(kind, Won, nil, "")
+		reply(answerKind, Won, nil, "")
 		return
 	}
-	if s.place == 2 {
-		if r.end == nil && r.p.Sum != it.Piece.Sum {
-			say(kind, Other, nil, "its second home has a claim for another body")
+	if shard.role == 2 {
+		if record.outcome == nil && record.request.Sum != item.Piece.Sum {
+			reply(answerKind, Other, nil, "its second home has a claim for another body")
 			return
 		}
-		if r.end == nil {
-			h.add(r, candOf(from, it))
+		if record.outcome == nil {
+			h.addCandidate(record, candidateOf(from, item))
 		}
-		say(kind, Won, nil, "")
+		reply(answerKind, Won, nil, "")
 		return
 	}
-	if r.p.Sum != it.Piece.Sum {
-		say(kind, Off, nil, "the key belongs to another body")
+	if record.request.Sum != item.Piece.Sum {
+		reply(answerKind, Off, nil, "the key belongs to another body")
 		return
 	}
-	if r.end != nil {
-		if r.sealed || h.bug.answerEarly {
-			say(kind, endState(r.end), r.end, r.end.Why)
+	if record.outcome != nil {
+		if record.sealed || h.injected.answerUnreplicated {
+			reply(answerKind, endState(record.outcome), record.outcome, record.outcome.Why)
 		} else {
-			say(kind, Other, nil, "its end is not yet at both homes")
+			reply(answerKind, Other, nil, "its end is not yet at both homes")
 		}
 		return
 	}
-	h.settle(s, r)
-	i := r.cand(from)
+	h.determineOwner(shard, record)
+	index := record.indexOf(from)
 	switch {
-	case r.owner == from && s.whole:
-		h.add(r, candOf(from, it))
-		say(kind, Won, nil, "")
-	case r.owner != (Owner{}) && r.owner != from:
-		say(kind, Other, nil, "another box has it")
-	case i < 0 || !s.whole:
-		say(kind, Other, nil, "several boxes may have it")
+	case record.owner == from && shard.inSync:
+		h.addCandidate(record, candidateOf(from, item))
+		reply(answerKind, Won, nil, "")
+	case record.owner != (Owner{}) && record.owner != from:
+		reply(answerKind, Other, nil, "another box has it")
+	case index < 0 || !shard.inSync:
+		reply(answerKind, Other, nil, "several boxes may have it")
 	default:
-		h.add(r, candOf(from, it)).waits = true
-		for _, c := range r.cands {
-			if !c.Clear && !(c.waits && h.lives(c.Owner)) {
-				say(kind, Other, nil, "several boxes may have it")
+		h.addCandidate(record, candidateOf(from, item)).notWon = true
+		for _, candidate := range record.candidates {
+			if !candidate.Clear && !(candidate.notWon && h.isCurrent(candidate.Owner)) {
+				reply(answerKind, Other, nil, "several boxes may have it")
 				return
 			}
 		}
-		r.owner = from
-		say(kind, Won, nil, "")
+		record.owner = from
+		reply(answerKind, Won, nil, "")
 	}
 }
 
-// held takes a holder's word that it won.
-func (h *Hand) held(now time.Duration, s *slice, from Owner, it *Item) {
-	r := s.recs[it.Key]
-	if r == nil {
-		if it.Piece == nil {
-			h.send(from.Box, Item{Kind: kWant, Key: it.Key, Try: it.Try})
+// handleHeld processes an owner's report that it won.
+func (h *Hand) handleHeld(now time.Duration, shard *shardState, from Owner, item *Item) {
+	record := shard.records[item.Key]
+	if record == nil {
+		if item.Piece == nil {
+			h.send(from.Box, Item{Kind: kindNeedBody, Key: item.Key, Try: item.Try})
 			return
 		}
-		if !h.room(int64(len(it.Piece.Body)), 2) {
-			return // it is told again
+		if !h.hasRoom(int64(len(item.Piece.Body)), 2) {
+			return // it is sent again
 		}
-		r = h.record(now, s, it.Key, it.Piece)
+		record = h.newRecord(now, shard, item.Key, item.Piece)
 	}
-	if r.end == nil {
-		if i := r.cand(from); it.Piece == nil && (i < 0 || r.cands[i].Try < it.Try) { // by which handle, only its piece tells
-			h.send(from.Box, Item{Kind: kWant, Key: it.Key, Try: it.Try})
+	if record.outcome == nil {
+		// Only the request has the handle of the run.
+		if index := record.indexOf(from); item.Piece == nil && (index < 0 || record.candidates[index].Try < item.Try) {
+			h.send(from.Box, Item{Kind: kindNeedBody, Key: item.Key, Try: item.Try})
 			return
 		}
-		x := candOf(from, it)
-		x.Held = true
-		c := h.add(r, x)
-		if c.Try != it.Try {
+		candidate := candidateOf(from, item)
+		candidate.Held = true
+		current := h.addCandidate(record, candidate)
+		if current.Try != item.Try {
 			return // given up since
 		}
-		c.waits = false
-		if h.settle(s, r); r.owner == (Owner{}) {
-			r.owner = from
+		current.notWon = false
+		if h.determineOwner(shard, record); record.owner == (Owner{}) {
+			record.owner = from
 		}
 	}
-	h.send(from.Box, Item{Kind: kKept, Key: it.Key, Try: it.Try, State: Won})
+	h.send(from.Box, Item{Kind: kindStored, Key: item.Key, Try: item.Try, State: Won})
 }
 
-// ended takes a holder's end of a piece.
-func (h *Hand) ended(now time.Duration, s *slice, from Owner, it *Item) {
-	r := s.recs[it.Key]
-	if it.End == nil || r == nil && it.Piece == nil {
+// handleOutcome processes the outcome that an owner reports.
+func (h *Hand) handleOutcome(now time.Duration, shard *shardState, from Owner, item *Item) {
+	record := shard.records[item.Key]
+	if item.End == nil || record == nil && item.Piece == nil {
 		return
 	}
-	if r == nil || r.end == nil {
-		if !h.room(int64(len(it.End.Result)), 2) {
+	if record == nil || record.outcome == nil {
+		if !h.hasRoom(int64(len(item.End.Result)), 2) {
 			return
 		}
-		if r == nil {
-			r = h.record(now, s, it.Key, it.Piece)
+		if record == nil {
+			record = h.newRecord(now, shard, item.Key, item.Piece)
 		}
-		h.add(r, Cand{Owner: from, Try: it.Try, Held: true})
-		h.close(now, r, it.End)
+		h.addCandidate(record, Cand{Owner: from, Try: item.Try, Held: true})
+		h.setOutcome(now, record, item.End)
 	}
-	h.send(from.Box, Item{Kind: kKept, Key: it.Key, Try: it.Try, State: Done})
+	h.send(from.Box, Item{Kind: kindStored, Key: item.Key, Try: item.Try, State: Done})
 }
 
-// released takes a box's word that it does not have a key by a try, nor will.
-func (h *Hand) released(s *slice, from Owner, it *Item) {
-	r := s.recs[it.Key]
-	if r == nil || r.end != nil {
+// handleRelease processes a server's report that it does not hold a key by a try, and never will.
+func (h *Hand) handleRelease(shard *shardState, from Owner, item *Item) {
+	record := shard.records[item.Key]
+	if record == nil || record.outcome != nil {
 		return
 	}
-	i := r.cand(from)
-	if i < 0 || r.cands[i].Try > it.Try {
+	index := record.indexOf(from)
+	if index < 0 || record.candidates[index].Try > item.Try {
 		return
 	}
-	if r.cands = slices.Delete(r.cands, i, i+1); len(r.cands) == 0 {
-		h.forget(s, r)
+	if record.candidates = slices.Delete(record.candidates, index, index+1); len(record.candidates) == 0 {
+		h.deleteRecord(shard, record)
 	}
 }
 
-// homeTick asks after claims whose boxes live, and has the second home acknowledge what the first decided.
-func (h *Hand) homeTick(now time.Duration) {
-	for _, i := range h.homed {
-		if s := &h.slices[i]; s.place > 0 && !s.whole && now-s.since >= h.lim.Longest+h.lim.Lag {
-			s.whole = true // nothing that was claimed before is still to be known
+// recordTick queries claims of registered servers, and has the backup acknowledge what the primary decided.
+func (h *Hand) recordTick(now time.Duration) {
+	for _, i := range h.localShards {
+		if shard := &h.shards[i]; shard.role > 0 && !shard.inSync && now-shard.since >= h.limits.Longest+h.limits.Lag {
+			shard.inSync = true // no claim made before is still unknown
 		}
 	}
-	h.offer(now)
-	open := h.open[:0]
-	for _, r := range h.open {
-		s := &h.slices[r.slice]
-		if s.recs[r.p.Key] != r || s.place == 0 || r.end != nil && (r.sealed || s.place == 2) {
-			r.open = false
+	h.offerSync(now)
+	open := h.openRecords[:0]
+	for _, record := range h.openRecords {
+		shard := &h.shards[record.shard]
+		if shard.records[record.request.Key] != record || shard.role == 0 ||
+			record.outcome != nil && (record.sealed || shard.role == 2) {
+			record.watched = false
 			continue
 		}
-		open = append(open, r)
+		open = append(open, record)
 		switch {
-		case s.place == 1 && (r.take != 0 || r.end != nil && now-r.asked >= askFresh):
-			if now-r.sent >= h.lim.Retry {
-				h.tell(now, r)
+		case shard.role == 1 && (record.takeoverTry != 0 ||
+			record.outcome != nil && now-record.queriedAt >= unconfirmedQueryInterval):
+			if now-record.sentAt >= h.limits.Retry {
+				h.replicate(now, record)
 			}
-		case r.end == nil:
-			h.ask(now, s, r)
+		case record.outcome == nil:
+			h.query(now, shard, record)
 		}
 	}
-	clear(h.open[len(open):])
-	h.open = open
+	clear(h.openRecords[len(open):])
+	h.openRecords = open
 }
 
-// ask asks candidates that live how it stands: soon where it matters, seldom where all is as it should be.
-func (h *Hand) ask(now time.Duration, s *slice, r *record) {
-	wait := askHeld
-	for _, c := range r.cands {
-		if !c.Held && h.lives(c.Owner) {
-			wait = askFresh
+// query queries the registered candidates: after a short interval while any is unconfirmed, else after a long one.
+func (h *Hand) query(now time.Duration, shard *shardState, record *storedRecord) {
+	interval := confirmedQueryInterval
+	for _, candidate := range record.candidates {
+		if !candidate.Held && h.isCurrent(candidate.Owner) {
+			interval = unconfirmedQueryInterval
 		}
 	}
-	if now-r.asked < wait {
+	if now-record.queriedAt < interval {
 		return
 	}
-	r.asked = now
-	for _, c := range r.cands {
-		if h.lives(c.Owner) && !(s.place == 1 && c.waits) {
-			h.send(c.Box, Item{Kind: kAsk, Key: r.p.Key, Try: c.Try})
+	record.queriedAt = now
+	for _, candidate := range record.candidates {
+		if h.isCurrent(candidate.Owner) && !(shard.role == 1 && candidate.notWon) {
+			h.send(candidate.Box, Item{Kind: kindQuery, Key: record.request.Key, Try: candidate.Try})
 		}
 	}
 }
 
-// tell sends a record to the second home, to be acknowledged before it is acted on. Without one it is as good as done.
-func (h *Hand) tell(now time.Duration, r *record) {
-	h.try++
-	r.put, r.sent = h.try, now
-	homes := h.homes(r.slice)
-	if len(homes) < 2 || r.take != 0 && h.bug.adoptEarly {
-		h.putDone(now, r)
-	}
-	if len(homes) == 2 {
-		h.send(homes[1].Box, Item{Kind: kPut, Key: r.p.Key, Try: r.put, Record: h.copyOf(now, r)})
+// replicate sends a record to the backup, which must acknowledge it before it takes effect. Without a backup it takes
+// effect at once.
+func (h *Hand) replicate(now time.Duration, record *storedRecord) {
+	h.lastTry++
+	record.putNumber, record.sentAt = h.lastTry, now
+	replicas := h.replicas(record.shard)
+	if len(replicas) < 2 || record.takeoverTry != 0 && h.injected.adoptUnreplicated {
+		h.replicated(now, record)
+	}
+	if len(replicas) == 2 {
+		h.send(replicas[1].Box, Item{Kind: kindPut, Key: record.request.Key, Try: record.putNumber,
+			Record: h.recordMessage(now, record)})
 	}
 }
 
-func (h *Hand) copyOf(now time.Duration, r *record) *Record {
-	c := &Record{Piece: r.p, Cands: slices.Clone(r.cands), End: r.end, Sealed: r.sealed}
-	c.Piece.Due, c.Piece.Life = max(0, r.due-now), max(0, r.until-now)
-	return c
+func (h *Hand) recordMessage(now time.Duration, record *storedRecord) *Record {
+	message := &Record{Piece: record.request, Cands: slices.Clone(record.candidates), End: record.outcome, Sealed: record.sealed}
+	message.Piece.Due, message.Piece.Life = max(0, record.due-now), max(0, record.expires-now)
+	return message
 }
 
-// putDone acts on what the second home has.
-func (h *Hand) putDone(now time.Duration, r *record) {
-	if r.put = 0; r.end != nil {
-		r.sealed = true
-	} else if r.take != 0 {
-		h.adopt(now, r)
+// replicated applies what the backup has acknowledged.
+func (h *Hand) replicated(now time.Duration, record *storedRecord) {
+	if record.putNumber = 0; record.outcome != nil {
+		record.sealed = true
+	} else if record.takeoverTry != 0 {
+		h.adopt(now, record)
 	}
 }
 
-// expiries is a heap of when keys are forgotten.
+// expiries is a heap of the times at which keys are deleted.
 type expiries []expiry
 
 type expiry struct {
-	at   time.Duration
-	key  Key
-	home bool // the record at this home; else what this box holds
+	at     time.Duration
+	key    Key
+	record bool // the record at this replica; else this server's claim
 }
 
 func (e expiries) Len() int           { return len(e) }
 func (e expiries) Less(i, j int) bool { return e[i].at < e[j].at }
 func (e expiries) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *expiries) Push(x any)        { *e = append(*e, x.(expiry)) }
+func (e *expiries) Push(entry any)    { *e = append(*e, entry.(expiry)) }
 func (e *expiries) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = expiry{}
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
-func (e *expiries) add(at time.Duration, k Key, home bool) { heap.Push(e, expiry{at, k, home}) }
+func (e *expiries) add(at time.Duration, key Key, home bool) { heap.Push(e, expiry{at, key, home}) }
 
-// tidy drops entries of keys that are gone already, where they have come to be most.
-func (h *Hand) tidy() {
-	if len(h.expiry) < 1024+2*(h.records+len(h.mine)) {
+// compactExpiries removes the entries of keys that are already deleted, once they are the majority.
+func (h *Hand) compactExpiries() {
+	if len(h.expiries) < 1024+2*(h.recordCount+len(h.claims)) {
 		return
 	}
-	h.expiry = slices.DeleteFunc(h.expiry, func(e expiry) bool {
-		if e.home {
-			r := h.slices[e.key.Slice()].recs[e.key]
-			return r == nil || r.until != e.at
+	h.expiries = slices.DeleteFunc(h.expiries, func(entry expiry) bool {
+		if entry.record {
+			record := h.shards[entry.key.Slice()].records[entry.key]
+			return record == nil || record.expires != entry.at
 		}
-		x := h.mine[e.key]
-		return x == nil || x.until != e.at
+		claim := h.claims[entry.key]
+		return claim == nil || claim.expires != entry.at
 	})
-	heap.Init(&h.expiry)
+	heap.Init(&h.expiries)
 }
 
-// expire forgets what is over. A piece that its box still holds then is told as failed: its time passed long ago.
+// expire deletes what has expired. A request that its server still holds is then reported as failed: its time passed
+// long ago.
 func (h *Hand) expire(now time.Duration) {
-	h.tidy()
-	for len(h.expiry) > 0 && h.expiry[0].at <= now {
-		e := heap.Pop(&h.expiry).(expiry)
-		if e.home {
-			s := &h.slices[e.key.Slice()]
-			if r := s.recs[e.key]; r != nil && r.until <= now {
-				h.forget(s, r)
+	h.compactExpiries()
+	for len(h.expiries) > 0 && h.expiries[0].at <= now {
+		entry := heap.Pop(&h.expiries).(expiry)
+		if entry.record {
+			shard := &h.shards[entry.key.Slice()]
+			if record := shard.records[entry.key]; record != nil && record.expires <= now {
+				h.deleteRecord(shard, record)
 			}
-		} else if x := h.mine[e.key]; x != nil && x.until <= now {
+		} else if claim := h.claims[entry.key]; claim != nil && claim.expires <= now {
 			switch {
-			case x.state == asking: // its own time ends it
+			case claim.state == stateAsking: // its own due time ends it
 				continue
-			case x.state == over && !x.finished:
-				h.out.Finished = append(h.out.Finished, Finished{Key: e.key})
-			case x.state == holding && x.adopted:
-				h.adopted--
+			case claim.state == stateEnded && !claim.finished:
+				h.outputs.Finished = append(h.outputs.Finished, Finished{Key: entry.key})
+			case claim.state == stateHeld && claim.adopted:
+				h.adoptedCount--
 			}
-			h.own -= x.size()
-			delete(h.mine, e.key)
+			h.claimBytes -= claim.size()
+			delete(h.claims, entry.key)
 		}
 	}
 }
--- a/internal/fleet/hand/msg.go
+++ b/internal/fleet/hand/msg.go
@@ -2,37 +2,37 @@
 
 import "time"
 
-// Kind tells what an item of a message is.
+// Kind is the kind of an item of a message.
 type Kind uint8
 
 // The kinds of item.
 const (
-	kClaim   Kind = iota + 1 // holder to homes: Piece, Try
-	kVerdict                 // first home to holder: State, Try
-	kAck                     // second home to holder: the claim is marked (State Won) or cannot be (Down)
-	kHeld                    // holder to homes: it is mine since Try; with Piece if asked for it
-	kEnd                     // holder to homes: Piece without body, End
-	kSealed                  // holder to homes: all homes have the end
-	kRelease                 // holder to homes: I do not have it, not by this Try
-	kKept                    // home to holder: kHeld (State Won) or kEnd (Done) is on record
-	kWant                    // home to holder: kHeld needs the body
-	kAsk                     // home to holder: is this yours?
-	kOffer                   // whole to home: I have all of Slice
-	kNeed                    // home to whole: send them
-	kPut                     // record of a slice, Try = number to acknowledge
-	kPutOK                   //
-	kCopied                  // all records of Slice are put
-	kWhole                   // home to whole: I have all of Slice
+	kindClaim       Kind = iota + 1 // owner to replicas: claims the key (Piece, Try)
+	kindVerdict                     // primary to owner: answers a claim (State, Try)
+	kindAck                         // backup to owner: the claim is recorded (State Won) or cannot be (Unavailable)
+	kindHeld                        // owner to replicas: it has held the key since Try; with Piece if requested
+	kindOutcome                     // owner to replicas: the outcome (End), and Piece without body
+	kindSealed                      // owner to replicas: all replicas have the outcome
+	kindRelease                     // owner to replicas: it does not hold the key by this Try
+	kindStored                      // replica to owner: kindHeld (State Won) or kindOutcome (Done) is recorded
+	kindNeedBody                    // replica to owner: kindHeld needs the body
+	kindQuery                       // replica to owner: does it hold this key?
+	kindSyncOffer                   // replica in sync to another: has all records of Slice
+	kindSyncRequest                 // answers kindSyncOffer: requests the records
+	kindPut                         // a record of a shard; Try is the number to acknowledge
+	kindPutAck                      // acknowledges kindPut
+	kindCopied                      // all records of Slice have been sent
+	kindInSync                      // replica to a replica in sync: has all records of Slice too
 )
 
-// Msg is all that one box tells another in one drain. Items are never changed once sent.
+// Msg is everything that one server sends to another in one call of TakeOutputs. Items are never modified once sent.
 type Msg struct {
 	Epoch, Life uint64
-	Refused     bool // nothing but: I am at Epoch, and took nothing of a message that was of another
+	Refused     bool // the sender is at Epoch and ignored a message of another epoch; there are no items
 	Items       []Item
 }
 
-// Item is one thing told. Which fields count depends on Kind.
+// Item is one item of a message. Which fields are used depends on Kind.
 type Item struct {
 	Kind   Kind
 	Key    Key           `cbor:",omitzero"`
@@ -46,14 +46,14 @@
 	Why    string        `cbor:",omitempty"`
 }
 
-// End is how a piece ended.
+// End is the outcome of a request.
 type End struct {
 	OK     bool
 	Result []byte
 	Why    string
 }
 
-// Record is what one home tells another of a key.
+// Record is what replicas exchange about a key.
 type Record struct {
 	Piece  Piece
 	Cands  []Cand
@@ -64,113 +64,113 @@
 // Cand is a process that claimed a key and may have won it.
 type Cand struct {
 	Owner
-	Try   uint64
-	Held  bool // it said that it won
-	Clear bool // its pool proved that it never ran the key, and is shut to it
-	waits bool // it said in this epoch that it has not won
-	// Of its try: its pool knows the run by it. Another try of the same piece has another.
+	Try    uint64
+	Held   bool // it reported that it won
+	Clear  bool // its pool proved that it never ran the key, and no longer accepts it
+	notWon bool // it reported in this epoch that it has not won
+	// Of its try: the pool knows the run by this handle. Another try for the same request has another.
 	Handle string `cbor:",omitempty"`
 	Cursor uint64 `cbor:",omitempty"`
 }
 
-func (h *Hand) send(to string, it Item) {
+func (h *Hand) send(to string, item Item) {
 	if to == h.view.Self {
-		h.self = append(h.self, it)
+		h.loopback = append(h.loopback, item)
 		return
 	}
-	if h.place == nil {
-		h.place = map[string]int{}
+	if h.sendIndex == nil {
+		h.sendIndex = map[string]int{}
 	}
-	i, ok := h.place[to]
+	index, ok := h.sendIndex[to]
 	if !ok {
-		i = len(h.out.Sends)
-		h.place[to] = i
-		h.out.Sends = append(h.out.Sends, Send{to, &Msg{}})
+		index = len(h.outputs.Sends)
+		h.sendIndex[to] = index
+		h.outputs.Sends = append(h.outputs.Sends, Send{to, &Msg{}})
 	}
-	m := h.out.Sends[i].Msg
-	if m.Epoch != h.view.Epoch || m.Refused { // of before a new view: it would be refused
-		*m = Msg{Epoch: h.view.Epoch, Life: h.view.Life}
+	message := h.outputs.Sends[index].Msg
+	if message.Epoch != h.view.Epoch || message.Refused { // made before a new view: it would be refused
+		*message = Msg{Epoch: h.view.Epoch, Life: h.view.Life}
 	}
-	m.Items = append(m.Items, it)
+	message.Items = append(message.Items, item)
 }
 
-// loop works off what this box told itself.
-func (h *Hand) loop(now time.Duration) {
-	for len(h.self) > 0 {
-		items := h.self
-		h.self = nil
+// deliverLoopback processes the messages of this server to itself.
+func (h *Hand) deliverLoopback(now time.Duration) {
+	for len(h.loopback) > 0 {
+		items := h.loopback
+		h.loopback = nil
 		for i := range items {
-			h.item(now, h.me(), &items[i])
+			h.handleItem(now, h.self(), &items[i])
 		}
 	}
 }
 
-// Receive takes a message of another box. One of another epoch or of a process that is not its box's present one has
-// no effect; its sender is told which epoch this box is at.
-func (h *Hand) Receive(now time.Duration, from string, m *Msg) {
-	if !h.live(now) {
+// Receive processes a message of another server. A message of another epoch, or of a process that is not its server's
+// current one, has no effect; the sender of another epoch is told which epoch this server is at.
+func (h *Hand) Receive(now time.Duration, from string, message *Msg) {
+	if !h.active(now) {
 		return
 	}
-	h.newest = max(h.newest, m.Epoch)
-	if m.Refused {
+	h.newestEpoch = max(h.newestEpoch, message.Epoch)
+	if message.Refused {
 		return
 	}
-	o := Owner{from, m.Life}
-	if m.Epoch != h.view.Epoch && !h.bug.epochUnchecked {
-		if _, ok := h.place[from]; !ok {
+	owner := Owner{from, message.Life}
+	if message.Epoch != h.view.Epoch && !h.injected.epochUnchecked {
+		if _, ok := h.sendIndex[from]; !ok {
 			h.send(from, Item{})
-			s := h.out.Sends[h.place[from]].Msg
-			s.Refused, s.Items = true, nil
+			reply := h.outputs.Sends[h.sendIndex[from]].Msg
+			reply.Refused, reply.Items = true, nil
 		}
 		return
 	}
-	if !h.lives(o) && !h.bug.epochUnchecked {
+	if !h.isCurrent(owner) && !h.injected.epochUnchecked {
 		return
 	}
-	for i := range m.Items {
-		h.item(now, o, &m.Items[i])
+	for i := range message.Items {
+		h.handleItem(now, owner, &message.Items[i])
 	}
-	h.loop(now)
+	h.deliverLoopback(now)
 }
 
-func (h *Hand) item(now time.Duration, from Owner, it *Item) {
-	switch it.Kind {
-	case kVerdict, kAck:
-		h.answered(now, from, it)
-	case kKept:
-		h.kept(now, from, it)
-	case kWant, kAsk:
-		h.asked(now, from, it)
-	case kOffer, kNeed, kCopied, kWhole:
-		if it.Slice >= 0 && it.Slice < Slices {
-			h.copying(now, from, it)
+func (h *Hand) handleItem(now time.Duration, from Owner, item *Item) {
+	switch item.Kind {
+	case kindVerdict, kindAck:
+		h.handleAnswer(now, from, item)
+	case kindStored:
+		h.handleStored(now, from, item)
+	case kindNeedBody, kindQuery:
+		h.handleQuery(now, from, item)
+	case kindSyncOffer, kindSyncRequest, kindCopied, kindInSync:
+		if item.Slice >= 0 && item.Slice < Slices {
+			h.handleSync(now, from, item)
 		}
-	case kPutOK:
-		h.putOK(now, from, it)
+	case kindPutAck:
+		h.handlePutAck(now, from, item)
 	default:
-		i := it.Key.Slice()
-		s := &h.slices[i]
-		if s.place == 0 {
+		i := item.Key.Slice()
+		shard := &h.shards[i]
+		if shard.role == 0 {
 			return
 		}
-		switch it.Kind {
-		case kClaim:
-			if it.Piece != nil {
-				h.claimed(now, s, from, it)
+		switch item.Kind {
+		case kindClaim:
+			if item.Piece != nil {
+				h.handleClaim(now, shard, from, item)
 			}
-		case kHeld:
-			h.held(now, s, from, it)
-		case kEnd:
-			h.ended(now, s, from, it)
-		case kSealed:
-			if r := s.recs[it.Key]; r != nil && r.end != nil {
-				r.sealed = true
+		case kindHeld:
+			h.handleHeld(now, shard, from, item)
+		case kindOutcome:
+			h.handleOutcome(now, shard, from, item)
+		case kindSealed:
+			if record := shard.records[item.Key]; record != nil && record.outcome != nil {
+				record.sealed = true
 			}
-		case kRelease:
-			h.released(s, from, it)
-		case kPut:
-			if it.Record != nil {
-				h.put(now, s, from, it)
+		case kindRelease:
+			h.handleRelease(shard, from, item)
+		case kindPut:
+			if item.Record != nil {
+				h.handlePut(now, shard, from, item)
 			}
 		}
 	}
--- a/internal/fleet/hand/taker.go
+++ b/internal/fleet/hand/taker.go
@@ -11,169 +11,176 @@
 
 // The states of a Proof.
 const (
-	NeverRan ProofState = iota + 1 // and cannot any more: the pool is bound to the taker
-	Ran                            // it ended: OK and Result tell how
-	Running                        // it runs, and its end will be known
-	Unknown                        // the pool cannot tell, or is gone
+	NeverRan ProofState = iota + 1 // and never will: the pool now serves the server that takes over
+	Ran                            // the run ended: OK and Result are its outcome
+	Running                        // it is running, and its outcome will be known
+	Unknown                        // the pool cannot tell, or no longer exists
 )
 
-// Proof is what a Probe found of one key.
+// Proof is what a Probe found out about one key.
 type Proof struct {
 	State  ProofState
 	OK     bool
 	Result []byte
 }
 
-// Proved tells what the pool of a lost process knows of a key.
-func (h *Hand) Proved(now time.Duration, k Key, o Owner, p Proof) {
-	if !h.live(now) {
+// Proved reports what the pool of a lost process knows of a key.
+func (h *Hand) Proved(now time.Duration, key Key, owner Owner, proof Proof) {
+	if !h.active(now) {
 		return
 	}
-	s := &h.slices[k.Slice()]
-	r := s.recs[k]
-	if r == nil || s.place != 1 || r.end != nil || r.take != 0 || h.lives(o) {
+	shard := &h.shards[key.Slice()]
+	record := shard.records[key]
+	if record == nil || shard.role != 1 || record.outcome != nil || record.takeoverTry != 0 || h.isCurrent(owner) {
 		return
 	}
-	i := r.cand(o)
-	if i < 0 {
+	index := record.indexOf(owner)
+	if index < 0 {
 		return
 	}
-	switch p.State {
+	switch proof.State {
 	case NeverRan:
-		r.cands[i].Clear = true
+		record.candidates[index].Clear = true
 	case Ran:
-		h.decide(now, r, &End{OK: p.OK, Result: p.Result, Why: "as the pool of the lost " + o.Box + " knows"})
+		h.decide(now, record, &End{OK: proof.OK, Result: proof.Result, Why: "as the pool of the lost " + owner.Box + " knows"})
 	case Unknown:
-		h.decide(now, r, &End{Why: "its box " + o.Box + " was lost and its pool cannot tell: it may have run"})
+		h.decide(now, record, &End{Why: "its box " + owner.Box + " was lost and its pool cannot tell: it may have run"})
 	}
-	h.look = true
-	h.loop(now)
+	h.takeoverDue = true
+	h.deliverLoopback(now)
 }
 
-// decide closes a lost piece; it is told to nobody before the second home has it.
-func (h *Hand) decide(now time.Duration, r *record, e *End) {
-	h.close(now, r, e)
-	h.tell(now, r)
+// decide sets the outcome of a lost server's request. It is returned to no caller before the backup has it.
+func (h *Hand) decide(now time.Duration, record *storedRecord, outcome *End) {
+	h.setOutcome(now, record, outcome)
+	h.replicate(now, record)
 }
 
-// lost are the candidates that have to be cleared before a piece is taken over. ok = all who may have it are lost.
-func (h *Hand) lost(s *slice, r *record) (who []int, ok bool) {
-	h.settle(s, r)
-	if i := r.cand(r.owner); i >= 0 && s.whole {
-		return []int{i}, !h.lives(r.owner)
-	}
-	for i, c := range r.cands {
-		if h.lives(c.Owner) {
+// lostCandidates returns the indexes of the candidates that must be cleared before a request is taken over. ok reports
+// whether every process that may have it is lost.
+func (h *Hand) lostCandidates(shard *shardState, record *storedRecord) (candidates []int, ok bool) {
+	h.determineOwner(shard, record)
+	if index := record.indexOf(record.owner); index >= 0 && shard.inSync {
+		return []int{index}, !h.isCurrent(record.owner)
+	}
+	for index, candidate := range record.candidates {
+		if h.isCurrent(candidate.Owner) {
 			return nil, false
 		}
-		who = append(who, i)
+		candidates = append(candidates, index)
 	}
-	return who, true
+	return candidates, true
 }
 
-// take looks at the pieces of lost boxes that this box is first home of: by what is proved they are run here, given
-// the end that their pool knows, or failed. It depends on view and records alone, so whichever box comes to be first
-// home does the same.
-func (h *Hand) take(now time.Duration) {
-	h.look = false
-	var ready []*record
+// takeOver checks the requests of lost servers in the shards that this server is the primary of. Depending on the proofs
+// they are run here, given the outcome that the pool knows, or failed. The decision depends only on the view and the
+// records, so that whichever server becomes primary decides the same.
+func (h *Hand) takeOver(now time.Duration) {
+	h.takeoverDue = false
+	var ready []*storedRecord
 	probes := map[Owner][]Asked{}
-	for _, r := range h.open {
-		s := &h.slices[r.slice]
-		if s.recs[r.p.Key] != r || r.end != nil || r.take != 0 || s.place == 0 || s.place != 1 && !h.bug.ownClock {
+	for _, record := range h.openRecords {
+		shard := &h.shards[record.shard]
+		if shard.records[record.request.Key] != record || record.outcome != nil || record.takeoverTry != 0 ||
+			shard.role == 0 || shard.role != 1 && !h.injected.takeoverByOwnClock {
 			continue
 		}
-		who, ok := h.lost(s, r)
+		candidates, ok := h.lostCandidates(shard, record)
 		if !ok {
 			continue
 		}
-		if !s.whole && (now-s.since < copyWait || slices.ContainsFunc(who, func(i int) bool { return !r.cands[i].Held })) {
-			continue // another may have won it, and live
+		if !shard.inSync && (now-shard.since < copySourceTimeout ||
+			slices.ContainsFunc(candidates, func(i int) bool { return !record.candidates[i].Held })) {
+			continue // another process may have won it, and be registered
 		}
-		if now >= r.due {
-			h.decide(now, r, &End{Why: "its box was lost and its time passed: it may have run"})
+		if now >= record.due {
+			h.decide(now, record, &End{Why: "its box was lost and its time passed: it may have run"})
 			continue
 		}
-		h.prove(now, r, who, probes, &ready)
+		h.checkProofs(now, record, candidates, probes, &ready)
 	}
 	owners := make([]Owner, 0, len(probes))
-	for o := range probes {
-		owners = append(owners, o)
+	for owner := range probes {
+		owners = append(owners, owner)
 	}
 	slices.SortFunc(owners, func(a, b Owner) int { return strings.Compare(a.Box, b.Box) })
-	for _, o := range owners {
-		h.out.Probes = append(h.out.Probes, Probe{Owner: o, Pool: h.view.Pools[o], Keys: probes[o]})
+	for _, owner := range owners {
+		h.outputs.Probes = append(h.outputs.Probes, Probe{Owner: owner, Pool: h.view.Pools[owner], Keys: probes[owner]})
 	}
-	slices.SortStableFunc(ready, func(a, b *record) int { return int(a.due - b.due) })
-	for _, r := range ready {
-		if h.adopted >= h.lim.Adopted {
-			return // the rest waits for one of these to end, within its time
+	slices.SortStableFunc(ready, func(a, b *storedRecord) int { return int(a.due - b.due) })
+	for _, record := range ready {
+		if h.adoptedCount >= h.limits.Adopted {
+			return // the rest waits for one of these to finish, within its time
 		}
-		if h.mine[r.p.Key] == nil { // else this box is just asking for it: it will hear that another has it
-			h.begin(now, r)
+		if h.claims[record.request.Key] == nil { // otherwise this server is claiming it, and the answer will be HeldElsewhere
+			h.beginTakeover(now, record)
 		}
 	}
 }
 
-// prove sorts a lost piece into those that are ready and those whose pool has to be asked, or fails it.
-func (h *Hand) prove(now time.Duration, r *record, who []int, probes map[Owner][]Asked, ready *[]*record) {
-	var ask []Cand
-	for _, i := range who {
-		switch c := &r.cands[i]; {
-		case c.Clear || r.p.Repeat || h.bug.fenceSkipped:
-		case h.view.Pools[c.Owner] == "":
-			h.decide(now, r, &End{Why: "its box " + c.Box + " was lost and its pool is not known: it may have run"})
+// checkProofs fails a lost server's request, or adds it to ready or its candidates to probes, whose pools must be
+// queried.
+func (h *Hand) checkProofs(now time.Duration, record *storedRecord, candidates []int, probes map[Owner][]Asked,
+	ready *[]*storedRecord) {
+	var unproved []Cand
+	for _, i := range candidates {
+		switch candidate := &record.candidates[i]; {
+		case candidate.Clear || record.request.Repeat || h.injected.probeSkipped:
+		case h.view.Pools[candidate.Owner] == "":
+			h.decide(now, record, &End{Why: "its box " + candidate.Box + " was lost and its pool is not known: it may have run"})
 			return
 		default:
-			ask = append(ask, *c)
+			unproved = append(unproved, *candidate)
 		}
 	}
-	if len(ask) == 0 {
-		*ready = append(*ready, r)
+	if len(unproved) == 0 {
+		*ready = append(*ready, record)
 		return
 	}
-	if r.probed == 0 || now-r.probed >= probeWait {
-		r.probed = now
-		alone := len(ask) == 1 && h.slices[r.slice].whole
-		for _, c := range ask {
-			probes[c.Owner] = append(probes[c.Owner], Asked{r.p.Key, c.Handle, c.Cursor, alone})
+	if record.probedAt == 0 || now-record.probedAt >= probeInterval {
+		record.probedAt = now
+		onlyCandidate := len(unproved) == 1 && h.shards[record.shard].inSync
+		for _, candidate := range unproved {
+			probes[candidate.Owner] = append(probes[candidate.Owner],
+				Asked{record.request.Key, candidate.Handle, candidate.Cursor, onlyCandidate})
 		}
 	}
 }
 
-// begin makes this box the owner; the piece is run once the second home has that.
-func (h *Hand) begin(now time.Duration, r *record) {
-	h.try++
-	h.adopted++
-	r.take, r.owner = h.try, h.me()
-	h.add(r, Cand{Owner: r.owner, Try: r.take, Handle: r.p.Handle})
-	h.tell(now, r)
-	if h.bug.ownClock && h.slices[r.slice].place == 2 {
-		h.adopt(now, r)
+// beginTakeover makes this server the owner. The request is run once the backup has recorded that.
+func (h *Hand) beginTakeover(now time.Duration, record *storedRecord) {
+	h.lastTry++
+	h.adoptedCount++
+	record.takeoverTry, record.owner = h.lastTry, h.self()
+	h.addCandidate(record, Cand{Owner: record.owner, Try: record.takeoverTry, Handle: record.request.Handle})
+	h.replicate(now, record)
+	if h.injected.takeoverByOwnClock && h.shards[record.shard].role == 2 {
+		h.adopt(now, record)
 	}
 }
 
-// untake ends a takeover that was not acknowledged. The piece is the next taker's.
-func (h *Hand) untake(r *record) {
-	if r.take == 0 {
+// cancelTakeover ends a takeover that was not acknowledged. The next server to take over will run the request.
+func (h *Hand) cancelTakeover(record *storedRecord) {
+	if record.takeoverTry == 0 {
 		return
 	}
-	h.adopted--
-	r.take, r.owner = 0, Owner{}
-	if i := r.cand(h.me()); i >= 0 {
-		r.cands = slices.Delete(r.cands, i, i+1)
+	h.adoptedCount--
+	record.takeoverTry, record.owner = 0, Owner{}
+	if index := record.indexOf(h.self()); index >= 0 {
+		record.candidates = slices.Delete(record.candidates, index, index+1)
 	}
 }
 
-// adopt gives the core a piece that is this box's now at both homes.
-func (h *Hand) adopt(now time.Duration, r *record) {
-	x := &hold{p: r.p, try: r.take, state: holding, adopted: true, due: r.due, until: r.until, sent: now}
-	x.p.Cursor = 0 // it was of another pool
-	p := x.piece(now, true)
-	r.take = 0
-	h.mine[r.p.Key] = x
-	h.own += x.size()
-	h.expiry.add(x.until, r.p.Key, false)
-	x.busy, h.busy = true, append(h.busy, x)
-	h.out.Adopts = append(h.out.Adopts, Adopt{Piece: *p})
+// adopt gives the core a request that both replicas now record as this server's.
+func (h *Hand) adopt(now time.Duration, record *storedRecord) {
+	claim := &claim{request: record.request, try: record.takeoverTry, state: stateHeld, adopted: true,
+		due: record.due, expires: record.expires, sentAt: now}
+	claim.request.Cursor = 0 // the cursor was of another pool
+	request := claim.requestNow(now, true)
+	record.takeoverTry = 0
+	h.claims[record.request.Key] = claim
+	h.claimBytes += claim.size()
+	h.expiries.add(claim.expires, record.request.Key, false)
+	claim.queued, h.unacknowledged = true, append(h.unacknowledged, claim)
+	h.outputs.Adopts = append(h.outputs.Adopts, Adopt{Piece: *request})
 }
--- a/internal/fleet/hand/whole.go
+++ b/internal/fleet/hand/whole.go
@@ -5,230 +5,233 @@
 	"time"
 )
 
-// slice is a part of the keys at a box that is a home of it, or was one in the view before.
-type slice struct {
-	place int           // 1 = first home, 2 = second, 0 = none
-	whole bool          // its records are a superset of all claims that may have won and are not forgotten
-	since time.Duration // since when it is a home without a break
-	recs  map[Key]*record
-	out   map[string]*copying // to boxes that need the slice
-	knows []string            // that have said they are whole
-	said  time.Duration       // when the others were last told that this box is whole
-	from  string              // whose copy it takes
-	heard time.Duration       // when that last came
+// shardState is a shard at a server that is a replica of it, or was one in the previous view.
+type shardState struct {
+	role          int           // 1 = primary, 2 = backup, 0 = none
+	inSync        bool          // its records are a superset of all unexpired claims that may have won
+	since         time.Duration // since when it has been a replica without a break
+	records       map[Key]*storedRecord
+	copies        map[string]*shardCopy // copies in progress, by the server that receives them
+	syncedPeers   []string              // servers that have reported to be in sync
+	offeredAt     time.Duration         // when the other replicas were last told that this server is in sync
+	source        string                // server whose copy it receives
+	sourceHeardAt time.Duration         // when that last sent something
 }
 
-// copying is a slice on its way to one box.
-type copying struct {
-	left []*record
-	sent map[uint64]*record // not acknowledged, by number
-	at   time.Duration
+// shardCopy is a copy of a shard in progress to one server.
+type shardCopy struct {
+	remaining      []*storedRecord
+	unacknowledged map[uint64]*storedRecord // unacknowledged records by number
+	sentAt         time.Duration
 }
 
-// turn changes a slice to a new view. Who was whole and is a home no longer keeps it for this one view, to give it to
-// those that are; who becomes a home begins with nothing and is not whole, unless the slice never had a home.
-func (h *Hand) turn(now time.Duration, i int, follows bool) {
-	s := &h.slices[i]
-	was, place := s.place, 0
-	names := h.view.Homes(i)
-	for j := range min(2, len(names)) {
-		if names[j] == h.view.Self {
-			place = j + 1
-		}
-	}
-	fresh := place > 0 && h.view.Fresh != nil && h.view.Fresh(i)
-	if was == 0 && place == 0 && s.recs == nil && !s.whole {
+// updateShard updates a shard for a new view. A server that was in sync and is no longer a replica keeps the shard for
+// this one view, to copy it to the new replicas. A new replica starts empty and is not in sync, unless the shard never
+// had replicas.
+func (h *Hand) updateShard(now time.Duration, index int, follows bool) {
+	shard := &h.shards[index]
+	previous, role := shard.role, 0
+	replicas := h.view.Homes(index)
+	for j := range min(2, len(replicas)) {
+		if replicas[j] == h.view.Self {
+			role = j + 1
+		}
+	}
+	fresh := role > 0 && h.view.Fresh != nil && h.view.Fresh(index)
+	if previous == 0 && role == 0 && shard.records == nil && !shard.inSync {
 		return
 	}
-	s.place, s.out, s.knows, s.from, s.said = place, nil, nil, "", 0
+	shard.role, shard.copies, shard.syncedPeers, shard.source, shard.offeredAt = role, nil, nil, "", 0
 	switch {
-	case place > 0 && was > 0 && follows: // as before
-		s.whole = s.whole || h.bug.promoted && place == 1
-	case place > 0:
-		h.empty(s)
-		s.whole, s.since = h.bug.noQuarantine, now
-	case was == 0 || !s.whole || !follows:
-		h.empty(s)
-		s.whole = false
+	case role > 0 && previous > 0 && follows: // unchanged
+		shard.inSync = shard.inSync || h.injected.promoteUnsynced && role == 1
+	case role > 0:
+		h.clearShard(shard)
+		shard.inSync, shard.since = h.injected.noQuarantine, now
+	case previous == 0 || !shard.inSync || !follows:
+		h.clearShard(shard)
+		shard.inSync = false
 	}
-	s.whole = s.whole || fresh
-	for _, k := range sortedKeys(s.recs) {
-		r := s.recs[k]
-		for j := range r.cands {
-			r.cands[j].waits = false
+	shard.inSync = shard.inSync || fresh
+	for _, key := range sortedKeys(shard.records) {
+		record := shard.records[key]
+		for j := range record.candidates {
+			record.candidates[j].notWon = false
 		}
-		if r.put, r.sent, r.probed = 0, 0, 0; place != 1 || was != 1 {
-			h.untake(r)
-			r.owner = Owner{}
+		if record.putNumber, record.sentAt, record.probedAt = 0, 0, 0; role != 1 || previous != 1 {
+			h.cancelTakeover(record)
+			record.owner = Owner{}
 		}
-		if place > 0 && (r.end == nil || !r.sealed) {
-			h.watch(now, r)
+		if role > 0 && (record.outcome == nil || !record.sealed) {
+			h.watch(now, record)
 		}
 	}
 }
 
-func (h *Hand) empty(s *slice) {
-	for _, r := range s.recs {
-		h.forget(s, r)
+func (h *Hand) clearShard(shard *shardState) {
+	for _, record := range shard.records {
+		h.deleteRecord(shard, record)
 	}
-	s.recs = nil
+	shard.records = nil
 }
 
-// offer tells the homes of slices that this box is whole in that it is, until they say that they are too.
-func (h *Hand) offer(now time.Duration) {
-	for _, i := range h.homed {
-		s := &h.slices[i]
-		if !s.whole {
+// offerSync tells the replicas of shards for which this server is in sync, until they report to be in sync too.
+func (h *Hand) offerSync(now time.Duration) {
+	for _, index := range h.localShards {
+		shard := &h.shards[index]
+		if !shard.inSync {
 			continue
 		}
-		for name, c := range s.out {
-			if now-c.at >= h.lim.Retry && !slices.Contains(s.knows, name) {
-				for _, n := range sortedNumbers(c.sent) {
-					h.send(name, Item{Kind: kPut, Key: c.sent[n].p.Key, Try: n, Record: h.copyOf(now, c.sent[n])})
+		for name, transfer := range shard.copies {
+			if now-transfer.sentAt >= h.limits.Retry && !slices.Contains(shard.syncedPeers, name) {
+				for _, number := range sortedNumbers(transfer.unacknowledged) {
+					h.send(name, Item{Kind: kindPut, Key: transfer.unacknowledged[number].request.Key, Try: number,
+						Record: h.recordMessage(now, transfer.unacknowledged[number])})
 				}
-				c.at = now
-				h.feed(now, i, name, c)
+				transfer.sentAt = now
+				h.continueCopy(now, index, name, transfer)
 			}
 		}
-		if s.said != 0 && now-s.said < h.lim.Retry {
+		if shard.offeredAt != 0 && now-shard.offeredAt < h.limits.Retry {
 			continue
 		}
-		s.said = now
-		for _, o := range h.homes(i) {
-			if o != h.me() && !slices.Contains(s.knows, o.Box) {
-				h.send(o.Box, Item{Kind: kOffer, Slice: i})
+		shard.offeredAt = now
+		for _, replica := range h.replicas(index) {
+			if replica != h.self() && !slices.Contains(shard.syncedPeers, replica.Box) {
+				h.send(replica.Box, Item{Kind: kindSyncOffer, Slice: index})
 			}
 		}
 	}
 }
 
-func sortedNumbers(m map[uint64]*record) []uint64 {
-	out := make([]uint64, 0, len(m))
-	for n := range m {
-		out = append(out, n)
+func sortedNumbers(m map[uint64]*storedRecord) []uint64 {
+	numbers := make([]uint64, 0, len(m))
+	for number := range m {
+		numbers = append(numbers, number)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(numbers)
+	return numbers
 }
 
-// copying takes a step of a slice's way from a box that is whole to one that is not.
-func (h *Hand) copying(now time.Duration, from Owner, it *Item) {
-	s := &h.slices[it.Slice]
-	switch it.Kind {
-	case kOffer:
+// handleSync handles a message about copying a shard from a server in sync to one that is not.
+func (h *Hand) handleSync(now time.Duration, from Owner, item *Item) {
+	shard := &h.shards[item.Slice]
+	switch item.Kind {
+	case kindSyncOffer:
 		switch {
-		case s.place == 0:
-		case s.whole:
-			h.send(from.Box, Item{Kind: kWhole, Slice: it.Slice})
-		case s.from == "" || s.from == from.Box || now-s.heard > copyWait:
-			if s.from != from.Box {
-				s.from, s.heard = from.Box, now
+		case shard.role == 0:
+		case shard.inSync:
+			h.send(from.Box, Item{Kind: kindInSync, Slice: item.Slice})
+		case shard.source == "" || shard.source == from.Box || now-shard.sourceHeardAt > copySourceTimeout:
+			if shard.source != from.Box {
+				shard.source, shard.sourceHeardAt = from.Box, now
 			}
-			h.send(from.Box, Item{Kind: kNeed, Slice: it.Slice})
+			h.send(from.Box, Item{Kind: kindSyncRequest, Slice: item.Slice})
 		}
-	case kNeed:
-		if !s.whole || s.out[from.Box] != nil || h.flying >= flyMost {
+	case kindSyncRequest:
+		if !shard.inSync || shard.copies[from.Box] != nil || h.copiesInFlight >= maxCopiesInFlight {
 			return
 		}
-		c := &copying{sent: map[uint64]*record{}}
-		for _, k := range sortedKeys(s.recs) {
-			c.left = append(c.left, s.recs[k])
-		}
-		if s.out == nil {
-			s.out = map[string]*copying{}
-		}
-		s.out[from.Box] = c
-		h.feed(now, it.Slice, from.Box, c)
-	case kCopied:
-		if s.place > 0 {
-			s.whole = true
-			h.send(from.Box, Item{Kind: kWhole, Slice: it.Slice})
-		}
-	case kWhole:
-		if s.whole && !slices.Contains(s.knows, from.Box) {
-			s.knows = append(s.knows, from.Box)
-			if c := s.out[from.Box]; c != nil {
-				h.flying -= len(c.sent)
+		transfer := &shardCopy{unacknowledged: map[uint64]*storedRecord{}}
+		for _, key := range sortedKeys(shard.records) {
+			transfer.remaining = append(transfer.remaining, shard.records[key])
+		}
+		if shard.copies == nil {
+			shard.copies = map[string]*shardCopy{}
+		}
+		shard.copies[from.Box] = transfer
+		h.continueCopy(now, item.Slice, from.Box, transfer)
+	case kindCopied:
+		if shard.role > 0 {
+			shard.inSync = true
+			h.send(from.Box, Item{Kind: kindInSync, Slice: item.Slice})
+		}
+	case kindInSync:
+		if shard.inSync && !slices.Contains(shard.syncedPeers, from.Box) {
+			shard.syncedPeers = append(shard.syncedPeers, from.Box)
+			if transfer := shard.copies[from.Box]; transfer != nil {
+				h.copiesInFlight -= len(transfer.unacknowledged)
 			}
-			delete(s.out, from.Box)
-			if s.place == 0 { // one home has it: that one gives it to the other
-				h.empty(s)
-				s.whole = false
+			delete(shard.copies, from.Box)
+			if shard.role == 0 { // one replica has it, and copies it to the other
+				h.clearShard(shard)
+				shard.inSync = false
 			}
 		}
 	}
 }
 
-// feed sends on of a copy what is under its bounds, and says when all is there.
-func (h *Hand) feed(now time.Duration, slice int, to string, c *copying) {
+// continueCopy sends further records of a copy up to its bounds, and reports when all have been sent.
+func (h *Hand) continueCopy(now time.Duration, shard int, to string, transfer *shardCopy) {
 	bytes := int64(0)
-	for _, r := range c.sent {
-		bytes += r.size()
+	for _, record := range transfer.unacknowledged {
+		bytes += record.size()
 	}
-	for len(c.left) > 0 && len(c.sent) < copyMost && bytes < copyBytes {
-		r := c.left[0]
-		c.left = c.left[1:]
-		if h.slices[slice].recs[r.p.Key] != r {
-			continue // released or forgotten since
+	for len(transfer.remaining) > 0 && len(transfer.unacknowledged) < maxCopyRecords && bytes < maxCopyBytes {
+		record := transfer.remaining[0]
+		transfer.remaining = transfer.remaining[1:]
+		if h.shards[shard].records[record.request.Key] != record {
+			continue // released or expired since
 		}
-		h.try++
-		c.sent[h.try] = r
-		h.flying++
-		bytes += r.size()
-		c.at = now
-		h.send(to, Item{Kind: kPut, Key: r.p.Key, Try: h.try, Record: h.copyOf(now, r)})
+		h.lastTry++
+		transfer.unacknowledged[h.lastTry] = record
+		h.copiesInFlight++
+		bytes += record.size()
+		transfer.sentAt = now
+		h.send(to, Item{Kind: kindPut, Key: record.request.Key, Try: h.lastTry, Record: h.recordMessage(now, record)})
 	}
-	if len(c.left) == 0 && len(c.sent) == 0 {
-		h.send(to, Item{Kind: kCopied, Slice: slice})
+	if len(transfer.remaining) == 0 && len(transfer.unacknowledged) == 0 {
+		h.send(to, Item{Kind: kindCopied, Slice: shard})
 	}
 }
 
-// put takes a record of the other home, or of one that was: what is known here and what it says are joined, so that
-// nobody who may have won goes missing.
-func (h *Hand) put(now time.Duration, s *slice, from Owner, it *Item) {
-	p := &it.Record.Piece
-	r := s.recs[it.Key]
-	if r == nil {
-		if !h.room(int64(len(p.Body)), 2) {
-			return // it comes again
+// handlePut merges a record of the other replica, or of a former one, with what is known here, so that no process that
+// may have won goes missing.
+func (h *Hand) handlePut(now time.Duration, shard *shardState, from Owner, item *Item) {
+	request := &item.Record.Piece
+	record := shard.records[item.Key]
+	if record == nil {
+		if !h.hasRoom(int64(len(request.Body)), 2) {
+			return // it is sent again
 		}
-		r = h.record(now, s, it.Key, p)
+		record = h.newRecord(now, shard, item.Key, request)
 	}
-	if s.from == from.Box {
-		s.heard = now
+	if shard.source == from.Box {
+		shard.sourceHeardAt = now
 	}
-	if e := it.Record.End; e != nil {
-		if r.end != nil && (it.Record.Sealed || e.OK) { // a real end stands before a taker's verdict
-			h.replace(now, r, e)
+	if outcome := item.Record.End; outcome != nil {
+		if record.outcome != nil && (item.Record.Sealed || outcome.OK) { // an actual outcome precedes a takeover's decision
+			h.replaceOutcome(now, record, outcome)
 		}
-		h.close(now, r, e)
-		r.sealed = r.sealed || it.Record.Sealed
+		h.setOutcome(now, record, outcome)
+		record.sealed = record.sealed || item.Record.Sealed
 	}
-	for _, c := range it.Record.Cands {
-		c.waits = false
-		h.add(r, c)
+	for _, candidate := range item.Record.Cands {
+		candidate.notWon = false
+		h.addCandidate(record, candidate)
 	}
-	out := Item{Kind: kPutOK, Key: it.Key, Try: it.Try}
-	if r.end != nil && (it.Record.End == nil || !r.end.same(it.Record.End)) {
-		out.End = r.end // the lost box told this home alone
+	reply := Item{Kind: kindPutAck, Key: item.Key, Try: item.Try}
+	if record.outcome != nil && (item.Record.End == nil || !record.outcome.same(item.Record.End)) {
+		reply.End = record.outcome // the lost server reported it to this replica only
 	}
-	h.send(from.Box, out)
+	h.send(from.Box, reply)
 }
 
-// putOK takes the word that a record has arrived: one of a copy, or one that the second home was told of.
-func (h *Hand) putOK(now time.Duration, from Owner, it *Item) {
-	i := it.Key.Slice()
-	s := &h.slices[i]
-	if c := s.out[from.Box]; c != nil && c.sent[it.Try] != nil {
-		delete(c.sent, it.Try)
-		h.flying--
-		h.feed(now, i, from.Box, c)
-	}
-	homes := h.homes(i)
-	if r := s.recs[it.Key]; r != nil && s.place == 1 && r.put == it.Try && len(homes) == 2 && homes[1] == from {
-		if it.End != nil {
-			h.replace(now, r, it.End)
-		}
-		h.putDone(now, r)
+// handlePutAck processes the acknowledgement of a record: of a copy, or of one that was sent to the backup.
+func (h *Hand) handlePutAck(now time.Duration, from Owner, item *Item) {
+	index := item.Key.Slice()
+	shard := &h.shards[index]
+	if transfer := shard.copies[from.Box]; transfer != nil && transfer.unacknowledged[item.Try] != nil {
+		delete(transfer.unacknowledged, item.Try)
+		h.copiesInFlight--
+		h.continueCopy(now, index, from.Box, transfer)
+	}
+	replicas := h.replicas(index)
+	if record := shard.records[item.Key]; record != nil && shard.role == 1 && record.putNumber == item.Try &&
+		len(replicas) == 2 && replicas[1] == from {
+		if item.End != nil {
+			h.replaceOutcome(now, record, item.End)
+		}
+		h.replicated(now, record)
 	}
 }
--- a/internal/fleet/hand/world_test.go
+++ b/internal/fleet/hand/world_test.go
@@ -24,40 +24,41 @@
 	step     = 10 * ms
 )
 
-// box is a machine: its process has a Hand and a core, which knows its calls and what its pool runs for it.
-type box struct {
-	name    string
-	h       *Hand
-	life    uint64
-	applied int           // views
-	next    time.Duration // when the next view is taken, if it is there
-	granted time.Duration // the log's end of its lease
-	frozen  time.Duration // until then it does nothing
-	down    time.Duration // until then there is no process; 0 = there is
-	cut     time.Duration // until then it hears nobody
-	calls   map[Key]*call
+// server is a simulated server: its process has a Machine and a core, which knows its calls and what its pool runs for
+// it.
+type server struct {
+	name         string
+	machine      *Hand
+	token        uint64
+	applied      int           // number of views
+	nextView     time.Duration // when the next view is applied, if there is one
+	leaseEnd     time.Duration // end of its lease according to the log
+	stoppedUntil time.Duration // until then it does nothing
+	downUntil    time.Duration // until then there is no process; 0 = there is one
+	cutUntil     time.Duration // until then it is cut off from all others
+	calls        map[Key]*call
 }
 
 type call struct {
-	p       Piece
-	started time.Duration
-	again   time.Duration // when the core asks again; 0 = it waits
-	asked   int64
-	runs    bool
-	failed  bool
-	end     int64 // place of its Finish among the operations
+	request    Piece
+	started    time.Duration
+	askAgainAt time.Duration // when the core asks again; 0 = it waits for an answer
+	askedAt    int64         // logical time of the latest claim
+	running    bool
+	failed     bool
+	finishedAt int64 // logical time of its Finish
 }
 
 type run struct {
-	at, end time.Duration
-	result  string
-	by      *box
-	life    uint64
-	told    bool
+	at, end  time.Duration
+	result   string
+	server   *server
+	token    uint64
+	reported bool
 }
 
-// workers is the pool of one process; it lives apart from it.
-type workers struct {
+// workerPool is the worker pool of one process, which it may outlive.
+type workerPool struct {
 	dead, fenced bool
 	runs         map[Key]*run
 }
@@ -65,382 +66,387 @@
 type packet struct {
 	at       time.Duration
 	from, to string
-	m        *Msg
+	message  *Msg
 }
 
 // world is a fleet in virtual time.
 type world struct {
-	rnd     *rand.Rand // nil: nothing is by chance
-	bug     defects
-	now     time.Duration
-	boxes   []*box
-	net     []packet
-	later   []func() // what the pools and the log have still to hear
-	views   []View
-	homes   map[int]bool // slices that keys are in
-	pools   map[Owner]*workers
-	noPool  map[Owner]bool
-	ran     map[Key]int
-	first   map[Key]string // the result first answered
-	ended   map[Key]int
-	ops     []op
-	clock   int64
-	history []string
-	bad     string
-	loss    int // in a thousand
-	slow    time.Duration
-	stats   map[string]int
+	random       *rand.Rand // nil = nothing is random
+	injected     defects
+	now          time.Duration
+	servers      []*server
+	packets      []packet
+	pending      []func() // pending actions of the pools
+	views        []View
+	shards       map[int]bool // the shards of the keys
+	pools        map[Owner]*workerPool
+	unknownPools map[Owner]bool
+	runCount     map[Key]int    // number of runs
+	firstResult  map[Key]string // the first result that was answered
+	answerCount  map[Key]int    // number of answers
+	ops          []op
+	clock        int64
+	events       []string
+	violation    string
+	loss         int           // per mille
+	maxDelay     time.Duration // maximum delay of a message
+	stats        map[string]int
 }
 
-func (w *world) note(f string, a ...any) {
-	w.history = append(w.history, fmt.Sprintf("%6d ", w.now/ms)+fmt.Sprintf(f, a...))
+func (w *world) logf(f string, a ...any) {
+	w.events = append(w.events, fmt.Sprintf("%6d ", w.now/ms)+fmt.Sprintf(f, a...))
 }
 
 func (w *world) fail(f string, a ...any) {
-	if w.bad == "" {
-		w.bad = fmt.Sprintf(f, a...)
-		w.note("%s", w.bad)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(f, a...)
+		w.logf("%s", w.violation)
 	}
 }
 
-func (w *world) chance(n int) bool { return w.rnd != nil && w.rnd.IntN(1000) < n }
+func (w *world) chance(n int) bool { return w.random != nil && w.random.IntN(1000) < n }
 
-func (w *world) wait(most time.Duration) time.Duration {
-	if w.rnd == nil {
+func (w *world) delay(longest time.Duration) time.Duration {
+	if w.random == nil {
 		return step
 	}
-	return 1*ms + time.Duration(w.rnd.Int64N(int64(most)))
+	return 1*ms + time.Duration(w.random.Int64N(int64(longest)))
 }
 
-func newWorld(rnd *rand.Rand, n int, keys []Key, bug defects) *world {
-	w := &world{rnd: rnd, bug: bug, now: time.Second, homes: map[int]bool{}, pools: map[Owner]*workers{}, noPool: map[Owner]bool{}, slow: 20 * ms,
-		ran: map[Key]int{}, first: map[Key]string{}, ended: map[Key]int{}, stats: map[string]int{}}
-	for _, k := range keys {
-		w.homes[k.Slice()] = true
+func newWorld(rnd *rand.Rand, count int, keys []Key, injected defects) *world {
+	w := &world{random: rnd, injected: injected, now: time.Second, shards: map[int]bool{},
+		pools: map[Owner]*workerPool{}, unknownPools: map[Owner]bool{}, maxDelay: 20 * ms,
+		runCount: map[Key]int{}, firstResult: map[Key]string{}, answerCount: map[Key]int{}, stats: map[string]int{}}
+	for _, key := range keys {
+		w.shards[key.Slice()] = true
 	}
 	lives := map[string]uint64{}
-	for i := range n {
-		b := &box{name: fmt.Sprintf("n%02d", i), h: New(simLimits)}
-		b.h.bug = bug
-		w.boxes = append(w.boxes, b)
-		w.join(b, lives)
+	for i := range count {
+		server := &server{name: fmt.Sprintf("n%02d", i), machine: New(simLimits)}
+		server.machine.injected = injected
+		w.servers = append(w.servers, server)
+		w.register(server, lives)
 	}
-	w.view(lives)
+	w.addView(lives)
 	return w
 }
 
-func (w *world) join(b *box, lives map[string]uint64) {
+func (w *world) register(server *server, lives map[string]uint64) {
 	w.clock++
-	b.life, b.granted, b.calls = uint64(w.clock), w.now+leaseFor, map[Key]*call{}
-	lives[b.name] = b.life
-	o := Owner{b.name, b.life}
-	w.pools[o] = &workers{runs: map[Key]*run{}}
-	w.noPool[o] = w.chance(100)
+	server.token, server.leaseEnd, server.calls = uint64(w.clock), w.now+leaseFor, map[Key]*call{}
+	lives[server.name] = server.token
+	owner := Owner{server.name, server.token}
+	w.pools[owner] = &workerPool{runs: map[Key]*run{}}
+	w.unknownPools[owner] = w.chance(100)
 }
 
-// view is a change that the log agrees on. Homes are by rendezvous.
-func (w *world) view(lives map[string]uint64) {
+// addView adds a view that the log agrees on. Replicas are assigned by rendezvous hashing.
+func (w *world) addView(lives map[string]uint64) {
 	w.clock++
-	v := View{Epoch: uint64(w.clock), Lives: lives, Pools: map[Owner]string{}}
-	if n := len(w.views); n > 0 {
-		v.Prev = w.views[n-1].Epoch
+	added := View{Epoch: uint64(w.clock), Lives: lives, Pools: map[Owner]string{}}
+	if count := len(w.views); count > 0 {
+		added.Prev = w.views[count-1].Epoch
 	}
 	names := slices.Sorted(maps.Keys(lives))
 	homes := map[int][]string{}
-	for i := range w.homes {
+	for i := range w.shards {
 		order := slices.Clone(names)
-		score := func(n string) uint64 { return xxhash.Sum64(strconv.AppendInt([]byte(n), int64(i), 10)) }
+		score := func(name string) uint64 { return xxhash.Sum64(strconv.AppendInt([]byte(name), int64(i), 10)) }
 		slices.SortFunc(order, func(a, b string) int { return cmp.Compare(score(a), score(b)) })
 		homes[i] = order[:min(2, len(order))]
 	}
-	v.Homes = func(i int) []string { return homes[i] }
+	added.Homes = func(i int) []string { return homes[i] }
 	first := len(w.views) == 0
-	v.Fresh = func(int) bool { return first }
-	for o := range w.pools {
-		if !w.noPool[o] {
-			v.Pools[o] = o.Box
+	added.Fresh = func(int) bool { return first }
+	for owner := range w.pools {
+		if !w.unknownPools[owner] {
+			added.Pools[owner] = owner.Box
 		}
 	}
-	w.views = append(w.views, v)
-	w.note("view %d: %v", v.Epoch, lives)
+	w.views = append(w.views, added)
+	w.logf("view %d: %v", added.Epoch, lives)
 }
 
-// step is 10 ms of all.
+// step advances the whole fleet by 10 ms.
 func (w *world) step() {
 	w.now += step
-	w.log()
-	for _, b := range w.boxes {
-		if !w.awake(b) {
+	w.updateLeases()
+	for _, server := range w.servers {
+		if !w.awake(server) {
 			continue
 		}
-		for b.applied < len(w.views) && (b.next <= w.now || b.applied == 0) {
-			if w.chance(100) { // from a snapshot of the log: views in between are not seen
-				b.applied = len(w.views) - 1
+		for server.applied < len(w.views) && (server.nextView <= w.now || server.applied == 0) {
+			if w.chance(100) { // from a snapshot of the log: the views in between are skipped
+				server.applied = len(w.views) - 1
 			}
-			v := w.views[b.applied]
-			b.applied++
-			b.next = w.now + w.wait(150*ms)
-			v.Self, v.Life = b.name, b.h.view.Life
-			if b.h.over { // no view is this process's own but those with its own entry
-				v.Life = b.life
-				if b.life == 0 || v.Lives[b.name] != b.life {
+			view := w.views[server.applied]
+			server.applied++
+			server.nextView = w.now + w.delay(150*ms)
+			view.Self, view.Life = server.name, server.machine.view.Life
+			if server.machine.disowned { // a process applies only views with its own registration
+				view.Life = server.token
+				if server.token == 0 || view.Lives[server.name] != server.token {
 					continue
 				}
 			}
-			b.h.SetView(w.now, v, b.granted)
-			w.drain(b)
+			server.machine.SetView(w.now, view, server.leaseEnd)
+			w.drain(server)
 		}
-		if b.cut == 0 {
-			b.h.Lease(b.granted)
+		if server.cutUntil == 0 {
+			server.machine.Lease(server.leaseEnd)
 		}
 		if w.now%(100*ms) == 0 {
-			b.h.Tick(w.now)
+			server.machine.Tick(w.now)
 		}
-		w.drain(b)
-		w.core(b)
+		w.drain(server)
+		w.runCore(server)
 	}
-	due := w.net
-	w.net = nil
-	for _, p := range due {
-		b := w.box(p.to)
+	arriving := w.packets
+	w.packets = nil
+	for _, p := range arriving {
+		server := w.server(p.to)
 		switch {
-		case p.at > w.now || b.frozen > w.now:
-			w.net = append(w.net, p)
-		case b.down == 0 && b.cut == 0 && w.box(p.from).cut == 0:
-			b.h.Receive(w.now, p.from, p.m)
-			w.drain(b)
+		case p.at > w.now || server.stoppedUntil > w.now:
+			w.packets = append(w.packets, p)
+		case server.downUntil == 0 && server.cutUntil == 0 && w.server(p.from).cutUntil == 0:
+			server.machine.Receive(w.now, p.from, p.message)
+			w.drain(server)
 		}
 	}
-	todo := w.later
-	w.later = nil
-	for _, f := range todo {
-		f()
+	pending := w.pending
+	w.pending = nil
+	for _, action := range pending {
+		action()
 	}
 }
 
-func (w *world) awake(b *box) bool { return b.down == 0 && b.frozen <= w.now }
+func (w *world) awake(b *server) bool { return b.downUntil == 0 && b.stoppedUntil <= w.now }
 
-func (w *world) box(name string) *box {
-	return w.boxes[slices.IndexFunc(w.boxes, func(b *box) bool { return b.name == name })]
+func (w *world) server(name string) *server {
+	return w.servers[slices.IndexFunc(w.servers, func(b *server) bool { return b.name == name })]
 }
 
-// log renews leases of those it hears, and declares lost whose lease is over; they come back as new lives.
-func (w *world) log() {
-	was := w.views[len(w.views)-1].Lives
-	lives := maps.Clone(was)
-	for _, b := range w.boxes {
-		if b.cut != 0 && b.cut <= w.now {
-			b.cut = 0
+// updateLeases renews the leases of connected servers, and declares servers expired whose lease has ended. They
+// register again under new tokens.
+func (w *world) updateLeases() {
+	previous := w.views[len(w.views)-1].Lives
+	lives := maps.Clone(previous)
+	for _, server := range w.servers {
+		if server.cutUntil != 0 && server.cutUntil <= w.now {
+			server.cutUntil = 0
 		}
-		if b.down != 0 && b.down <= w.now && lives[b.name] == 0 {
-			b.down, b.h, b.applied, b.life = 0, New(simLimits), 0, 0
-			b.h.bug = w.bug
+		if server.downUntil != 0 && server.downUntil <= w.now && lives[server.name] == 0 {
+			server.downUntil, server.machine, server.applied, server.token = 0, New(simLimits), 0, 0
+			server.machine.injected = w.injected
 		}
 		switch {
-		case lives[b.name] == 0 && w.awake(b) && b.cut == 0:
-			w.join(b, lives)
-			b.next = w.now + 2*step
-		case lives[b.name] != 0 && w.awake(b) && b.cut == 0 && w.now < b.granted && !b.h.over && lives[b.name] == b.life:
-			b.granted = w.now + leaseFor
-		case lives[b.name] != 0 && w.now >= b.granted+50*ms:
-			delete(lives, b.name)
+		case lives[server.name] == 0 && w.awake(server) && server.cutUntil == 0:
+			w.register(server, lives)
+			server.nextView = w.now + 2*step
+		case lives[server.name] != 0 && w.awake(server) && server.cutUntil == 0 && w.now < server.leaseEnd &&
+			!server.machine.disowned && lives[server.name] == server.token:
+			server.leaseEnd = w.now + leaseFor
+		case lives[server.name] != 0 && w.now >= server.leaseEnd+50*ms:
+			delete(lives, server.name)
 		}
 	}
-	if !maps.Equal(was, lives) {
-		w.view(lives)
+	if !maps.Equal(previous, lives) {
+		w.addView(lives)
 	}
 }
 
-// drain does what a box's hand wants done.
-func (w *world) drain(b *box) {
-	out := b.h.Drain(w.now)
+// drain carries out the outputs of a server's Machine.
+func (w *world) drain(server *server) {
+	out := server.machine.Drain(w.now)
 	if out.Disown {
-		w.note("%s disowns", b.name)
-		b.calls = map[Key]*call{}
+		w.logf("%s disowns", server.name)
+		server.calls = map[Key]*call{}
 	}
-	for _, s := range out.Sends {
+	for _, send := range out.Sends {
 		if w.chance(w.loss) {
 			continue
 		}
-		w.net = append(w.net, packet{w.now + w.wait(w.slow), b.name, s.To, s.Msg})
+		w.packets = append(w.packets, packet{w.now + w.delay(w.maxDelay), server.name, send.To, send.Msg})
 		if w.chance(w.loss) {
-			w.net = append(w.net, packet{w.now + w.wait(20*w.slow), b.name, s.To, s.Msg})
+			w.packets = append(w.packets, packet{w.now + w.delay(20*w.maxDelay), server.name, send.To, send.Msg})
 		}
 	}
-	for _, v := range out.Verdicts {
-		w.note("%s: %s %v %q %s", b.name, v.Key.Token, v.State, v.Result, v.Why)
-		w.verdict(b, v)
+	for _, verdict := range out.Verdicts {
+		w.logf("%s: %s %v %q %s", server.name, verdict.Key.Token, verdict.State, verdict.Result, verdict.Why)
+		w.verdict(server, verdict)
 	}
-	for _, a := range out.Adopts {
-		w.note("%s adopts %s", b.name, a.Piece.Key.Token)
+	for _, adopt := range out.Adopts {
+		w.logf("%s adopts %s", server.name, adopt.Piece.Key.Token)
 		w.stats["adopted"]++
 		w.clock++
-		w.op(a.Piece.Key, Down, "adopted", w.clock)
-		b.calls[a.Piece.Key] = &call{p: a.Piece, started: w.now, runs: true}
-		w.start(b, a.Piece.Key)
+		w.op(adopt.Piece.Key, Down, "adopted", w.clock)
+		server.calls[adopt.Piece.Key] = &call{request: adopt.Piece, started: w.now, running: true}
+		w.startRun(server, adopt.Piece.Key)
 	}
-	for _, f := range out.Finished {
-		c := b.calls[f.Key]
-		if c == nil {
+	for _, finished := range out.Finished {
+		request := server.calls[finished.Key]
+		if request == nil {
 			continue
 		}
-		delete(b.calls, f.Key)
-		switch r := w.pools[Owner{b.name, b.life}].runs[f.Key]; {
-		case f.OK && c.failed:
-			w.op(f.Key, Failed, "", c.end)
-		case f.OK:
-			w.answer(b, f.Key, r.result)
-			w.op(f.Key, Done, r.result, c.end)
+		delete(server.calls, finished.Key)
+		switch current := w.pools[Owner{server.name, server.token}].runs[finished.Key]; {
+		case finished.OK && request.failed:
+			w.op(finished.Key, Failed, "", request.finishedAt)
+		case finished.OK:
+			w.answer(server, finished.Key, current.result)
+			w.op(finished.Key, Done, current.result, request.finishedAt)
 		}
 	}
-	for _, p := range out.Probes {
-		w.later = append(w.later, func() { w.probe(b, p) })
+	for _, probe := range out.Probes {
+		w.pending = append(w.pending, func() { w.probe(server, probe) })
 	}
 }
 
-// verdict is the core's side of a claim.
-func (w *world) verdict(b *box, v Verdict) {
-	c := b.calls[v.Key]
-	if c == nil {
+// verdict is the core's reaction to the answer to a claim.
+func (w *world) verdict(server *server, verdict Verdict) {
+	request := server.calls[verdict.Key]
+	if request == nil {
 		return
 	}
-	switch v.State {
+	switch verdict.State {
 	case Won:
-		w.op(v.Key, Won, "", c.asked)
+		w.op(verdict.Key, Won, "", request.askedAt)
 		if w.chance(30) {
 			w.clock++
-			w.op(v.Key, Other, "released", w.clock)
-			delete(b.calls, v.Key)
-			b.h.Release(w.now, v.Key)
-			w.drain(b)
+			w.op(verdict.Key, Other, "released", w.clock)
+			delete(server.calls, verdict.Key)
+			server.machine.Release(w.now, verdict.Key)
+			w.drain(server)
 			return
 		}
-		c.runs = true
-		w.start(b, v.Key)
+		request.running = true
+		w.startRun(server, verdict.Key)
 	case Other, Down:
-		c.again = w.now + max(100*ms, v.After)
+		request.askAgainAt = w.now + max(100*ms, verdict.After)
 	case Done, Failed, Off:
-		delete(b.calls, v.Key)
-		w.stats[v.State.String()]++
-		if v.State == Done {
-			w.answer(b, v.Key, string(v.Result))
+		delete(server.calls, verdict.Key)
+		w.stats[verdict.State.String()]++
+		if verdict.State == Done {
+			w.answer(server, verdict.Key, string(verdict.Result))
 		}
-		w.op(v.Key, v.State, string(v.Result), c.asked)
+		w.op(verdict.Key, verdict.State, string(verdict.Result), request.askedAt)
 	}
 }
 
-// answer is an answer that leaves a box.
-func (w *world) answer(b *box, k Key, result string) {
-	w.ended[k]++
+// answer checks an answer that leaves a server.
+func (w *world) answer(server *server, key Key, result string) {
+	w.answerCount[key]++
 	w.stats["answered"]++
-	if w.now >= b.granted || w.views[len(w.views)-1].Lives[b.name] != b.life {
-		w.fail("%s answers %s without a lease", b.name, k.Token)
+	if w.now >= server.leaseEnd || w.views[len(w.views)-1].Lives[server.name] != server.token {
+		w.fail("%s answers %s without a lease", server.name, key.Token)
 	}
-	if w.first[k] == "" {
-		w.first[k] = result
+	if w.firstResult[key] == "" {
+		w.firstResult[key] = result
 	}
-	if w.first[k] != result {
-		w.fail("%s answers %s with %s, the first answer was %s", b.name, k.Token, result, w.first[k])
+	if w.firstResult[key] != result {
+		w.fail("%s answers %s with %s, the first answer was %s", server.name, key.Token, result, w.firstResult[key])
 	}
 }
 
-// start has a piece run by the box's pool: the order is on its way for a moment.
-func (w *world) start(b *box, k Key) {
-	pool, life, at := w.pools[Owner{b.name, b.life}], b.life, w.now+w.wait(2*w.slow)
-	repeat := b.calls[k].p.Repeat
-	var f func()
-	f = func() {
+// startRun gives a request to the server's pool, which receives it after a delay.
+func (w *world) startRun(server *server, key Key) {
+	pool, life, at := w.pools[Owner{server.name, server.token}], server.token, w.now+w.delay(2*w.maxDelay)
+	repeat := server.calls[key].request.Repeat
+	var deliver func()
+	deliver = func() {
 		switch {
 		case w.now < at:
-			w.later = append(w.later, f)
-		case pool.dead || pool.fenced || pool.runs[k] != nil:
+			w.pending = append(w.pending, deliver)
+		case pool.dead || pool.fenced || pool.runs[key] != nil:
 		default:
-			w.ran[k]++
-			w.note("%s runs %s", b.name, k.Token)
-			pool.runs[k] = &run{at: w.now, end: w.now + w.wait(900*ms) + 50*ms, result: fmt.Sprintf("%s-%s-%d", k.Token, b.name, life), by: b, life: life}
-			if w.ran[k] > 1 && !repeat {
-				w.fail("%s ran %d times", k.Token, w.ran[k])
+			w.runCount[key]++
+			w.logf("%s runs %s", server.name, key.Token)
+			pool.runs[key] = &run{at: w.now, end: w.now + w.delay(900*ms) + 50*ms,
+				result: fmt.Sprintf("%s-%s-%d", key.Token, server.name, life), server: server, token: life}
+			if w.runCount[key] > 1 && !repeat {
+				w.fail("%s ran %d times", key.Token, w.runCount[key])
 			}
 		}
 	}
-	w.later = append(w.later, f)
+	w.pending = append(w.pending, deliver)
 }
 
-// core asks again, and hears of runs that ended.
-func (w *world) core(b *box) {
-	for _, k := range sortedKeys(b.calls) {
-		c := b.calls[k]
-		pool := w.pools[Owner{b.name, b.life}]
-		switch r := pool.runs[k]; {
-		case c.runs && r != nil && r.end <= w.now && !r.told && !pool.dead:
+// runCore asks again for keys, and reports runs that have finished.
+func (w *world) runCore(server *server) {
+	for _, key := range sortedKeys(server.calls) {
+		request := server.calls[key]
+		pool := w.pools[Owner{server.name, server.token}]
+		switch current := pool.runs[key]; {
+		case request.running && current != nil && current.end <= w.now && !current.reported && !pool.dead:
 			w.clock++
-			r.told, c.end = true, w.clock
-			b.h.Finish(w.now, k, true, []byte(r.result), "")
-			w.drain(b)
-		case c.runs && c.end == 0 && (pool.dead || pool.fenced) && w.now-c.started > time.Second:
+			current.reported, request.finishedAt = true, w.clock
+			server.machine.Finish(w.now, key, true, []byte(current.result), "")
+			w.drain(server)
+		case request.running && request.finishedAt == 0 && (pool.dead || pool.fenced) && w.now-request.started > time.Second:
 			w.clock++
-			c.end, c.failed = w.clock, true
-			b.h.Finish(w.now, k, false, nil, "its pool died")
-			w.drain(b)
-		case !c.runs && w.now-c.started > dueIn:
-			b.h.Release(w.now, k)
-			delete(b.calls, k)
-		case c.again != 0 && c.again <= w.now:
-			w.ask(b, c)
+			request.finishedAt, request.failed = w.clock, true
+			server.machine.Finish(w.now, key, false, nil, "its pool died")
+			w.drain(server)
+		case !request.running && w.now-request.started > dueIn:
+			server.machine.Release(w.now, key)
+			delete(server.calls, key)
+		case request.askAgainAt != 0 && request.askAgainAt <= w.now:
+			w.ask(server, request)
 		}
 	}
 }
 
-func (w *world) ask(b *box, c *call) {
+func (w *world) ask(server *server, request *call) {
 	w.clock++
-	c.again, c.asked = 0, w.clock
-	c.p.Due = dueIn - (w.now - c.started)
-	b.h.Claim(w.now, c.p)
-	w.drain(b)
+	request.askAgainAt, request.askedAt = 0, w.clock
+	request.request.Due = dueIn - (w.now - request.started)
+	server.machine.Claim(w.now, request.request)
+	w.drain(server)
 }
 
-// call is a caller's at a box.
-func (w *world) call(b *box, k Key, repeat bool) {
-	if w.awake(b) && b.h.Live(w.now) && b.calls[k] == nil {
-		c := &call{p: Piece{Key: k, Body: []byte(k.Token), Life: 11 * time.Second, Repeat: repeat}, started: w.now}
-		b.calls[k] = c
+// call is a caller's request at a server.
+func (w *world) call(server *server, key Key, repeat bool) {
+	if w.awake(server) && server.machine.Live(w.now) && server.calls[key] == nil {
+		request := &call{request: Piece{Key: key, Body: []byte(key.Token), Life: 11 * time.Second, Repeat: repeat},
+			started: w.now}
+		server.calls[key] = request
 		w.stats["calls"]++
-		w.ask(b, c)
+		w.ask(server, request)
 	}
 }
 
-// probe binds to the pool of a lost process, which shuts that one out.
-func (w *world) probe(b *box, p Probe) {
-	pool := w.pools[p.Owner]
+// probe connects to the pool of a lost process, which excludes that process.
+func (w *world) probe(server *server, request Probe) {
+	pool := w.pools[request.Owner]
 	pool.fenced = pool.fenced || !pool.dead
-	for _, a := range p.Keys {
-		k := a.Key
+	for _, asked := range request.Keys {
+		key := asked.Key
 		proof := Proof{State: NeverRan}
-		switch r := pool.runs[k]; {
+		switch current := pool.runs[key]; {
 		case pool.dead:
 			proof.State = Unknown
-		case r != nil && r.end <= w.now:
-			proof = Proof{State: Ran, OK: true, Result: []byte(r.result)}
-		case r != nil:
+		case current != nil && current.end <= w.now:
+			proof = Proof{State: Ran, OK: true, Result: []byte(current.result)}
+		case current != nil:
 			proof.State = Running
 		}
-		w.note("%s hears of %s in the pool of %s: %d", b.name, k.Token, p.Owner.Box, proof.State)
-		if w.awake(b) {
-			b.h.Proved(w.now, k, p.Owner, proof)
-			w.drain(b)
+		w.logf("%s learns about %s from the pool of %s: %d", server.name, key.Token, request.Owner.Box, proof.State)
+		if w.awake(server) {
+			server.machine.Proved(w.now, key, request.Owner, proof)
+			w.drain(server)
 		}
 	}
 }
 
-// kill ends a process, and its pool with it or not.
-func (w *world) kill(b *box, pool bool) {
-	w.note("%s is killed, its pool %v", b.name, pool)
-	b.down, b.calls = w.now+900*ms, map[Key]*call{}
-	w.pools[Owner{b.name, b.life}].dead = pool
+// kill ends a process, and with pool its worker pool too.
+func (w *world) kill(server *server, pool bool) {
+	w.logf("%s is killed, its pool %v", server.name, pool)
+	server.downUntil, server.calls = w.now+900*ms, map[Key]*call{}
+	w.pools[Owner{server.name, server.token}].dead = pool
 }
 
 func (w *world) report(t *testing.T, f string, a ...any) {
 	t.Helper()
-	n := max(0, len(w.history)-3000)
-	t.Fatalf("%s: %s\n%s", fmt.Sprintf(f, a...), w.bad, strings.Join(w.history[n:], "\n"))
+	start := max(0, len(w.events)-3000)
+	t.Fatalf("%s: %s\n%s", fmt.Sprintf(f, a...), w.violation, strings.Join(w.events[start:], "\n"))
 }
