--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -1,6 +1,6 @@
-// Package desk has the core's keyed work claimed in the fleet: it carries out package hand on a goroutine of its own,
-// as the core's Store. Claims and ends go to the homes of their keys over streams of their own, and what lost boxes had
-// in hand is brought to its end at their worker pools.
+// Package desk stores the claims of the core's keyed requests in the fleet: it implements the core's Store by running
+// package takeover on a goroutine of its own. Claims and outcomes are sent to the replicas of their keys over separate
+// streams, and the in-flight requests of lost servers are brought to an outcome at their worker pools.
 package desk
 
 import (
@@ -18,256 +18,263 @@
 )
 
 const (
-	tickEach = 50 * time.Millisecond
-	maxQueue = 4096 // of what came from outside
-	maxTurn  = 256  // of it that is worked off before what follows is sent
+	tickInterval     = 50 * time.Millisecond
+	maxQueue         = 4096 // capacity of the queue of calls from other goroutines
+	maxCallsPerFlush = 256  // queued calls that are processed before the outputs are sent
 )
 
-// Options are what a desk has to know of its box.
+// Options configure a Store.
 type Options struct {
 	Box    string
 	Site   *core.Site
 	Limits hand.Limits
-	Cursor func() uint64     // of the worker pool's link
-	Ways   map[string]string // how this box reaches others, by name; who is not in it is reached where it says itself
+	Cursor func() uint64     // current cursor of the worker pool's link
+	Ways   map[string]string // addresses of other servers by name; others are reached at the address that they report
 }
 
-// Desk is one process's.
+// Desk is the claim store of one process.
 type Desk struct {
-	opt    Options
-	ground *ground.Ground
-	sink   func(core.Event)
-	log    *slog.Logger
-	in     chan func()
-	giving atomic.Int64                          // Disowns that are on their way to the core
-	lived  atomic.Uint64                         // the life under which hand acts
-	held   atomic.Uint64                         // the life that what the core has claimed is of; 0 = it is to give up
-	whole  atomic.Pointer[[hand.Slices / 8]byte] // a bit each
-	shown  atomic.Pointer[hand.Figures]
+	opt            Options
+	membership     *ground.Ground
+	sink           func(core.Event)
+	log            *slog.Logger
+	queue          chan func()
+	pendingDisowns atomic.Int64                          // Disowns that the core has not processed yet
+	machineToken   atomic.Uint64                         // the fencing token under which machine acts
+	coreToken      atomic.Uint64                         // token of the core's claims; 0 = the core must give them up
+	inSync         atomic.Pointer[[hand.Slices / 8]byte] // one bit per shard
+	metrics        atomic.Pointer[hand.Figures]
 
-	// Of the loop.
-	hand    *hand.Hand
-	life    uint64 // of the view that hand has
-	placed  bool   // slices had homes in it
-	next    *ground.View
-	streams *transport.Streams[*hand.Msg]
-	heirs   map[hand.Owner]*heir
-	calls   Calls
-	last    tally
-	waits   waits
+	// Used only by the loop.
+	machine     *hand.Hand
+	token       uint64 // fencing token of the view that machine has
+	placed      bool   // shards were assigned in that view
+	pendingView *ground.View
+	streams     *transport.Streams[*hand.Msg]
+	takeovers   map[hand.Owner]*poolTakeover
+	calls       Calls
+	counts      takeoverCounts
+	callWaits   callWaits
 }
 
-// Calls makes calls below for runs of lost boxes. Its methods are as core.Caller's.
+// Calls makes downstream calls for runs of lost servers. Its methods are those of core.Caller.
 type Calls interface {
 	Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte)
 }
 
-// tally counts what was taken over.
-type tally struct {
+// takeoverCounts counts requests that were taken over.
+type takeoverCounts struct {
 	lost, ended, unknown atomic.Uint64
 }
 
-// New makes a desk. It is the core's store from its start; what it is asked for before the fleet has a placement, it
-// refuses.
+// New returns a claim store. It can serve as the core's store at once, and refuses requests until the fleet has a
+// placement.
 func New(opt Options, sink func(core.Event), log *slog.Logger) *Desk {
-	return &Desk{opt: opt, sink: sink, log: log, in: make(chan func(), maxQueue), hand: hand.New(opt.Limits), heirs: map[hand.Owner]*heir{}}
+	return &Desk{opt: opt, sink: sink, log: log, queue: make(chan func(), maxQueue), machine: hand.New(opt.Limits),
+		takeovers: map[hand.Owner]*poolTakeover{}}
 }
 
-// Stand gives the desk its ground and its ways, before Run.
-func (d *Desk) Stand(g *ground.Ground, l *link.Link, calls Calls) {
-	d.ground, d.calls = g, calls
-	d.streams = d.newStreams(l)
+// Stand sets the membership state and the link that the store uses. It must be called before Run.
+func (d *Desk) Stand(state *ground.Ground, link *link.Link, calls Calls) {
+	d.membership, d.calls = state, calls
+	d.streams = d.newStreams(link)
 }
 
-// Run is the loop, until ctx ends.
+// Run runs the loop until ctx ends.
 func (d *Desk) Run(ctx context.Context) {
-	tick := time.NewTicker(tickEach)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			d.renew()
-			d.hand.Tick(d.now())
+			d.refreshLease()
+			d.machine.Tick(d.now())
 			d.publish()
-		case f := <-d.in:
-			d.renew()
-			f()
-			for n := min(len(d.in), maxTurn); n > 0; n-- {
-				(<-d.in)()
+		case call := <-d.queue:
+			d.refreshLease()
+			call()
+			for remaining := min(len(d.queue), maxCallsPerFlush); remaining > 0; remaining-- {
+				(<-d.queue)()
 			}
 		}
 		d.flush(ctx)
 	}
 }
 
-func (d *Desk) now() time.Duration { return d.ground.Now() }
+func (d *Desk) now() time.Duration { return d.membership.Now() }
 
-// renew tells the lease as it is now, and takes a view that waited for the first lease of its life.
-func (d *Desk) renew() {
-	d.hand.Lease(d.ground.Until())
-	if v := d.next; v != nil && d.ground.Holds() {
-		d.next = nil
-		d.take(v)
+// refreshLease passes on the current end of the lease, and applies a view that waited for the first lease of its token.
+func (d *Desk) refreshLease() {
+	d.machine.Lease(d.membership.Until())
+	if view := d.pendingView; view != nil && d.membership.Holds() {
+		d.pendingView = nil
+		d.setView(view)
 	}
 }
 
-// enter has f run on the loop; false = its queue is full.
-func (d *Desk) enter(f func()) bool {
+// enqueue queues call to run on the loop; it returns false if the queue is full.
+func (d *Desk) enqueue(call func()) bool {
 	select {
-	case d.in <- f:
+	case d.queue <- call:
 		return true
 	default:
 		return false
 	}
 }
 
-// View takes the next view, on the fleet's loop. It is never lost: without room the desk would act under one that is over.
-func (d *Desk) View(v *ground.View) {
-	d.in <- func() {
-		if v.Life != d.life && v.Life != 0 && !d.ground.Holds() {
-			d.next = v
+// View queues the next view; it is called on the fleet's loop. It blocks while the queue is full, because without the
+// view the store would act under an outdated one.
+func (d *Desk) View(view *ground.View) {
+	d.queue <- func() {
+		if view.Life != d.token && view.Life != 0 && !d.membership.Holds() {
+			d.pendingView = view
 			return
 		}
-		d.next = nil
-		d.take(v)
+		d.pendingView = nil
+		d.setView(view)
 	}
 }
 
-// take gives hand a view.
-func (d *Desk) take(v *ground.View) {
-	first := v.Life != d.life || !d.placed // under this life this box was no home before
-	d.life, d.placed = v.Life, v.Placed()
-	d.lived.Store(v.Life)
+// setView passes a view to machine.
+func (d *Desk) setView(view *ground.View) {
+	first := view.Life != d.token || !d.placed // this server was not a replica under this token before
+	d.token, d.placed = view.Life, view.Placed()
+	d.machineToken.Store(view.Life)
 	lives, pools := map[string]uint64{}, map[hand.Owner]string{}
-	for name, b := range v.Lives {
-		lives[name] = b.Life
+	for name, server := range view.Lives {
+		lives[name] = server.Life
 	}
-	for _, b := range v.Lost { // one that lives again has its pool for itself
-		pools[hand.Owner{Box: b.Name, Life: b.Life}] = b.Pool
+	for _, server := range view.Lost { // a server that is registered again has its pool to itself
+		pools[hand.Owner{Box: server.Name, Life: server.Life}] = server.Pool
 	}
-	d.hand.SetView(d.now(), hand.View{Epoch: v.Epoch, Prev: v.Prev, Self: d.opt.Box, Life: v.Life, Lives: lives, Pools: pools,
-		Homes: func(slice int) (out []string) {
-			for _, name := range both(v.Homes(slice)) {
+	d.machine.SetView(d.now(), hand.View{Epoch: view.Epoch, Prev: view.Prev, Self: d.opt.Box, Life: view.Life,
+		Lives: lives, Pools: pools,
+		Homes: func(shard int) (out []string) {
+			for _, name := range pairOf(view.Homes(shard)) {
 				if name != "" {
 					out = append(out, name)
 				}
 			}
 			return out
 		},
-		Fresh: func(slice int) bool { return first && v.Original(slice, d.opt.Box) },
-	}, d.ground.Until())
+		Fresh: func(shard int) bool { return first && view.Original(shard, d.opt.Box) },
+	}, d.membership.Until())
 }
 
-func both(a, b string) [2]string { return [2]string{a, b} }
+func pairOf(a, b string) [2]string { return [2]string{a, b} }
 
-// Whole tells that all records of a slice are here. It is safe from any goroutine.
-func (d *Desk) Whole(slice int) bool {
-	bits := d.whole.Load()
-	return bits != nil && bits[slice/8]>>(slice%8)&1 == 1
+// Whole reports whether this server has all records of a shard. It is safe for use from any goroutine.
+func (d *Desk) Whole(shard int) bool {
+	bits := d.inSync.Load()
+	return bits != nil && bits[shard/8]>>(shard%8)&1 == 1
 }
 
 func (d *Desk) publish() {
 	bits := new([hand.Slices / 8]byte)
 	for i := range hand.Slices {
-		if d.hand.Whole(i) {
+		if d.machine.Whole(i) {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
-	d.whole.Store(bits)
-	f := d.hand.Figures()
-	d.shown.Store(&f)
+	d.inSync.Store(bits)
+	metrics := d.machine.Figures()
+	d.metrics.Store(&metrics)
 }
 
-// flush does what hand wants done.
+// flush carries out the outputs of machine.
 func (d *Desk) flush(ctx context.Context) {
-	out := d.hand.Drain(d.now())
+	out := d.machine.Drain(d.now())
 	if out.Disown {
-		d.giving.Add(1)
-		d.held.Store(0)
+		d.pendingDisowns.Add(1)
+		d.coreToken.Store(0)
 		d.sink(core.Disown{Taken: func() {
-			if d.giving.Add(-1) == 0 {
-				d.held.Store(d.lived.Load())
+			if d.pendingDisowns.Add(-1) == 0 {
+				d.coreToken.Store(d.machineToken.Load())
 			}
 		}})
-	} else if d.giving.Load() == 0 {
-		d.held.Store(d.life)
+	} else if d.pendingDisowns.Load() == 0 {
+		d.coreToken.Store(d.token)
 	}
-	for _, s := range out.Sends {
-		d.streams.Send(ctx, s.To, s.Msg)
+	for _, send := range out.Sends {
+		d.streams.Send(ctx, send.To, send.Msg)
 	}
-	for _, v := range out.Verdicts {
-		d.verdict(v)
+	for _, verdict := range out.Verdicts {
+		d.verdict(verdict)
 	}
-	for _, f := range out.Finished {
-		if k, ok := d.key(f.Key); ok {
-			d.sink(core.Finished{Key: k, OK: f.OK})
+	for _, finished := range out.Finished {
+		if key, ok := d.coreKey(finished.Key); ok {
+			d.sink(core.Finished{Key: key, OK: finished.OK})
 		}
 	}
-	for _, a := range out.Adopts {
-		d.adopt(a.Piece)
+	for _, adopt := range out.Adopts {
+		d.adopt(adopt.Piece)
 	}
-	for _, p := range out.Probes {
-		d.probe(ctx, p)
+	for _, probe := range out.Probes {
+		d.probe(ctx, probe)
 	}
 }
 
-var claims = map[hand.State]core.Claim{hand.Won: core.ClaimWon, hand.Other: core.ClaimOther, hand.Done: core.ClaimDone,
+var claimStates = map[hand.State]core.Claim{hand.Won: core.ClaimWon, hand.Other: core.ClaimOther, hand.Done: core.ClaimDone,
 	hand.Failed: core.ClaimFailed, hand.Off: core.ClaimOff, hand.Down: core.ClaimDown}
 
-func (d *Desk) verdict(v hand.Verdict) {
-	k, ok := d.key(v.Key)
+func (d *Desk) verdict(verdict hand.Verdict) {
+	key, ok := d.coreKey(verdict.Key)
 	if !ok {
 		return
 	}
-	if v.State == hand.Down {
-		d.log.Info("keys", "do", "refuse", "class", v.Key.Class, "why", v.Why)
+	if verdict.State == hand.Down {
+		d.log.Info("keys", "do", "refuse", "class", verdict.Key.Class, "why", verdict.Why)
 	}
-	d.sink(core.Claimed{Key: k, State: claims[v.State], Result: v.Result})
+	d.sink(core.Claimed{Key: key, State: claimStates[verdict.State], Result: verdict.Result})
 }
 
-func (d *Desk) key(k hand.Key) (core.Key, bool) {
-	c := d.opt.Site.Class(k.Class)
-	return core.Key{Class: c, Token: k.Token}, c >= 0
+func (d *Desk) coreKey(key hand.Key) (core.Key, bool) {
+	class := d.opt.Site.Class(key.Class)
+	return core.Key{Class: class, Token: key.Token}, class >= 0
 }
 
-func (d *Desk) theirs(k core.Key) hand.Key {
-	return hand.Key{Class: d.opt.Site.Classes[k.Class], Token: k.Token}
+func (d *Desk) fleetKey(key core.Key) hand.Key {
+	return hand.Key{Class: d.opt.Site.Classes[key.Class], Token: key.Token}
 }
 
-// adopt hands the core a piece that is run here.
-func (d *Desk) adopt(p hand.Piece) {
-	k, ok := d.key(p.Key)
+// adopt gives the core a request that is run here.
+func (d *Desk) adopt(request hand.Piece) {
+	key, ok := d.coreKey(request.Key)
 	if !ok {
-		d.enter(func() { d.hand.Release(d.now(), p.Key) })
+		d.enqueue(func() { d.machine.Release(d.now(), request.Key) })
 		return
 	}
-	d.sink(core.Adopt{Piece: core.Piece{Key: k, Handle: p.Handle, Sum: p.Sum, Body: p.Body, Tenant: d.opt.Site.Tenant(p.Tenant), Rank: p.Rank,
-		Memory: p.Memory, Work: p.Work, Subject: p.Subject, Caller: p.Caller, Left: p.Due, Life: p.Life}})
+	d.sink(core.Adopt{Piece: core.Piece{Key: key, Handle: request.Handle, Sum: request.Sum, Body: request.Body,
+		Tenant: d.opt.Site.Tenant(request.Tenant), Rank: request.Rank,
+		Memory: request.Memory, Work: request.Work, Subject: request.Subject, Caller: request.Caller,
+		Left: request.Due, Life: request.Life}})
 }
 
 // Claim implements core.Store.
-func (d *Desk) Claim(p core.Piece) bool {
+func (d *Desk) Claim(request core.Piece) bool {
 	tenant := ""
-	if p.Tenant >= 0 {
-		tenant = d.opt.Site.Tenants[p.Tenant]
+	if request.Tenant >= 0 {
+		tenant = d.opt.Site.Tenants[request.Tenant]
 	}
-	x := hand.Piece{Key: d.theirs(p.Key), Sum: p.Sum, Body: p.Body, Handle: p.Handle, Cursor: d.opt.Cursor(), Tenant: tenant, Subject: p.Subject,
-		Caller: p.Caller, Rank: p.Rank, Memory: p.Memory, Work: p.Work, Due: p.Left, Life: p.Life}
-	return d.enter(func() {
-		if d.giving.Load() > 0 || !d.hand.Live(d.now()) {
-			d.verdict(hand.Verdict{Key: x.Key, State: hand.Down, Why: "this box holds no lease"})
+	claim := hand.Piece{Key: d.fleetKey(request.Key), Sum: request.Sum, Body: request.Body, Handle: request.Handle,
+		Cursor: d.opt.Cursor(), Tenant: tenant, Subject: request.Subject,
+		Caller: request.Caller, Rank: request.Rank, Memory: request.Memory, Work: request.Work, Due: request.Left,
+		Life: request.Life}
+	return d.enqueue(func() {
+		if d.pendingDisowns.Load() > 0 || !d.machine.Live(d.now()) {
+			d.verdict(hand.Verdict{Key: claim.Key, State: hand.Down, Why: "this server holds no lease"})
 			return
 		}
-		d.hand.Claim(d.now(), x)
+		d.machine.Claim(d.now(), claim)
 	})
 }
 
-// Finish implements core.Store: the end waits until it is at its homes.
-func (d *Desk) Finish(k core.Key, _ [32]byte, ok bool, result []byte, _ time.Duration) bool {
+// Finish implements core.Store. The outcome is reported as finished once it is stored at its replicas.
+func (d *Desk) Finish(key core.Key, _ [32]byte, ok bool, result []byte, _ time.Duration) bool {
 	result = slices.Clone(result)
-	if !d.enter(func() { d.hand.Finish(d.now(), d.theirs(k), ok, result, why(ok)) }) {
+	if !d.enqueue(func() { d.machine.Finish(d.now(), d.fleetKey(key), ok, result, why(ok)) }) {
 		d.log.Warn("keys", "do", "finish", "err", "no room")
 	}
 	return true
@@ -281,17 +288,17 @@
 }
 
 // Release implements core.Store.
-func (d *Desk) Release(k core.Key) {
-	if !d.enter(func() { d.hand.Release(d.now(), d.theirs(k)) }) {
+func (d *Desk) Release(key core.Key) {
+	if !d.enqueue(func() { d.machine.Release(d.now(), d.fleetKey(key)) }) {
 		d.log.Warn("keys", "do", "release", "err", "no room")
 	}
 }
 
-// Holds implements core.Store. A lease of this process's next life holds nothing that was claimed under the last one. It
-// is safe from any goroutine.
+// Holds implements core.Store. A lease of this process's next token does not cover claims that were made under the
+// previous one. It is safe for use from any goroutine.
 func (d *Desk) Holds() bool {
-	life := d.held.Load()
-	return life != 0 && d.giving.Load() == 0 && d.ground.Holds() && d.ground.Life() == life
+	token := d.coreToken.Load()
+	return token != 0 && d.pendingDisowns.Load() == 0 && d.membership.Holds() && d.membership.Life() == token
 }
 
 var _ core.Store = (*Desk)(nil)
--- a/internal/fleet/desk/fleet_test.go
+++ b/internal/fleet/desk/fleet_test.go
@@ -13,46 +13,50 @@
 
 func TestMain(m *testing.M) { os.Exit(standin.WithProgram(&program, m.Run)) }
 
-// fleetTest is a fleet of real processes whose keyed work is audited.
+// fleetTest is a fleet of real processes whose keyed requests are audited.
 type fleetTest struct {
 	*testing.T
 	*standin.Fleet
 	audit *standin.Audit
 }
 
-// begin starts boxes in three zones, and waits until all have a life and each slice two homes.
-func begin(t *testing.T, boxes int, seed uint64, other ...func(*standin.FleetOptions)) *fleetTest {
+// startFleet starts servers in three zones, and waits until all are registered and each shard has two replicas.
+func startFleet(t *testing.T, servers int, seed uint64, configure ...func(*standin.FleetOptions)) *fleetTest {
 	t.Helper()
-	o := standin.FleetOptions{Boxes: boxes, Zones: 3, Voters: 5, DrainMs: 300, SilentMs: 1500, Work: 100 * time.Millisecond, Window: 3 * time.Second, TakeOver: true}
-	for _, set := range other {
-		set(&o)
+	options := standin.FleetOptions{Boxes: servers, Zones: 3, Voters: 5, DrainMs: 300, SilentMs: 1500,
+		Work: 100 * time.Millisecond, Window: 3 * time.Second, TakeOver: true}
+	for _, set := range configure {
+		set(&options)
 	}
-	f, err := standin.NewFleet(program, t.TempDir(), o)
+	fleet, err := standin.NewFleet(program, t.TempDir(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.Close)
-	x := &fleetTest{T: t, Fleet: f}
-	x.back()
-	x.audit = standin.NewAudit(f, seed, standin.Repeats{Within: max(8*time.Second, o.GiveUp-2*time.Second), Pause: 50 * time.Millisecond, Anywhere: true,
-		Patience: 3 * time.Second})
-	return x
+	t.Cleanup(fleet.Close)
+	test := &fleetTest{T: t, Fleet: fleet}
+	test.waitHealthy()
+	test.audit = standin.NewAudit(fleet, seed,
+		standin.Repeats{Within: max(8*time.Second, options.GiveUp-2*time.Second), Pause: 50 * time.Millisecond,
+			Anywhere: true,
+			Patience: 3 * time.Second})
+	return test
 }
 
-// all tells that so many live and that nothing is amiss.
-func (x *fleetTest) all(lives float64) bool {
-	for _, m := range x.Members {
-		f := m.Figures()
-		if f["fleet.lives"] != lives || f["fleet.lease_ms"] == 0 || f["fleet.homes"] == 0 || f["fleet.bare"] != 0 || f["keys.shut"] != 0 {
+// healthy reports whether the given number of servers are registered and every metric is healthy.
+func (x *fleetTest) healthy(registered float64) bool {
+	for _, server := range x.Members {
+		metrics := server.Figures()
+		if metrics["fleet.lives"] != registered || metrics["fleet.lease_ms"] == 0 || metrics["fleet.homes"] == 0 ||
+			metrics["fleet.bare"] != 0 || metrics["keys.shut"] != 0 {
 			return false
 		}
 	}
 	return true
 }
 
-func (x *fleetTest) until(what string, most time.Duration, is func() bool) {
+func (x *fleetTest) until(what string, timeout time.Duration, is func() bool) {
 	x.Helper()
-	if err := standin.Until(what, most, is); err != nil {
+	if err := standin.Until(what, timeout, is); err != nil {
 		x.fatal("%v", err)
 	}
 }
@@ -60,47 +64,48 @@
 func (x *fleetTest) fatal(format string, a ...any) {
 	x.Helper()
 	text := fmt.Sprintf(format, a...)
-	for _, m := range x.Members {
-		text += fmt.Sprintf("\n%s %v\n%s", m.Name, m.Figures(), m.Log()[max(0, len(m.Log())-2500):])
+	for _, server := range x.Members {
+		text += fmt.Sprintf("\n%s %v\n%s", server.Name, server.Figures(), server.Log()[max(0, len(server.Log())-2500):])
 	}
 	x.Fatal(text)
 }
 
-// back waits until all live, and each slice has two homes that know all of it.
-func (x *fleetTest) back() {
+// waitHealthy waits until all servers are registered, and each shard has two replicas in sync.
+func (x *fleetTest) waitHealthy() {
 	x.Helper()
-	x.until("all live, and each slice has two homes", 3*time.Minute, func() bool { return x.all(float64(len(x.Members))) })
+	x.until("all servers are registered, and each shard has two replicas", 3*time.Minute,
+		func() bool { return x.healthy(float64(len(x.Members))) })
 }
 
-// over ends the callers and holds what they saw against the pools: nothing ran twice, and what was served is the first
-// result. What failed is told by cause.
-func (x *fleetTest) over() standin.Account {
+// finish stops the callers and compares what they received with the pools: nothing ran twice, and what was served is the
+// first result. Failures are counted by cause.
+func (x *fleetTest) finish() standin.Account {
 	x.Helper()
 	x.audit.Stop()
-	a := x.audit.Account()
-	twice := a.Twice
-	a.Twice = nil
-	x.Logf("%+v, twice %d", a, len(twice))
-	if len(twice) > 0 || a.Wrong > 0 || a.Served == 0 {
+	account := x.audit.Account()
+	twice := account.Twice
+	account.Twice = nil
+	x.Logf("%+v, twice %d", account, len(twice))
+	if len(twice) > 0 || account.Wrong > 0 || account.Served == 0 {
 		text := ""
-		for _, w := range twice {
-			text += fmt.Sprintf("%+v\n", w)
+		for _, request := range twice {
+			text += fmt.Sprintf("%+v\n", request)
 		}
-		x.fatal("%+v, twice:\n%s", a, text)
+		x.fatal("%+v, twice:\n%s", account, text)
 	}
-	return a
+	return account
 }
 
-// strike has a box hit with keyed work in hand, and says later whether enough of it came to its result.
-func (x *fleetTest) strike(what string, m *standin.Member, n int, least float64, blow func()) (check func()) {
+// strike hits a server with keyed requests in flight. The returned check fails unless enough of them got their results.
+func (x *fleetTest) strike(what string, server *standin.Member, count int, minShare float64, hit func()) (check func()) {
 	began := time.Now()
-	ended := x.audit.StrikeBy(m, n, blow)
+	ended := x.audit.StrikeBy(server, count, hit)
 	return func() {
 		x.Helper()
 		struck, survived := ended()
-		x.Logf("%s: %d of %d in hand came to their results, %.1f s", what, survived, struck, time.Since(began).Seconds())
-		if struck < n/2 || float64(survived) < least*float64(struck) {
-			x.fatal("%s: %d of %d in hand came to their results", what, survived, struck)
+		x.Logf("%s: %d of %d requests in flight got their results, %.1f s", what, survived, struck, time.Since(began).Seconds())
+		if struck < count/2 || float64(survived) < minShare*float64(struck) {
+			x.fatal("%s: %d of %d requests in flight got their results", what, survived, struck)
 		}
 	}
 }
--- a/internal/fleet/desk/streams.go
+++ b/internal/fleet/desk/streams.go
@@ -11,29 +11,30 @@
 )
 
 const (
-	maxWaiting = 64      // messages to one box; more are dropped, and said again
-	maxBody    = 8 << 20 // bytes of one request
-	batch      = 32      // messages of one request
+	maxWaiting = 64      // messages to one server; further ones are dropped, and sent again later
+	maxBody    = 8 << 20 // bytes in one request
+	maxBatch   = 32      // messages in one request
 	path       = "/hand/messages"
 )
 
-// newStreams makes the desk's streams to other servers.
-func (d *Desk) newStreams(l *link.Link) *transport.Streams[*hand.Msg] {
-	return transport.New(transport.Options[*hand.Msg]{Server: d.opt.Box, Path: path, Link: l, Waiting: maxWaiting, Batch: batch,
-		Within: 2 * time.Second, Rest: tickEach, // a box that refuses at once is not asked again at full speed
-		Addr: func(box string) string { return cmp.Or(d.opt.Ways[box], d.ground.Addr(box)) },
-		Lost: func(to string, list []*hand.Msg, err error) {
-			d.log.Debug("keys", "do", "send", "to", to, "messages", len(list), "err", err)
+// newStreams returns the streams to other servers.
+func (d *Desk) newStreams(link *link.Link) *transport.Streams[*hand.Msg] {
+	return transport.New(transport.Options[*hand.Msg]{Server: d.opt.Box, Path: path, Link: link, Waiting: maxWaiting,
+		Batch:  maxBatch,
+		Within: 2 * time.Second, Rest: tickInterval, // a server that refuses at once is not asked again at full speed
+		Addr: func(server string) string { return cmp.Or(d.opt.Ways[server], d.membership.Addr(server)) },
+		Lost: func(to string, messages []*hand.Msg, err error) {
+			d.log.Debug("keys", "do", "send", "to", to, "messages", len(messages), "err", err)
 		}})
 }
 
-// Handler takes what other boxes send.
+// Handler returns the HTTP handler for the messages of other servers.
 func (d *Desk) Handler() http.Handler {
-	return transport.Handler(path, batch, maxBody, func(from string, list []*hand.Msg) bool {
-		return d.enter(func() {
-			for _, m := range list {
-				if m != nil {
-					d.hand.Receive(d.now(), from, m)
+	return transport.Handler(path, maxBatch, maxBody, func(from string, messages []*hand.Msg) bool {
+		return d.enqueue(func() {
+			for _, message := range messages {
+				if message != nil {
+					d.machine.Receive(d.now(), from, message)
 				}
 			}
 		})
