--- a/internal/fleet/ground/ground_test.go
+++ b/internal/fleet/ground/ground_test.go
@@ -23,21 +23,21 @@
 		t.Fatal(err)
 	}
 	defer fleet.Close()
-	metric := func(m *standin.Member, name string) float64 { return m.Figures()["fleet."+name] }
+	metric := func(server *standin.Member, name string) float64 { return server.Figures()["fleet."+name] }
 	wait := func(what string, timeout time.Duration, is func() bool) {
 		t.Helper()
 		if err := standin.Until(what, timeout, is); err != nil {
 			text := ""
-			for _, m := range fleet.Members {
-				text += fmt.Sprintf("\n%s %v\n%s", m.Name, m.Figures(), m.Log()[max(0, len(m.Log())-1500):])
+			for _, server := range fleet.Members {
+				text += fmt.Sprintf("\n%s %v\n%s", server.Name, server.Figures(), server.Log()[max(0, len(server.Log())-1500):])
 			}
 			t.Fatalf("%v%s", err, text)
 		}
 	}
 	all := func(list []*standin.Member, is func(*standin.Member) bool) func() bool {
 		return func() bool {
-			for _, m := range list {
-				if !is(m) {
+			for _, server := range list {
+				if !is(server) {
 					return false
 				}
 			}
@@ -45,8 +45,8 @@
 		}
 	}
 	healthy := func(lives float64) func(*standin.Member) bool {
-		return func(m *standin.Member) bool {
-			metrics := m.Figures()
+		return func(server *standin.Member) bool {
+			metrics := server.Figures()
 			return metrics["fleet.lives"] == lives && metrics["fleet.lease_ms"] > 0 && metrics["fleet.bare"] == 0 &&
 				metrics["fleet.homes"] > place.Slices/8
 		}
@@ -54,23 +54,23 @@
 	wait("all servers are registered, and each shard has two replicas", 20*time.Second, all(fleet.Members, healthy(5)))
 	leader := fleet.Leader()
 	var followers []*standin.Member
-	for _, m := range fleet.Members {
-		if m != leader {
-			followers = append(followers, m)
+	for _, server := range fleet.Members {
+		if server != leader {
+			followers = append(followers, server)
 		}
 	}
 	killed, stopped := followers[0], followers[1]
 	began := time.Now()
 	killed.Kill()
 	wait("a killed server expires", 5*time.Second,
-		all(followers[1:], func(m *standin.Member) bool { return metric(m, "lives") == 4 }))
+		all(followers[1:], func(server *standin.Member) bool { return metric(server, "lives") == 4 }))
 	if took := time.Since(began); took < 1500*time.Millisecond {
 		t.Errorf("expired after %v: its lease was not waited for", took)
 	}
 	token := metric(stopped, "life")
 	stopped.Freeze(true)
 	wait("a stopped server expires", 5*time.Second,
-		all(followers[2:], func(m *standin.Member) bool { return metric(m, "lives") == 3 }))
+		all(followers[2:], func(server *standin.Member) bool { return metric(server, "lives") == 3 }))
 	if err := killed.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -81,5 +81,5 @@
 	}
 	leader.Kill()
 	wait("the next leader declares the killed one expired", 8*time.Second,
-		all(followers, func(m *standin.Member) bool { return metric(m, "lives") == 4 }))
+		all(followers, func(server *standin.Member) bool { return metric(server, "lives") == 4 }))
 }
--- a/internal/fleet/ground/places.go
+++ b/internal/fleet/ground/places.go
@@ -34,8 +34,8 @@
 
 // syncReport is a server's report of the shards of which it has all records, one bit each, under its fencing token.
 type syncReport struct {
-	Life uint64
-	Bits []byte
+	Life uint64 // fencing token
+	Bits []byte // bit i%8 of byte i/8 is shard i
 }
 
 // Begin implements driver.Module.
--- a/internal/fleet/hand/hand.go
+++ b/internal/fleet/hand/hand.go
@@ -35,7 +35,7 @@
 
 // Owner is one process of a server. Life is its fencing token: the index of the entry that registered it.
 type Owner struct {
-	Box  string
+	Box  string // name of the server
 	Life uint64
 }
 
--- a/internal/fleet/hand/hand_test.go
+++ b/internal/fleet/hand/hand_test.go
@@ -39,8 +39,8 @@
 	}
 	deliver = func(now time.Duration) map[string]Outputs {
 		total := map[string]Outputs{}
-		for more := true; more; {
-			more = false
+		for delivering := true; delivering; {
+			delivering = false
 			for _, name := range names {
 				out := servers[name].Drain(now)
 				outputs := total[name]
@@ -50,7 +50,7 @@
 				outputs.Disown = outputs.Disown || out.Disown
 				total[name] = outputs
 				for _, send := range out.Sends {
-					more = true
+					delivering = true
 					data, err := cbor.Marshal(send.Msg)
 					var got Msg
 					if err == nil {
--- a/internal/fleet/hand/msg.go
+++ b/internal/fleet/hand/msg.go
@@ -27,8 +27,8 @@
 
 // Msg is everything that one server sends to another in one call of TakeOutputs. Items are never modified once sent.
 type Msg struct {
-	Epoch, Life uint64
-	Refused     bool // the sender is at Epoch and ignored a message of another epoch; there are no items
+	Epoch, Life uint64 // Life is the fencing token of the sender
+	Refused     bool   // the sender is at Epoch and ignored a message of another epoch; there are no items
 	Items       []Item
 }
 
@@ -36,7 +36,7 @@
 type Item struct {
 	Kind   Kind
 	Key    Key           `cbor:",omitzero"`
-	Slice  int           `cbor:",omitempty"`
+	Slice  int           `cbor:",omitempty"` // the shard
 	Try    uint64        `cbor:",omitempty"`
 	State  State         `cbor:",omitempty"`
 	Piece  *Piece        `cbor:",omitempty"`
--- a/internal/fleet/hand/world_test.go
+++ b/internal/fleet/hand/world_test.go
@@ -148,16 +148,16 @@
 		added.Prev = w.views[count-1].Epoch
 	}
 	names := slices.Sorted(maps.Keys(lives))
-	homes := map[int][]string{}
-	for i := range w.shards {
+	replicas := map[int][]string{}
+	for shard := range w.shards {
 		order := slices.Clone(names)
-		score := func(name string) uint64 { return xxhash.Sum64(strconv.AppendInt([]byte(name), int64(i), 10)) }
+		score := func(name string) uint64 { return xxhash.Sum64(strconv.AppendInt([]byte(name), int64(shard), 10)) }
 		slices.SortFunc(order, func(a, b string) int { return cmp.Compare(score(a), score(b)) })
-		homes[i] = order[:min(2, len(order))]
+		replicas[shard] = order[:min(2, len(order))]
 	}
-	added.Homes = func(i int) []string { return homes[i] }
-	first := len(w.views) == 0
-	added.Fresh = func(int) bool { return first }
+	added.Homes = func(shard int) []string { return replicas[shard] }
+	isFirst := len(w.views) == 0
+	added.Fresh = func(int) bool { return isFirst }
 	for owner := range w.pools {
 		if !w.unknownPools[owner] {
 			added.Pools[owner] = owner.Box
@@ -350,7 +350,7 @@
 
 // startRun gives a request to the server's pool, which receives it after a delay.
 func (w *world) startRun(server *server, key Key) {
-	pool, life, at := w.pools[Owner{server.name, server.token}], server.token, w.now+w.delay(2*w.maxDelay)
+	pool, token, at := w.pools[Owner{server.name, server.token}], server.token, w.now+w.delay(2*w.maxDelay)
 	repeat := server.calls[key].request.Repeat
 	var deliver func()
 	deliver = func() {
@@ -362,7 +362,7 @@
 			w.runCount[key]++
 			w.logf("%s runs %s", server.name, key.Token)
 			pool.runs[key] = &run{at: w.now, end: w.now + w.delay(900*ms) + 50*ms,
-				result: fmt.Sprintf("%s-%s-%d", key.Token, server.name, life), server: server, token: life}
+				result: fmt.Sprintf("%s-%s-%d", key.Token, server.name, token), server: server, token: token}
 			if w.runCount[key] > 1 && !repeat {
 				w.fail("%s ran %d times", key.Token, w.runCount[key])
 			}
--- a/internal/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -153,7 +153,7 @@
 	return expired
 }
 
-// Refused reports that a proposal of ExpiredServers is in no log and never will be, or was applied without effect. The
+// Refused reports that a proposal of ExpiredServers is in no log and never will be, or had no effect. The
 // token may be granted a lease again.
 func (g *Granter) Refused(server string, token uint64) {
 	if lease := g.servers[server]; lease != nil && lease.token == token {
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -4,15 +4,15 @@
 
 // Renewal requests a lease.
 type Renewal struct {
-	Box  string
-	Life uint64
+	Box  string // name of the server
+	Life uint64 // fencing token
 	Seq  uint64 // increases over all renewals of a process
 }
 
 // Grant answers a renewal.
 type Grant struct {
-	Box  string
-	Life uint64
+	Box  string // name of the server
+	Life uint64 // fencing token
 	Seq  uint64
 	For  time.Duration // duration of the lease from the moment the renewal was sent
 }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -398,11 +398,12 @@
 func TestExpiredServerHoldsNoLease(t *testing.T) {
 	expired, terms, holding, steps := 0, 0, 0, 0
 	for seed := *first; seed < *first+*seeds; seed++ {
-		w := runHistory(t, seed, defects{})
-		if w.violation != "" {
-			t.Fatalf("seed %d: %s\n%s", seed, w.violation, strings.Join(w.events, "\n"))
+		world := runHistory(t, seed, defects{})
+		if world.violation != "" {
+			t.Fatalf("seed %d: %s\n%s", seed, world.violation, strings.Join(world.events, "\n"))
 		}
-		expired, terms, holding, steps = expired+len(w.expiredAt), terms+len(w.terms), holding+w.leaseChecks, steps+w.now
+		expired, terms, holding, steps = expired+len(world.expiredAt), terms+len(world.terms),
+			holding+world.leaseChecks, steps+world.now
 	}
 	t.Logf("%d tokens expired, %d terms, %d of %d servers held a lease on average", expired, terms, holding/steps, servers)
 	if expired < int(*seeds) || terms < int(*seeds) || holding < steps {
@@ -412,16 +413,16 @@
 
 // Each assumption of the proof is necessary: without any one of them some history of the simulation breaks the rule.
 func TestEachDefectIsFound(t *testing.T) {
-	for name, k := range map[string]struct {
-		from uint64 // a seed that finds it, or shortly before one
-		bad  defects
+	for name, test := range map[string]struct {
+		from    uint64 // a seed that finds it, or shortly before one
+		omitted defects
 	}{"receipt": {1, defects{leaseFromReceipt: true}}, "no initial wait": {1, defects{noInitialWait: true}},
 		"no read index":  {28, defects{noReadIndex: true}},
 		"no clock drift": {1, defects{noClockDrift: true}}, "grants after proposal": {570, defects{grantsAfterProposal: true}}} {
 		t.Run(name, func(t *testing.T) {
-			for seed := k.from; seed < k.from+300; seed++ {
-				if w := runHistory(t, seed, k.bad); strings.Contains(w.violation, "was declared expired") {
-					t.Logf("seed %d: %s", seed, w.violation)
+			for seed := test.from; seed < test.from+300; seed++ {
+				if world := runHistory(t, seed, test.omitted); strings.Contains(world.violation, "was declared expired") {
+					t.Logf("seed %d: %s", seed, world.violation)
 					return
 				}
 			}
@@ -435,16 +436,16 @@
 func TestExpiryDelayAfterCrash(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(20) {
-		w := newWorld(t, seed, defects{})
-		crashed := w.servers[4]
-		for w.now < 3000+int(seed)*11 {
-			w.step(false)
+		world := newWorld(t, seed, defects{})
+		crashed := world.servers[4]
+		for world.now < 3000+int(seed)*11 {
+			world.step(false)
 		}
-		token, crashedAt := crashed.holder.Life(), w.now
-		for crashed.up, crashed.wakeStep = false, 1<<30; w.expiredAt[token] == 0 && w.now < crashedAt+5000; {
-			w.step(false)
+		token, crashedAt := crashed.holder.Life(), world.now
+		for crashed.up, crashed.wakeStep = false, 1<<30; world.expiredAt[token] == 0 && world.now < crashedAt+5000; {
+			world.step(false)
 		}
-		longest = max(longest, time.Duration(w.now-crashedAt)*stepTime)
+		longest = max(longest, time.Duration(world.now-crashedAt)*stepTime)
 	}
 	if t.Logf("%v at most", longest); longest < MeshTerms.Length-MeshTerms.Every ||
 		longest > MeshTerms.Patience()+100*time.Millisecond {
--- a/internal/fleet/lease/state.go
+++ b/internal/fleet/lease/state.go
@@ -57,7 +57,7 @@
 // Entry is one entry of the log. Which fields are used depends on Kind.
 type Entry struct {
 	Kind        Kind
-	Box         string
+	Box         string // name of the server
 	Zone        string // Registered only
 	Incarnation uint64 // Registered only
 	Pool        string // Registered only
--- a/internal/fleet/lease/terms_test.go
+++ b/internal/fleet/lease/terms_test.go
@@ -8,19 +8,19 @@
 // Checks the terms that docs/design states, and the condition of the proof in lease.md on any terms: a lease by the
 // slowest clock ends before the expiry delay by the fastest clock does.
 func TestTerms(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		terms                   Terms
 		length, every, patience time.Duration
 	}{
 		{MeshTerms, 3 * time.Second, 300 * time.Millisecond, 3160 * time.Millisecond},
 		{ControlTierTerms, 6 * time.Second, 500 * time.Millisecond, 6220 * time.Millisecond},
 	} {
-		if k.terms.Length != k.length || k.terms.Every != k.every || k.terms.Patience() != k.patience {
-			t.Errorf("%+v, patience %v", k.terms, k.terms.Patience())
+		if test.terms.Length != test.length || test.terms.Every != test.every || test.terms.Patience() != test.patience {
+			t.Errorf("%+v, patience %v", test.terms, test.terms.Patience())
 		}
-		lease := float64(k.length) / (1 - 1.0/Drift)
-		if patience := float64(k.terms.Patience()) / (1 + 1.0/Drift); patience < lease {
-			t.Errorf("%+v: a lease may last %v, the leader may wait only %v", k.terms, time.Duration(lease),
+		lease := float64(test.length) / (1 - 1.0/Drift)
+		if patience := float64(test.terms.Patience()) / (1 + 1.0/Drift); patience < lease {
+			t.Errorf("%+v: a lease may last %v, the leader may wait only %v", test.terms, time.Duration(lease),
 				time.Duration(patience))
 		}
 	}
--- a/internal/fleet/place/apply.go
+++ b/internal/fleet/place/apply.go
@@ -18,18 +18,18 @@
 // Change assigns the replicas of a shard: First is the primary, Second the backup. Second is "" in a fleet of one
 // server.
 type Change struct {
-	Slice         int
+	Slice         int // the shard
 	First, Second string
 }
 
 // Entry is one entry of the log. Which fields are used depends on Kind.
 type Entry struct {
 	Kind    Kind
-	Boxes   []string // Join and Leave only
+	Boxes   []string // Join and Leave only: names of servers
 	Epoch   uint64   // Move only: epoch of the state for which it was made
 	Changes []Change // Move only: sorted by shard
 	Missing []string // Move only: servers that the proposer takes as lost with all their records
-	Why     string
+	Why     string   // for the log
 }
 
 // Apply applies the entry of an index. It is deterministic: it depends on nothing but the state and the entry. An
