--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -2,33 +2,34 @@
 
 import "hash/maphash"
 
-// The stage "admit": what cannot become a request is answered here, unseen by the controller.
+// Admission: requests that cannot be accepted are answered here, without the controller.
 
+// admit accepts or rejects a request that has arrived.
 func (c *Core) admit(r *request) {
 	switch {
-	case c.byHandle[r.Handle] != nil || c.recent.has(r.Handle):
-		c.turnAway(r, Invalid, "the id is in use")
-	case c.shutWhy() != "":
-		c.turnAway(r, Refused, c.shutWhy())
-	case c.strange(r.session):
-		c.turnAway(r, Refused, "too many requests came to nothing here")
+	case c.byHandle[r.Handle] != nil || c.recentHandles.has(r.Handle):
+		c.reject(r, Invalid, "the id is in use")
+	case c.refusalReason() != "":
+		c.reject(r, Refused, c.refusalReason())
+	case c.tooManyUnserved(r.session):
+		c.reject(r, Refused, "too many requests came to nothing here")
 	case c.site.Keyed(r.Class):
 		c.register(r)
 		c.routeKeyed(r)
 	default:
 		c.register(r)
-		c.enter(r, 0)
+		c.submit(r, 0)
 	}
 }
 
-// shutWhy tells why nothing is taken in, whoever asks; "" = it is.
-func (c *Core) shutWhy() string {
+// refusalReason returns why no request is accepted at the moment; "" = requests are accepted.
+func (c *Core) refusalReason() string {
 	switch {
-	case c.ctl == nil || c.over:
+	case c.controller == nil || c.done:
 		return "the worker pool is not up"
-	case c.ending:
+	case c.closingConnections:
 		return "the server ends"
-	case c.books != nil && !c.books.Ready():
+	case c.ledger != nil && !c.ledger.Ready():
 		return "the ledger cannot be written"
 	case len(c.byHandle) >= c.site.Bounds.Open:
 		return "too many requests in hand"
@@ -39,47 +40,49 @@
 // register makes a request known by its handle.
 func (c *Core) register(r *request) {
 	c.byHandle[r.Handle] = r
-	c.recent.add(r.Handle)
-	c.changed()
+	c.recentHandles.add(r.Handle)
+	c.metricsChanged()
 }
 
-// strange tells that much on a connection came to nothing. Guards the controller's view of its load against
-// a client that asks again as soon as it is turned away, or takes back all that it asks for. Harm: in a deep
-// overload a balancer's connection is made anew now and then.
-func (c *Core) strange(x *session) bool { return !x.once && x.idled >= maxIdle }
+// tooManyUnserved reports whether too many consecutive requests on a connection were not served. It protects the
+// controller's view of the load from a client that repeats a request as soon as it is refused, or cancels all that it
+// sends. Cost: under heavy overload a balancer's connection is occasionally replaced.
+func (c *Core) tooManyUnserved(sess *session) bool {
+	return !sess.single && sess.unserved >= maxUnserved
+}
 
-// turnAway answers a request that nothing else knows.
-func (c *Core) turnAway(r *request, k Kind, why string) {
-	r.state = ended
-	c.answer(r, Answer{Kind: k, Why: why, Away: c.site.Control.MaxAdvice})
-	c.enterUse(r)
+// reject answers a request that is known to nothing else.
+func (c *Core) reject(r *request, kind Kind, reason string) {
+	r.state = stateEnded
+	c.answer(r, Answer{Kind: kind, Why: reason, Away: c.site.Control.MaxAdvice})
+	c.recordUsage(r)
 }
 
-const maxRecent = 8192
+const maxRecentHandles = 8192
 
-// recent remembers handles of late, up to twice maxRecent, as sums of 8 bytes. Guards against a request
-// under the handle of one that is over: the worker pool would take it for that one.
-type recent struct {
-	seed     maphash.Seed
-	now, old map[uint64]struct{}
+// recentHandles remembers the 64-bit hashes of up to twice maxRecentHandles recent handles. It prevents a request
+// from using the handle of one that is over: the worker pool would confuse the two.
+type recentHandles struct {
+	seed              maphash.Seed
+	current, previous map[uint64]struct{}
 }
 
-func (s *recent) has(handle string) bool {
-	if s.now == nil {
+func (s *recentHandles) has(handle string) bool {
+	if s.current == nil {
 		return false
 	}
 	h := maphash.String(s.seed, handle)
-	_, now := s.now[h]
-	_, old := s.old[h]
-	return now || old
+	_, inCurrent := s.current[h]
+	_, inPrevious := s.previous[h]
+	return inCurrent || inPrevious
 }
 
-func (s *recent) add(handle string) {
-	if s.now == nil {
-		s.seed, s.now = maphash.MakeSeed(), map[uint64]struct{}{}
+func (s *recentHandles) add(handle string) {
+	if s.current == nil {
+		s.seed, s.current = maphash.MakeSeed(), map[uint64]struct{}{}
 	}
-	if len(s.now) >= maxRecent {
-		s.now, s.old = map[uint64]struct{}{}, s.now
+	if len(s.current) >= maxRecentHandles {
+		s.current, s.previous = map[uint64]struct{}{}, s.current
 	}
-	s.now[maphash.String(s.seed, handle)] = struct{}{}
+	s.current[maphash.String(s.seed, handle)] = struct{}{}
 }
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -1,6 +1,6 @@
-// Package core carries a request from its arrival to its one final answer. It knows no wire: fronts,
-// the worker pool, the calls below, the directory and the shared store reach it as typed events and are
-// reached through the small interfaces of this file. The decisions are the controller's alone.
+// Package core carries each request from its arrival to its single final answer. It is independent of any protocol:
+// the fronts, the worker pool, downstream calls, the directory and the shared store deliver typed events to it, and
+// it reaches them through the small interfaces in this file. All scheduling decisions are made by the controller.
 package core
 
 import (
@@ -10,21 +10,21 @@
 	"larchscale/internal/ledger"
 )
 
-// Kind tells what an Answer means.
+// Kind classifies an Answer.
 type Kind uint8
 
 // The kinds of answer.
 const (
 	Served   Kind = iota // the result of a run of this request
 	Refused              // this try never ran
-	Failed               // an error; it may have run
-	TimedOut             // as Failed, and the caller's time is over
-	Conflict             // its token belongs to another body; it never ran
-	Invalid              // it cannot be a request; it never ran
-	Checked              // a health check
+	Failed               // an error; the request may have run
+	TimedOut             // like Failed, after the caller's time has run out
+	Conflict             // the token belongs to a different body; the request never ran
+	Invalid              // not a valid request; it never ran
+	Checked              // the reply to a health check
 )
 
-// String returns the kind's name in the log.
+// String returns the kind's name as logged.
 func (k Kind) String() string {
 	switch k {
 	case Served:
@@ -45,90 +45,92 @@
 	return "unknown"
 }
 
-// Answer is what a front sends back. Kinds but Checked are final.
+// Answer is what a front sends back to its caller. Every kind except Checked is final.
 type Answer struct {
 	Kind Kind
 	Body []byte        // Served: the result
-	Why  string        // not Served: a few words for people
-	Away time.Duration // Refused: stay away so long
-	Last bool          // Refused: try nowhere else
-	Up   bool          // Checked
-	Hint float64       // the free value; negative = none yet
+	Why  string        // every kind except Served: a short reason for people
+	Away time.Duration // Refused: the caller should not send again for this long
+	Last bool          // Refused: the caller should not try another server
+	Up   bool          // Checked: the server takes work
+	Hint float64       // the load hint that the controller sets; negative = not known yet
 }
 
-// Reply takes the answer to one request or check. It must not block.
+// Reply receives the answer to one request or health check. It must not block.
 type Reply interface{ Answer(Answer) }
 
 // Session is one connection of a front. Its methods must not block.
 type Session interface {
-	Drain(left time.Duration) // tell the other side to send nothing new; what has not come after left is not run
-	// Close ends the connection, on which no request is open, unless something has come on it beyond the heard events
-	// that the core has taken of it, or is there to be read: that is delivered, and keeps the connection. So a request
-	// that was read is answered on its connection. The end is told by Closed, and logged with the reason.
+	Drain(left time.Duration) // asks the peer to send nothing new; requests that arrive after left are not run
+	// Close asks for the end of a connection that has no open request. The connection stays open if it has delivered
+	// more than the heard events that the core has processed, or if more input is waiting to be read: that input is
+	// delivered instead. So a request that was read is always answered on its own connection. The end is reported by
+	// an event and logged with the reason.
 	Close(heard uint64, why CloseReason)
 }
 
-// CloseReason tells why the server ends a connection. It stands in the log as it is.
+// CloseReason is why the server closes a connection. It is logged verbatim.
 type CloseReason string
 
-// The reasons for which the core ends a connection.
+// The reasons for which the core closes a connection.
 const (
 	CloseIdle     CloseReason = "idle"
 	CloseRoom     CloseReason = "room for a newer connection"
-	CloseUnserved CloseReason = "too many requests came to nothing"
+	CloseUnserved CloseReason = "too many unserved requests"
 	CloseShutdown CloseReason = "shutdown"
 )
 
-// Listener is what lets connections in. Its methods must not block.
+// Listener accepts connections. Its methods must not block.
 type Listener interface {
-	// Shut takes the connections that others have made already, and lets no more in.
+	// Shut accepts the connections that are already established and then stops accepting.
 	Shut()
-	// Conns is how many connections are open or about to end.
+	// Conns returns the number of connections that are open or being closed.
 	Conns() int
 }
 
-// Runner passes commands to the worker pool. Its methods must not block.
+// Runner sends commands to the worker pool. Its methods must not block.
 type Runner interface {
 	Run(handle, class string, body []byte)
 	Stop(handle string)
 	Supply(handle string, body []byte)
-	// Pass has a run go on without the call that a notice asked for.
+	// Pass lets a run continue without the call that the notice asked for.
 	Pass(handle string, notice uint64)
 	Poll(ticket string)
-	// Verify asks for the work of a deep health check.
+	// Verify asks the worker pool to do the work of a deep health check.
 	Verify(ticket string)
 }
 
-// Caller makes calls below; a subject of 0 is of nobody. Its methods must not block; each Call ends with one CallEnded, unless it was
-// given up by Abandon or by a further Call for the same handle. One that must be made once is not repeated
-// whatever becomes of its connection. Numbers are new with every Call, and CallEnded carries that of the call which it is
-// the end of: a call that is given up may have ended already, and its end is told all the same.
+// Caller makes downstream calls; a subject of 0 means no subject. Its methods must not block. Each Call ends with one
+// CallEnded event unless Abandon or a further Call for the same handle gives it up. A call with once set is not
+// repeated, whatever happens to its connection. Every Call has a new number, and its CallEnded carries that number: a
+// call that is given up may have ended already, and its end is still reported.
 type Caller interface {
 	Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte)
 	Abandon(handle string)
 }
 
-// Worth is what became of a request that made calls below, in shares of what was asked for.
+// Worth is the outcome of a request that made downstream calls.
 type Worth struct {
-	Value       float64 // of its worth: 1 in its aim, what its class gives for a late result, else 0
+	// Value is the share of the worth that was earned: 1 within the aim, the class's LateWorth for a late result, or 0.
+	Value       float64
 	Served      bool
 	Late        bool
-	Calls, Lost int64 // calls that it made, and of them those that brought no reply
+	Calls, Lost int64 // calls made, and how many of them brought no reply
 }
 
-// Judge hears once of each request that made a call below, when it has its final answer or its caller has gone. It must
-// not block.
+// Judge is called once for each request that made a downstream call, when the request has its final answer or is
+// canceled by its caller. It must not block.
 type Judge interface {
 	Judge(handle string, w Worth)
 }
 
-// Lister tells the directory whether this server takes work. It must not block.
+// Lister reports to the directory whether this server takes work. It must not block.
 type Lister interface {
 	Report(open bool)
-	Silence() // nothing that was reported is said again, until the next Report
+	Silence() // stops repeating what was reported, until the next Report
 }
 
-// Key names one request with an effect, whichever front its tries come by.
+// Key identifies one request that has an effect, whichever front its tries arrive at.
 type Key struct {
 	Class int
 	Token string
@@ -139,47 +141,47 @@
 
 // The states of a key.
 const (
-	ClaimWon    Claim = iota // this server may run it, and nobody else
-	ClaimOther               // another server has it in hand
-	ClaimDone                // it ran, and this is its result
+	ClaimWon    Claim = iota // this server, and no other, may run it
+	ClaimOther               // it is in flight at another server
+	ClaimDone                // it ran, and its result is known
 	ClaimFailed              // it ran or may have run, and failed
-	ClaimOff                 // it belongs to another body
-	ClaimDown                // the store does not tell
+	ClaimOff                 // the key belongs to a different body
+	ClaimDown                // the store did not answer
 )
 
-// Piece is a keyed request as the shared store has it: all that another server needs to run it in this one's
-// place. Its body is not to be changed.
+// Piece is a keyed request as kept in the shared store, with everything that another server needs to run it in place
+// of this one. Its body must not be modified.
 type Piece struct {
 	Key     Key
-	Handle  string   // by which the worker pool knows its run, at whichever server
-	Sum     [32]byte // of the body
+	Handle  string   // identifies its run at the worker pool, at whichever server that is
+	Sum     [32]byte // SHA-256 of the body
 	Body    []byte
 	Tenant  int           // -1 = none
-	Rank    float64       // 0 to below 1
+	Rank    float64       // in [0, 1)
 	Memory  float64       // kilobytes while held
-	Work    time.Duration // to expect on one core, a rough hint; 0 = not told
+	Work    time.Duration // rough estimate of the time on one core; 0 = unknown
 	Subject uint64
 	Caller  uint32
-	Left    time.Duration // until it is due
-	Life    time.Duration // how long its claim has to be kept: window, deadline and a margin
+	Left    time.Duration // until the request is due
+	Life    time.Duration // how long the claim has to be kept: window, deadline and a margin
 }
 
-// Store is the table of keys that several servers share. Its methods must not block.
+// Store is the table of keys shared by several servers. Its methods must not block.
 type Store interface {
-	// Claim asks for a key; each that is taken (true) ends with one Claimed event.
+	// Claim asks for a key. Each request that is accepted (true) is followed by one event with the answer.
 	Claim(p Piece) bool
-	// Finish tells how the run of a claimed key ended. With wait one Finished event follows, and what ended is not
-	// answered before it; none follows a Disown.
+	// Finish reports how the run of a claimed key ended. If it returns wait, one event with the confirmation follows,
+	// and the result must not be sent to callers before it; after a Disown there is none.
 	Finish(k Key, sum [32]byte, ok bool, result []byte, life time.Duration) (wait bool)
-	// Release gives up the claim of what never ran. It touches no claim of before a Disown.
+	// Release gives up the claim of a request that never ran. It does not affect claims made before a Disown.
 	Release(k Key)
-	// Holds tells that what this server has claimed is still its own. It is asked at the moment of acting, by the
-	// loop, and must cost no more than an atomic read and a clock. Where claims may be another's it stays false until a
-	// Disown is taken; where it only could not be told for a while, it may hold again.
+	// Holds reports whether the claims of this server are still its own. The loop calls it at the moment of acting,
+	// so it must cost no more than an atomic load and a clock read. Once claims may belong to another server it stays
+	// false until a Disown is processed; if ownership was only unknown for a while, it may become true again.
 	Holds() bool
 }
 
-// Use is what one request used, told when it is over.
+// Use is the resource usage of one request, reported when the request is over.
 type Use struct {
 	Class        int
 	Tenant       int           // -1 = none
@@ -189,98 +191,97 @@
 	Figures      ledger.Figures
 }
 
-// Booker keeps the ledger of use. Its methods must not block. Booked events tell how far what it was given is
-// written.
+// Booker records usage in the ledger. Its methods must not block. Events report how far the entries are written.
 type Booker interface {
-	// Book takes an entry and gives its ticket; tickets count up from 1.
+	// Book takes an entry and returns its ticket; tickets count up from 1.
 	Book(Use) uint64
-	// Flush ends a turn in which entries were booked.
+	// Flush marks the end of a loop iteration in which entries were recorded.
 	Flush()
-	// Ready tells that new work may be taken.
+	// Ready reports whether new work may be accepted.
 	Ready() bool
-	// Strict tells that a result leaves only once its entry is written.
+	// Strict reports whether a result is sent only after its entry is written.
 	Strict() bool
-	// Overdue tells what becomes of a result whose entry is not written when it is due: true = it leaves, false
-	// = the request fails.
+	// Overdue decides what happens to a result whose entry is not written by its due time: true = the result is sent,
+	// false = the request fails.
 	Overdue() bool
 }
 
-// Site is what a server is told of its place.
+// Site is the configuration of a server.
 type Site struct {
 	Control control.Config
-	Classes []string // their names, in the order of Control.Classes
+	Classes []string // class names, in the order of Control.Classes
 	Tenants []string
 	Gauges  []string
-	Stop    time.Duration // from the notice to leave until the process is killed
+	Stop    time.Duration // from the drain notice until the process is killed
 	Bounds  Bounds
 
 	classIndex, tenantIndex nameIndex
 }
 
-// Bounds are what the platform's limits leave for the core's tables.
+// Bounds limits the size of the core's tables, as derived from the platform's limits.
 type Bounds struct {
-	Sessions int // connections kept open; beyond, those that stand idle are closed
-	Open     int // requests in hand
+	Sessions int // connections kept open; above this, idle ones are closed
+	Open     int // requests in flight
 	Table    int // bytes of keys and results
 }
 
-// IndexNames builds the indexes that Class and Tenant look names up in. It is called once Classes and Tenants are
-// complete, and again after any change of them; until then Class and Tenant search the names one by one.
+// IndexNames builds the indexes for lookups by name. It is called once Classes and Tenants are complete, and
+// again after any change to them; until then lookups search linearly.
 func (s *Site) IndexNames() {
 	s.classIndex = newNameIndex(s.Classes)
 	s.tenantIndex = newNameIndex(s.Tenants)
 }
 
-// Class returns the place of a class by its name; -1 = none.
+// Class returns the index of the class with this name; -1 = none.
 func (s *Site) Class(name string) int { return s.classIndex.find(s.Classes, name) }
 
-// Tenant returns the place of a tenant by its name; -1 = none.
+// Tenant returns the index of the tenant with this name; -1 = none.
 func (s *Site) Tenant(name string) int { return s.tenantIndex.find(s.Tenants, name) }
 
-// Keyed tells whether requests of a class carry a token.
+// Keyed reports whether requests of a class carry a token.
 func (s *Site) Keyed(class int) bool { return s.Control.Classes[class].Effect == control.Keyed }
 
-// Incoming is one request as a front read it.
+// Incoming is one request as read by a front.
 type Incoming struct {
-	Handle  string // new with every try
+	Handle  string // unique to this try
 	Class   int
 	Tenant  int // -1 = none
 	Caller  uint32
-	Arrived time.Time     // at the machine
-	Budget  time.Duration // the caller waits so long from Arrived; 0 = not told
+	Arrived time.Time     // at this machine
+	Budget  time.Duration // how long the caller waits, counted from Arrived; 0 = unknown
 	Rank    float64
 	Memory  float64       // kilobytes while held
-	Work    time.Duration // to expect on one core, a rough hint; 0 = not told
-	Token   string        // keyed classes
+	Work    time.Duration // rough estimate of the time on one core; 0 = unknown
+	Token   string        // keyed classes only
 	Subject uint64
 	Retry   bool
 	Body    []byte
 }
 
-// Event is what reaches the core's loop.
+// Event is an input of the core's loop.
 type Event interface{ event() }
 
 // The events of fronts.
 type (
-	// Opened tells of a new connection. A single one carries one request and is never closed as idle.
+	// Opened reports a new connection. A Single one carries one request and is never closed as idle.
 	Opened struct {
 		Session Session
 		Single  bool
 	}
-	// Closed tells that a connection is gone.
+	// Closed reports that a connection has ended.
 	Closed struct{ Session Session }
-	// Arrive brings a request.
+	// Arrive delivers a request.
 	Arrive struct {
 		Session Session
 		Reply   Reply
 		Req     Incoming
 	}
-	// Withdraw tells that nobody waits for a request any longer.
+	// Withdraw reports that the caller canceled a request.
 	Withdraw struct {
 		Session Session
 		Handle  string
 	}
-	// Check asks for the health; a deep one also whether work is getting done.
+	// Check asks for the health; a deep check also asks whether work is being completed.
 	Check struct {
 		Session Session
 		Reply   Reply
@@ -290,87 +291,89 @@
 
 // The events of the worker pool.
 type (
-	// PoolBound tells that a link is up, and how long ago the pool started, cold or warm.
+	// PoolBound reports that a link is up, how long ago the pool started, and whether it started cold.
 	PoolBound struct {
 		Cold bool
 		Age  time.Duration
 	}
-	// PoolLost tells that the link ended: commands of its last moments may not have come.
+	// PoolLost reports that the link ended; the last commands sent on it may not have arrived.
 	PoolLost struct{}
-	// PoolUnknown tells that a command was not carried out.
+	// PoolUnknown reports that a command was not carried out.
 	PoolUnknown struct{ Command, Handle string }
-	// PoolFinished tells that a run is over.
+	// PoolFinished reports the end of a run.
 	PoolFinished struct {
 		Handle string
 		End    control.Outcome // OK, Errored, Stopped or Moot
 		Took   time.Duration
 		Body   []byte
 	}
-	// PoolBlocked tells that a run waits for a call.
+	// PoolBlocked reports that a run waits for a downstream call.
 	PoolBlocked struct {
 		Handle string
-		Notice uint64 // its number
+		Notice uint64 // identifies this notice
 		Body   []byte
 	}
-	// PoolVerified tells how the work of a deep health check ended.
+	// PoolVerified reports the result of the work of a deep health check.
 	PoolVerified struct {
 		Ticket string
 		OK     bool
 	}
-	// PoolPolled brings the gauges.
+	// PoolPolled delivers the gauges.
 	PoolPolled struct {
 		Ticket  string
 		Figures []float64
 	}
 )
 
-// CallEnded tells how a call below ended. One whose number is not that of the call in hand is passed over.
+// CallEnded reports the end of a downstream call. It is ignored if its number is not that of the call in flight.
 type CallEnded struct {
 	Handle  string
-	Number  uint64 // of the Call
+	Number  uint64 // number of the Call
 	Outcome control.Outcome
 	Body    []byte // OK: the reply
 }
 
-// Claimed tells what the shared store said of a key.
+// Claimed is the shared store's answer to a claim.
 type Claimed struct {
 	Key    Key
 	State  Claim
-	Result []byte // ClaimDone
+	Result []byte // ClaimDone: the result
 }
 
-// The events of a store that watches over the work of servers that are lost.
+// The events of a store that takes over the work of servers that fail.
 type (
-	// Finished tells what became of an end that the core was told to wait for.
+	// Finished reports the outcome of a Finish that the core was told to wait for.
 	Finished struct {
 		Key Key
-		OK  bool // the end is where it survives this server; else the piece is another's
+		OK  bool // the result is stored where it survives this server; otherwise the request belongs to another server
 	}
-	// Adopt brings a piece of a server that is lost: it is run here. Its key is claimed for this server already.
+	// Adopt delivers a keyed request of a failed server, to be run here. Its key is already claimed for this server.
 	Adopt struct{ Piece Piece }
-	// Disown tells that nothing that was claimed is this server's any longer. What was asked for before it is not told
-	// as won after it.
+	// Disown reports that none of the claims belong to this server any longer. Claims requested before it are not
+	// reported as won after it.
 	Disown struct {
-		Taken func() // called by the loop once all is given up; from then on Holds speaks of new claims; nil = nobody asks
+		// Taken is called by the loop once all claims are given up; from then on the store's claims are new ones. It
+		// may be nil.
+		Taken func()
 	}
 )
 
-// Booked tells that all entries up to a ticket are written.
+// Booked reports that all ledger entries up to a ticket are written.
 type Booked struct{ Through uint64 }
 
-// Drain is the notice to leave.
+// Drain tells the server to shut down.
 type Drain struct{}
 
-// Hold is an operator's drain (On) or its end: while held, health checks and reports to the directory say
-// that this server takes no work, and what still comes is served as ever.
+// Hold starts (On) or ends a drain by an operator. During it, health checks and reports to the directory say that
+// this server takes no work, and requests that arrive are served as usual.
 type Hold struct{ On bool }
 
-// Handoff is a SIGTERM while a newer process of this server serves the same address: no notice to leave the
-// fleet. Open connections are told at once to reconnect, what is open is finished, and the loop ends before
-// Kill, counted from the event.
+// Handoff reports a SIGTERM while a newer process of this server serves the same address, so the server does not
+// leave the fleet. Open connections are asked at once to reconnect, open requests are finished, and the loop ends
+// before Kill, counted from the event.
 type Handoff struct{ Kill time.Duration }
 
-// Configured tells that the server's configuration documents are those as of a revision.
+// Configured reports that the configuration documents of a revision are in effect.
 type Configured struct{ Revision uint64 }
 
 func (Opened) event()       {}
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -6,44 +6,45 @@
 	"larchscale/control"
 )
 
-// The stage "book": the one final answer, and the end of a request.
+// Answering: the single final answer, and the end of a request.
 
-// answer gives the final answer. This is the one place where a request becomes answered with one, so that
-// none gets two; a caller that has gone counts as answered too. With a strict ledger a result waits for its entry,
-// which is booked in the same turn.
+// answer gives the final answer. It is the only place that answers a request, so that none is answered twice; a
+// request canceled by its caller counts as answered too. With a strict ledger a result waits for its ledger entry,
+// which is recorded in the same loop iteration.
 func (c *Core) answer(r *request, a Answer) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	if r.adopted { // its caller is told, and counted, when it repeats
-		c.withdrawn(r)
+	if r.adopted { // its caller is answered, and counted, when it repeats the request
+		c.markCanceled(r)
 		return
 	}
-	c.counted(r.Class, a.Kind)
+	c.countAnswer(r.Class, a.Kind)
 	c.logUnserved(r, a)
-	if r.session.idled++; a.Kind == Served {
-		r.session.idled, r.session.served = 0, true
-		r.use.out = int64(len(a.Body))
-	}
-	c.endsAs(r, a.Kind)
-	c.judged(r, a.Kind)
-	if c.books != nil && a.Kind == Served && c.books.Strict() {
-		r.use.kept = &kept{answer: a}
+	if r.session.unserved++; a.Kind == Served {
+		r.session.unserved, r.session.everServed = 0, true
+		r.usage.bytesOut = int64(len(a.Body))
+	}
+	c.setEnd(r, a.Kind)
+	c.reportOutcome(r, a.Kind)
+	if c.ledger != nil && a.Kind == Served && c.ledger.Strict() {
+		r.usage.pending = &pendingResult{answer: a}
 		return
 	}
 	a.Hint = c.level
 	r.reply.Answer(a)
-	c.left(r)
+	c.detach(r)
 }
 
-// logUnserved logs an answer that is no result: which request, and why. The log bounds its lines by itself.
-func (c *Core) logUnserved(r *request, a Answer) {
-	if a.Kind == Served {
+// logUnserved logs an answer that is not a result, with the request and the reason. The logger limits its own rate.
+func (c *Core) logUnserved(r *request, answer Answer) {
+	if answer.Kind == Served {
 		return
 	}
-	c.log.Info("not served", "id", r.Handle, "class", c.className(r.Class), "how", a.Kind.String(), "why", a.Why, "ran", r.ran,
-		"waited_ms", (c.now - r.arrived).Milliseconds(), "left_ms", (r.due - c.now).Milliseconds(), "leaving", c.leaving)
+	c.log.Info("not served", "id", r.Handle, "class", c.className(r.Class), "how", answer.Kind.String(),
+		"why", answer.Why, "ran", r.ran, "waited_ms", (c.now - r.arrived).Milliseconds(),
+		"left_ms", (r.due - c.now).Milliseconds(), "leaving", c.draining)
 }
 
 // className returns the name of a class; "" = it has none.
@@ -54,75 +55,76 @@
 	return c.site.Classes[class]
 }
 
-// judged tells what a request was worth that made calls below.
-func (c *Core) judged(r *request, k Kind) {
-	if c.trials == nil || r.use.calls == 0 {
+// reportOutcome tells the observer what a request that made downstream calls was worth.
+func (c *Core) reportOutcome(r *request, kind Kind) {
+	if c.observer == nil || r.usage.calls == 0 {
 		return
 	}
-	w := Worth{Served: k == Served, Calls: r.use.calls, Lost: r.use.lost}
-	if w.Served {
-		w.Value = 1
-		if x := &c.site.Control.Classes[r.Class]; x.Aim > 0 && c.now-r.arrived > x.Aim {
-			w.Late, w.Value = true, x.LateWorth
+	outcome := Worth{Served: kind == Served, Calls: r.usage.calls, Lost: r.usage.lostCalls}
+	if outcome.Served {
+		outcome.Value = 1
+		if class := &c.site.Control.Classes[r.Class]; class.Aim > 0 && c.now-r.arrived > class.Aim {
+			outcome.Late, outcome.Value = true, class.LateWorth
 		}
 	}
-	c.trials.Judge(r.Handle, w)
+	c.observer.Judge(r.Handle, outcome)
 }
 
-// left takes an answered request off its connection.
-func (c *Core) left(r *request) {
-	r.session.open--
-	c.rest(r.session)
+// detach removes an answered request from its connection.
+func (c *Core) detach(r *request) {
+	r.session.openRequests--
+	c.startIdle(r.session)
 }
 
-// refuse turns away a request that never ran.
-func (c *Core) refuse(r *request, away time.Duration, last bool) {
-	if !c.holds(r.entry) { // it may run elsewhere
+// refuse refuses a request that never ran.
+func (c *Core) refuse(r *request, retryAfter time.Duration, final bool) {
+	if !c.owns(r.entry) { // another server may run it
 		return
 	}
-	if r.ran && c.site.Control.Classes[r.Class].Effect != control.Safe { // guards against a refusal after an effect
+	// A request that may have had an effect is never refused.
+	if r.ran && c.site.Control.Classes[r.Class].Effect != control.Safe {
 		c.fail(r)
 		return
 	}
-	c.answer(r, Answer{Kind: Refused, Why: "turned away", Away: away, Last: last})
-	if r.state == held {
-		c.drop(r)
+	c.answer(r, Answer{Kind: Refused, Why: "turned away", Away: retryAfter, Last: final})
+	if r.state == stateHeld {
+		c.discard(r)
 	}
 }
 
-// fail answers with an error. A run goes on until it ends or reaches a call.
+// fail answers with an error. A run continues until it ends or reaches a call.
 func (c *Core) fail(r *request) {
-	k := Failed
+	kind := Failed
 	if c.now >= r.due-100*time.Millisecond {
-		k = TimedOut
+		kind = TimedOut
 	}
-	c.answer(r, Answer{Kind: k, Why: "no result in time"})
+	c.answer(r, Answer{Kind: kind, Why: "no result in time"})
 	switch r.state {
-	case held, replaying:
-		c.drop(r)
-	case calling:
-		c.abandon(r)
+	case stateHeld, stateReplaying:
+		c.discard(r)
+	case stateCalling:
+		c.abandonCall(r)
 	}
 }
 
-// drop takes a request off the books that neither the controller nor the worker pool has any longer.
-func (c *Core) drop(r *request) {
-	was := r.state
-	c.strike(r)
+// discard forgets a request that neither the controller nor the worker pool holds any longer.
+func (c *Core) discard(r *request) {
+	previous := r.state
+	c.retire(r)
 	e := r.entry
 	if e == nil {
 		return
 	}
 	if e.owner == r {
 		switch {
-		case was == ending:
-			e.owner = nil // the store's word is still to come, for those that repeat it
-		case !e.ran && was == claiming && e.phase == asking && len(e.waiters) > 0:
+		case previous == stateFinishing:
+			e.owner = nil // the store's confirmation is still to come, for the requests that repeat this one
+		case !e.ran && previous == stateClaiming && e.phase == phaseClaiming && len(e.waiters) > 0:
 			e.owner, e.waiters = e.waiters[0], e.waiters[1:] // the store's answer is still to come
 		case !e.ran:
-			c.release(e)
-		default: // stopped for good after it had begun
-			c.conclude(e, false, nil)
+			c.releaseKey(e)
+		default: // stopped for good after its run had begun
+			c.finishEntry(e, false, nil)
 		}
 		return
 	}
@@ -134,24 +136,25 @@
 	}
 }
 
+// forgetHandle frees the handle of a request.
 func (c *Core) forgetHandle(r *request) {
 	if c.byHandle[r.Handle] == r {
 		delete(c.byHandle, r.Handle)
-		c.changed()
+		c.metricsChanged()
 	}
 }
 
-// strike takes a request that is over off the core's tables and books it.
-func (c *Core) strike(r *request) {
-	r.state = ended
-	c.late.drop(&r.patience)
+// retire removes a request that is over from the core's tables and records its usage.
+func (c *Core) retire(r *request) {
+	r.state = stateEnded
+	c.timers.remove(&r.waitTimer)
 	delete(c.byID, r.id)
 	c.forgetHandle(r)
-	c.enterUse(r)
+	c.recordUsage(r)
 }
 
 // finish ends a run or a replay, and tells the controller after this round of actions.
-func (c *Core) finish(r *request, how control.Outcome, took time.Duration) {
-	c.strike(r)
-	c.again = append(c.again, func() { c.ctl.Done(c.now, r.id, took, how) })
+func (c *Core) finish(r *request, outcome control.Outcome, runTime time.Duration) {
+	c.retire(r)
+	c.followUps = append(c.followUps, func() { c.controller.Done(c.now, r.id, runTime, outcome) })
 }
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -10,166 +10,169 @@
 	"larchscale/control"
 )
 
-// What is claimed in the shared store can be lost: to the server that took over the work of this one while it was cut
-// off or stood still. So whoever acts on a claim asks first whether it holds, at that moment; and where the store watches
-// over the end of a run, that end is given out only once it is where it survives this server.
+// A claim in the shared store can be lost to a server that took over this server's work while this one was cut off or
+// suspended. So code that acts on a claim first checks, at that moment, that the claim is still valid. If the store
+// confirms stored results, the result of a run is sent only after it is stored where it survives this server.
 
 const (
-	elsewhere = "another server may have it"
-	takenOver = "it was taken over"
+	whyElsewhere = "another server may have it"
+	whyTakenOver = "it was taken over"
 )
 
-// holds tells that nothing says that an entry is another server's. The claim of one that may be is lost here.
-func (c *Core) holds(e *entry) bool {
-	if e == nil || e.phase != lost && (!e.claimed || c.store.Holds()) {
+// owns reports whether an entry still belongs to this server, as far as is known. If it may belong to another server,
+// its claim is dropped here.
+func (c *Core) owns(e *entry) bool {
+	if e == nil || e.phase != phaseLost && (!e.claimHeld || c.store.Holds()) {
 		return true
 	}
-	if e.phase != lost {
-		c.lose(e, elsewhere)
+	if e.phase != phaseLost {
+		c.loseClaim(e, whyElsewhere)
 	}
 	return false
 }
 
-// lose fails all tries of an entry that is another server's. The entry stays: until Disown, what comes for it cannot be
-// told from a repeat of a try that ran here.
-func (c *Core) lose(e *entry, why string) {
+// loseClaim fails all tries of an entry that belongs to another server. The entry stays until the Disown event,
+// because until then a new try cannot be told from the repeat of one that ran here.
+func (c *Core) loseClaim(e *entry, reason string) {
 	owner, waiters := e.owner, e.waiters
-	e.phase, e.owner, e.waiters, e.result = lost, nil, nil, nil
-	c.table.resize(e, entryBytes+len(e.key.Token))
+	e.phase, e.owner, e.waiters, e.result = phaseLost, nil, nil, nil
+	c.keys.resize(e, entryOverheadBytes+len(e.key.Token))
 	if owner != nil {
-		c.cede(owner, why)
+		c.failLost(owner, reason)
 	}
 	for _, r := range waiters {
-		c.cede(r, why)
+		c.failLost(r, reason)
 	}
 }
 
-// cede fails a try whose key is another server's. A run of it is stopped where runs can be, and its end is nobody's.
-func (c *Core) cede(r *request, why string) {
-	c.answer(r, Answer{Kind: Failed, Why: why})
+// failLost fails a try whose key belongs to another server. Its run is stopped if runs can be stopped, and the end of
+// the run is ignored.
+func (c *Core) failLost(r *request, reason string) {
+	c.answer(r, Answer{Kind: Failed, Why: reason})
 	switch r.state {
-	case calling:
-		c.abandon(r)
-	case running, blocked:
+	case stateCalling:
+		c.abandonCall(r)
+	case stateRunning, stateBlocked:
 	default:
 		c.finish(r, control.Errored, 0)
 		return
 	}
-	r.resend = nil
-	c.ctl.Gone(c.now, r.id)
+	r.resendCommand = nil
+	c.controller.Gone(c.now, r.id)
 	if c.site.Control.Stopping != control.StopNever {
-		c.stop(r)
+		c.stopRun(r)
 	}
 }
 
-// keepBack has the end of a run wait for the store's word, until its due time at the most. The controller is done
-// with it.
-func (c *Core) keepBack(r *request, how control.Outcome, took time.Duration) {
+// awaitStored delays the end of a run until the store confirms its result, or until the request's due time. The
+// controller is done with the run.
+func (c *Core) awaitStored(r *request, outcome control.Outcome, runTime time.Duration) {
 	delete(c.byID, r.id)
-	c.late.set(&r.patience, r.due-dueEarly)
-	c.again = append(c.again, func() { c.ctl.Done(c.now, r.id, took, how) })
+	c.timers.set(&r.waitTimer, r.due-dueMargin)
+	c.followUps = append(c.followUps, func() { c.controller.Done(c.now, r.id, runTime, outcome) })
 }
 
-// stored is the store's word on the end of a run.
-func (c *Core) stored(f Finished) {
-	e := c.table.entries[f.Key]
+// finishConfirmed handles the store's confirmation of the end of a run.
+func (c *Core) finishConfirmed(confirmation Finished) {
+	e := c.keys.entries[confirmation.Key]
 	switch {
-	case e == nil || e.phase != unstored:
-	case !f.OK: // a repeat asks the store for how it ends there
-		c.lose(e, takenOver)
-		c.forget(e)
-	case c.holds(e):
+	case e == nil || e.phase != phaseStoring:
+	case !confirmation.OK: // a repeat asks the store how the run ended there
+		c.loseClaim(e, whyTakenOver)
+		c.removeEntry(e)
+	case c.owns(e):
 		r := e.owner
-		c.settled(e)
+		c.deliver(e)
 		if r != nil {
-			c.strike(r)
+			c.retire(r)
 		}
 	}
 }
 
-// forget drops an entry that nobody has any longer.
-func (c *Core) forget(e *entry) {
-	c.late.drop(&e.expiry)
-	c.table.drop(e)
+// removeEntry removes an entry that nobody uses any longer.
+func (c *Core) removeEntry(e *entry) {
+	c.timers.remove(&e.expiryTimer)
+	c.keys.remove(e)
 }
 
-// disown drops all that was claimed, and what waits for a claim: it may be another's.
+// disown drops all claims, and all requests that wait for a claim: they may belong to another server.
 func (c *Core) disown(d Disown) {
-	var all []*entry
-	for _, e := range c.table.entries {
-		if e.claimed || e.phase == asking {
-			all = append(all, e)
+	var lost []*entry
+	for _, e := range c.keys.entries {
+		if e.claimHeld || e.phase == phaseClaiming {
+			lost = append(lost, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b *entry) int {
+	slices.SortFunc(lost, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.key.Class, b.key.Class), cmp.Compare(a.key.Token, b.key.Token))
 	})
-	for _, e := range all {
-		c.lose(e, elsewhere)
-		c.forget(e)
+	for _, e := range lost {
+		c.loseClaim(e, whyElsewhere)
+		c.removeEntry(e)
 	}
-	for _, r := range c.unwritten {
-		if r.entry != nil && r.entry.claimed {
-			c.takeBack(r, Answer{Kind: Failed, Why: elsewhere})
+	for _, r := range c.pendingResults {
+		if r.entry != nil && r.entry.claimHeld {
+			c.failPending(r, Answer{Kind: Failed, Why: whyElsewhere})
 		}
 	}
-	c.log.Warn("disowned", "keys", len(all))
+	c.log.Warn("disowned", "keys", len(lost))
 	if d.Taken != nil {
 		d.Taken()
 	}
 }
 
-// adopt takes in a piece of a server that is lost, as a request that comes now and that nobody waits for: its caller
-// repeats it. One that has no place here is given up, as it never ran here.
+// adopt takes over a keyed request of a failed server as a request that arrives now and has no waiting caller: its
+// caller repeats it. A request that cannot be accepted is released, since it never ran here.
 func (c *Core) adopt(p Piece) {
 	if c.store == nil || !c.store.Holds() {
 		return
 	}
-	why := c.shutWhy()
-	if k := p.Key.Class; k < 0 || k >= len(c.site.Classes) || !c.site.Keyed(k) {
-		why = "its class has no keys here"
+	reason := c.refusalReason()
+	if class := p.Key.Class; class < 0 || class >= len(c.site.Classes) || !c.site.Keyed(class) {
+		reason = "its class is not keyed here"
 	}
-	if e := c.table.entries[p.Key]; e != nil && e.phase == asking { // the try that waits here is run in its place
-		a := Claimed{Key: p.Key, State: ClaimWon}
+	if e := c.keys.entries[p.Key]; e != nil && e.phase == phaseClaiming { // the try that waits here is run in its place
+		claim := Claimed{Key: p.Key, State: ClaimWon}
 		if e.sum != p.Sum {
-			a.State = ClaimOff
+			claim.State = ClaimOff
 		}
-		c.decided(a)
+		c.applyClaim(claim)
 	}
-	if c.table.entries[p.Key] != nil {
+	if c.keys.entries[p.Key] != nil {
 		return
 	}
 	if p.Tenant >= len(c.site.Tenants) {
 		p.Tenant = -1
 	}
 	if p.Handle == "" {
-		p.Handle = c.ownHandle()
-	} else if c.byHandle[p.Handle] != nil || c.recent.has(p.Handle) { // its run could not be told from another's
-		why = "its handle is in use here"
-	}
-	r := &request{Incoming: Incoming{Handle: p.Handle, Class: p.Key.Class, Tenant: p.Tenant, Caller: p.Caller, Rank: p.Rank,
-		Memory: p.Memory, Work: p.Work, Token: p.Key.Token, Subject: p.Subject, Body: p.Body},
-		arrived: c.now, due: c.now + p.Left, session: &session{once: true}, adopted: true}
-	r.patience.do = func() { c.outOfPatience(r) }
-	if why == "" && !c.newEntry(r, p.Key, p.Sum) {
-		why = noRoom
-	}
-	if why != "" {
-		c.log.Warn("adopt", "class", p.Key.Class, "given_up", why)
+		p.Handle = c.newHandle()
+	} else if c.byHandle[p.Handle] != nil || c.recentHandles.has(p.Handle) { // indistinguishable from the other run
+		reason = "its handle is in use here"
+	}
+	r := &request{Incoming: Incoming{Handle: p.Handle, Class: p.Key.Class, Tenant: p.Tenant, Caller: p.Caller,
+		Rank: p.Rank, Memory: p.Memory, Work: p.Work, Token: p.Key.Token, Subject: p.Subject, Body: p.Body},
+		arrived: c.now, due: c.now + p.Left, session: &session{single: true}, adopted: true}
+	r.waitTimer.callback = func() { c.waitExpired(r) }
+	if reason == "" && !c.newEntry(r, p.Key, p.Sum) {
+		reason = whyNoRoom
+	}
+	if reason != "" {
+		c.log.Warn("adopt", "class", p.Key.Class, "given_up", reason)
 		c.store.Release(p.Key)
 		return
 	}
-	r.entry.claimed = true
+	r.entry.claimHeld = true
 	c.register(r)
-	c.enter(r, 0)
+	c.submit(r, 0)
 }
 
-// ownHandle, for a piece without one, is a handle as callers make them, 16 hex digits, that none of them has or had of late.
-func (c *Core) ownHandle() string {
+// newHandle returns a handle for a request that has none: 16 hex digits, as callers make them, not used by any recent
+// request.
+func (c *Core) newHandle() string {
 	for {
-		h := fmt.Sprintf("%016x", rand.Uint64())
-		if c.byHandle[h] == nil && !c.recent.has(h) {
-			return h
+		handle := fmt.Sprintf("%016x", rand.Uint64())
+		if c.byHandle[handle] == nil && !c.recentHandles.has(handle) {
+			return handle
 		}
 	}
 }
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -14,33 +14,35 @@
 
 var fleetKey = core.Key{Class: 1, Token: "k"}
 
-func won() core.Event              { return core.Claimed{Key: fleetKey, State: core.ClaimWon} }
-func stored(ok bool) core.Event    { return core.Finished{Key: fleetKey, OK: ok} }
-func ended(h, r string) core.Event { return finished(h, control.OK, r) }
+func claimWon() core.Event                { return core.Claimed{Key: fleetKey, State: core.ClaimWon} }
+func finishStored(ok bool) core.Event     { return core.Finished{Key: fleetKey, OK: ok} }
+func runSucceeded(h, r string) core.Event { return runFinished(h, control.OK, r) }
 
-func piece(body string) core.Adopt {
-	return core.Adopt{Piece: core.Piece{Key: fleetKey, Sum: sha256.Sum256([]byte(body)), Body: []byte(body), Tenant: 7, Rank: 0.9, Memory: 10, Left: 4 * time.Second}}
+func adoptRequest(body string) core.Adopt {
+	return core.Adopt{Piece: core.Piece{Key: fleetKey, Sum: sha256.Sum256([]byte(body)), Body: []byte(body), Tenant: 7,
+		Rank: 0.9, Memory: 10, Left: 4 * time.Second}}
 }
 
-// on expects what a core does at some events, as words between semicolons.
-func on(w *scenario.World, want string, events ...core.Event) {
+// expectAfter sends events to the core and expects its actions, written as one string separated by semicolons.
+func expectAfter(w *scenario.World, actions string, events ...core.Event) {
 	w.Send(events...)
-	if want == "" {
+	if actions == "" {
 		w.Expect(ms)
 		return
 	}
-	w.Expect(ms, strings.Split(want, "; ")...)
+	w.Expect(ms, strings.Split(actions, "; ")...)
 }
 
-// watched plays f with a store that watches over ends, and a ledger.
-func watched(t *testing.T, strict bool, change func(*core.Site), f func(w *scenario.World)) {
+// withConfirmingStore runs f with a store that confirms stored results, and with a ledger.
+func withConfirmingStore(t *testing.T, strict bool, configure func(*core.Site), f func(w *scenario.World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
-		if change != nil {
-			change(&site)
+		if configure != nil {
+			configure(&site)
 		}
-		w := scenario.NewWorld(t, site, true, scenario.KeepLedger(&scenario.Ledger{IsStrict: strict}), func(w *scenario.World) { w.Waits, w.Hides = true, true })
+		w := scenario.NewWorld(t, site, true, scenario.KeepLedger(&scenario.Ledger{IsStrict: strict}),
+			func(w *scenario.World) { w.Waits, w.Hides = true, true })
 		w.Expect(ms)
 		f(w)
 	})
@@ -52,125 +54,143 @@
 	replay  = " served replay[1 0 0 0 0 4 1]"
 )
 
-// unwritten is a result that is stored, and lost before its entry in the ledger is written.
-func unwritten(lose func(w *scenario.World)) func(w *scenario.World) {
+// lostBeforeRecorded returns the steps in which a result is stored and the claim is lost before the ledger entry is
+// written.
+func lostBeforeRecorded(loseClaim func(w *scenario.World)) func(w *scenario.World) {
 	return func(w *scenario.World) {
-		on(w, "book 1 "+servedA, stored(true))
-		lose(w)
+		expectAfter(w, "book 1 "+servedA, finishStored(true))
+		loseClaim(w)
 		w.Expect(ms, "book 2 served[-1 -3000000 -10000 -90 0 -4 -1]", "book 3 "+failedA, "failed a")
-		on(w, "", core.Booked{Through: 3})
+		expectAfter(w, "", core.Booked{Through: 3})
 	}
 }
 
-// The end of a keyed run is given out, and booked as served, only once it is safe, for its own caller and for those
-// that repeat it; what is not told in time, or is another's, fails.
-func TestEndsAreKeptBack(t *testing.T) {
-	for name, x := range map[string]struct {
+// The result of a keyed run is sent, and recorded as served, only once it is stored safely, for its own caller and
+// for those that repeat it. A result that is not confirmed in time, or belongs to another server, fails the request.
+func TestResultsWaitForStoreConfirmation(t *testing.T) {
+	for name, c := range map[string]struct {
 		strict bool
 		steps  func(w *scenario.World)
 	}{
 		"stored": {false, func(w *scenario.World) {
-			on(w, "", w.Ask("b", "book", "k"))
-			on(w, "served a x; served b x; book 1 served replay[1 0 0 10 0 4 1]; book 2 served[1 3000000 10000 100 0 4 1]; served c x; book 3"+replay, stored(true), stored(true), w.Ask("c", "book", "k"))
+			expectAfter(w, "", w.Ask("b", "book", "k"))
+			expectAfter(w, "served a x; served b x; book 1 served replay[1 0 0 10 0 4 1]; book 2 served[1 3000000 10000 100 0 4 1]; served c x; book 3"+replay,
+				finishStored(true), finishStored(true), w.Ask("c", "book", "k"))
 		}},
-		"stored, then written": {true, func(w *scenario.World) {
-			on(w, "book 1 "+servedA, stored(true))
-			on(w, "served a x", core.Booked{Through: 1})
+		"stored, then recorded": {true, func(w *scenario.World) {
+			expectAfter(w, "book 1 "+servedA, finishStored(true))
+			expectAfter(w, "served a x", core.Booked{Through: 1})
 		}},
-		"stored, lost before it is written":     {true, unwritten(func(w *scenario.World) { w.Lose(true); w.Send(core.Booked{Through: 1}) })},
-		"stored, disowned before it is written": {true, unwritten(func(w *scenario.World) { w.Send(core.Disown{}) })},
+		"stored, lost before it is recorded": {true,
+			lostBeforeRecorded(func(w *scenario.World) { w.Lose(true); w.Send(core.Booked{Through: 1}) })},
+		"stored, disowned before it is recorded": {true,
+			lostBeforeRecorded(func(w *scenario.World) { w.Send(core.Disown{}) })},
 		"taken over": {false, func(w *scenario.World) {
-			on(w, "failed a; book 1 "+failedA+"; failed b; book 2 failed[1 0 0 0 0 4 0]", w.Ask("b", "book", "k"), stored(false))
-			on(w, "claim k", w.Ask("c", "book", "k"))
+			expectAfter(w, "failed a; book 1 "+failedA+"; failed b; book 2 failed[1 0 0 0 0 4 0]",
+				w.Ask("b", "book", "k"), finishStored(false))
+			expectAfter(w, "claim k", w.Ask("c", "book", "k"))
 		}},
-		"not told in time": {false, func(w *scenario.World) {
+		"not confirmed in time": {false, func(w *scenario.World) {
 			w.Expect(3976 * ms)
 			w.Expect(3*ms, "out of time a", "book 1 failed[1 0 10000 39870 0 4 0]")
-			on(w, "served b x; book 2 served replay[1 3000000 0 0 0 4 1]", w.Ask("b", "book", "k"), stored(true))
+			expectAfter(w, "served b x; book 2 served replay[1 3000000 0 0 0 4 1]", w.Ask("b", "book", "k"),
+				finishStored(true))
 		}},
-		"its caller has gone": {false, func(w *scenario.World) {
-			on(w, "", core.Withdraw{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
-			on(w, "served b x; book 1 served replay[1 3000000 0 10 0 4 1]; book 2 withdrawn-ran[1 0 10000 100 0 4 0]", stored(true))
+		"canceled by the caller": {false, func(w *scenario.World) {
+			expectAfter(w, "", core.Withdraw{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
+			expectAfter(w, "served b x; book 1 served replay[1 3000000 0 10 0 4 1]; book 2 withdrawn-ran[1 0 10000 100 0 4 0]",
+				finishStored(true))
 		}},
 		"failed": {false, func(w *scenario.World) {
-			on(w, "claim f; run f book body", w.Ask("f", "book", "f"), core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
-			on(w, "finish f false ", finished("f", control.Errored, ""))
-			on(w, "failed f; book 1 "+failedA, core.Finished{Key: core.Key{Class: 1, Token: "f"}, OK: true})
+			expectAfter(w, "claim f; run f book body", w.Ask("f", "book", "f"),
+				core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
+			expectAfter(w, "finish f false ", runFinished("f", control.Errored, ""))
+			expectAfter(w, "failed f; book 1 "+failedA, core.Finished{Key: core.Key{Class: 1, Token: "f"}, OK: true})
 		}},
-		"never told": {false, func(w *scenario.World) {
-			on(w, "claim f; run f book body", w.Ask("f", "book", "f"), core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
-			on(w, "finish f true x; book 1 withdrawn-ran[1 0 10000 80 0 4 0]", core.Withdraw{Session: w.Session("c"), Handle: "f"}, ended("f", "x"))
+		"never confirmed": {false, func(w *scenario.World) {
+			expectAfter(w, "claim f; run f book body", w.Ask("f", "book", "f"),
+				core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
+			expectAfter(w, "finish f true x; book 1 withdrawn-ran[1 0 10000 80 0 4 0]",
+				core.Withdraw{Session: w.Session("c"), Handle: "f"}, runSucceeded("f", "x"))
 			w.Expect(23*time.Second, "out of time a", "book 2 failed[1 0 10000 39870 0 4 0]")
-			on(w, "claim f; claim k", w.Ask("g", "book", "f"), w.Ask("b", "book", "k"))
+			expectAfter(w, "claim f; claim k", w.Ask("g", "book", "f"), w.Ask("b", "book", "k"))
 		}},
-		"its core is free": {false, func(w *scenario.World) {
-			on(w, "run x quote body; run y quote body", w.Ask("x", "quote", ""), w.Ask("y", "quote", ""))
+		"the core is free meanwhile": {false, func(w *scenario.World) {
+			expectAfter(w, "run x quote body; run y quote body", w.Ask("x", "quote", ""), w.Ask("y", "quote", ""))
 		}},
-		"the end of the server": {false, func(w *scenario.World) {
+		"server shutdown": {false, func(w *scenario.World) {
 			w.Send(core.Drain{})
 			w.Expect(3800*ms, "closed", "draining to c")
 			w.Expect(100*ms, "failed a", "close c", "book 1 failed[1 0 10000 38590 0 4 0]")
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched(t, x.strict, nil, func(w *scenario.World) {
-				on(w, "claim k; run a book body", w.Ask("a", "book", "k"), won())
-				on(w, "finish k true x", ended("a", "x"), ended("a", "y"))
-				x.steps(w)
+			withConfirmingStore(t, c.strict, nil, func(w *scenario.World) {
+				expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), claimWon())
+				expectAfter(w, "finish k true x", runSucceeded("a", "x"), runSucceeded("a", "y"))
+				c.steps(w)
 			})
 		})
 	}
 }
 
-// A claim that no longer holds is found so at the moment of acting: nothing is run, called for, supplied, finished,
-// answered or replayed, nothing is released, and all tries fail. At a Disown they fail at once, wherever they are, and
-// the next try asks the store anew.
+// A lost claim is noticed at the moment of acting: nothing is run, called, supplied, finished, answered, replayed or
+// released, and all tries fail. At a Disown they fail at once, in whatever state, and the next try asks the store
+// again.
 func TestLostClaims(t *testing.T) {
-	run := func(w *scenario.World) {
-		w.Send(w.Ask("a", "book", "k"), won())
+	startRun := func(w *scenario.World) {
+		w.Send(w.Ask("a", "book", "k"), claimWon())
 		w.Expect(200*ms, "claim k", "run a book body")
 	}
-	full := func(w *scenario.World) {
-		on(w, "run x quote body; run y quote body", w.Ask("x", "quote", ""), w.Ask("y", "quote", ""))
-		on(w, "claim k", w.Ask("a", "book", "k"), won())
+	hold := func(w *scenario.World) {
+		expectAfter(w, "run x quote body; run y quote body", w.Ask("x", "quote", ""), w.Ask("y", "quote", ""))
+		expectAfter(w, "claim k", w.Ask("a", "book", "k"), claimWon())
 	}
-	call := func(w *scenario.World) {
-		run(w)
-		on(w, "call a book 3.8s b", blocked("a", "b"))
+	startCall := func(w *scenario.World) {
+		startRun(w)
+		expectAfter(w, "call a book 3.8s b", runBlocked("a", "b"))
 	}
-	kept := func(w *scenario.World) {
-		run(w)
-		on(w, "finish k true x", ended("a", "x"))
+	storeResult := func(w *scenario.World) {
+		startRun(w)
+		expectAfter(w, "finish k true x", runSucceeded("a", "x"))
 	}
-	just := func(e core.Event) func(*scenario.World) core.Event {
+	always := func(e core.Event) func(*scenario.World) core.Event {
 		return func(*scenario.World) core.Event { return e }
 	}
-	for name, x := range map[string]struct {
-		reach  func(w *scenario.World)
-		next   func(w *scenario.World) core.Event // what it acts on
-		act    string                             // what it does then, with the claim lost
-		disown string                             // what it does at a Disown
+	for name, c := range map[string]struct {
+		setUp         func(w *scenario.World)
+		event         func(w *scenario.World) core.Event // the event that makes the core act
+		actions       string                             // the expected actions with the claim lost
+		disownActions string                             // the expected actions at a Disown
 	}{
-		"asking": {func(w *scenario.World) { on(w, "claim k", w.Ask("a", "book", "k")) },
-			just(won()), "failed a; failed b", "failed a; failed b"},
-		"held":          {full, just(ended("x", "1")), "served x 1; failed a; failed b", "failed a; failed b"},
-		"running":       {run, just(ended("a", "x")), "failed a; failed b", "failed a; stop a; failed b"},
-		"failing":       {run, just(finished("a", control.Moot, "")), "failed a; failed b", "failed a; stop a; failed b"},
-		"not begun":     {run, just(core.PoolUnknown{Command: "spawn", Handle: "a"}), "failed a; failed b", "failed a; stop a; failed b"},
-		"before a call": {run, just(blocked("a", "b")), "failed a; stop a; failed b", "failed a; stop a; failed b"},
-		"at a call": {call, just(core.CallEnded{Handle: "a", Body: []byte("r")}), "failed a; stop a; failed b",
-			"failed a; abandon a; stop a; failed b"},
-		"before it goes on without a call": {call, just(core.CallEnded{Handle: "a", Outcome: control.Broken}), "failed a; stop a; failed b", "failed a; abandon a; stop a; failed b"},
-		"no link": {func(w *scenario.World) { run(w); w.Send(core.PoolLost{}) }, just(core.PoolBound{Age: time.Hour}),
-			"failed a; failed b; stop a", "failed a; failed b"},
-		"withdrawn": {full, func(w *scenario.World) core.Event { return core.Withdraw{Session: w.Session("c"), Handle: "a"} }, "failed b", "failed a; failed b"},
-		"kept back": {kept, just(stored(true)), "failed a; failed b", "failed a; failed b"},
-		"turned away": {full, func(w *scenario.World) core.Event {
+		"asking": {func(w *scenario.World) { expectAfter(w, "claim k", w.Ask("a", "book", "k")) },
+			always(claimWon()), "failed a; failed b", "failed a; failed b"},
+		"held":    {hold, always(runSucceeded("x", "1")), "served x 1; failed a; failed b", "failed a; failed b"},
+		"running": {startRun, always(runSucceeded("a", "x")), "failed a; failed b", "failed a; stop a; failed b"},
+		"failing": {startRun, always(runFinished("a", control.Moot, "")), "failed a; failed b",
+			"failed a; stop a; failed b"},
+		"run not begun": {startRun, always(core.PoolUnknown{Command: "spawn", Handle: "a"}), "failed a; failed b",
+			"failed a; stop a; failed b"},
+		"before a call": {startRun, always(runBlocked("a", "b")), "failed a; stop a; failed b",
+			"failed a; stop a; failed b"},
+		"during a call": {startCall, always(core.CallEnded{Handle: "a", Body: []byte("r")}),
+			"failed a; stop a; failed b", "failed a; abandon a; stop a; failed b"},
+		"before continuing without a call": {startCall, always(core.CallEnded{Handle: "a", Outcome: control.Broken}),
+			"failed a; stop a; failed b", "failed a; abandon a; stop a; failed b"},
+		"no link": {func(w *scenario.World) { startRun(w); w.Send(core.PoolLost{}) },
+			always(core.PoolBound{Age: time.Hour}), "failed a; failed b; stop a", "failed a; failed b"},
+		"canceled by the caller": {hold, func(w *scenario.World) core.Event {
+			return core.Withdraw{Session: w.Session("c"), Handle: "a"}
+		}, "failed b", "failed a; failed b"},
+		"waiting for confirmation": {storeResult, always(finishStored(true)), "failed a; failed b",
+			"failed a; failed b"},
+		"refused": {hold, func(w *scenario.World) core.Event {
 			z := w.Ask("z", "quote", "")
-			z.Req.Rank, z.Req.Memory = 0.95, 1e5 // for which the held ones of lower rank make room
+			z.Req.Rank, z.Req.Memory = 0.95, 1e5 // evicts the held requests of lower rank
 			return z
 		}, "failed a; failed b; refused z", "failed a; failed b"},
-		"kept for repeats": {func(w *scenario.World) { kept(w); on(w, "served a x", stored(true)) }, nil, "", ""},
+		"result kept for repeats": {
+			func(w *scenario.World) { storeResult(w); expectAfter(w, "served a x", finishStored(true)) }, nil, "", ""},
 	} {
 		for _, disown := range []bool{false, true} {
 			t.Run(name+map[bool]string{true: "/disown"}[disown], func(t *testing.T) {
@@ -179,24 +199,25 @@
 					site.Control.Classes[1].SkipWorth = 0.6
 					w := scenario.NewWorld(t, site, true, func(w *scenario.World) { w.Waits = true })
 					w.Expect(ms)
-					x.reach(w)
-					if name != "kept for repeats" { // there b would be served
-						on(w, "", w.Ask("b", "book", "k"))
+					c.setUp(w)
+					if name != "result kept for repeats" { // in that case b would be served
+						expectAfter(w, "", w.Ask("b", "book", "k"))
 					}
 					w.Lose(true)
 					if disown {
-						on(w, strings.TrimPrefix(x.disown+"; claim k", "; "), core.Disown{Taken: func() { w.Count("taken") }}, w.Ask("c", "book", "k"))
+						expectAfter(w, strings.TrimPrefix(c.disownActions+"; claim k", "; "),
+							core.Disown{Taken: func() { w.Count("taken") }}, w.Ask("c", "book", "k"))
 						if w.Counts()["taken"] != 1 {
-							t.Error("nobody was told that all is given up")
+							t.Error("Disown.Taken was not called")
 						}
 						return
 					}
-					if x.next != nil {
-						on(w, x.act, x.next(w))
+					if c.event != nil {
+						expectAfter(w, c.actions, c.event(w))
 					}
-					on(w, "failed c", w.Ask("c", "book", "k"))
+					expectAfter(w, "failed c", w.Ask("c", "book", "k"))
 					if time.Sleep(200 * ms); name == "no link" && w.Core.Figures().Active != 0 {
-						t.Error("a run that nobody can tell of stays in hand")
+						t.Error("a run of unknown state stays active")
 					}
 				})
 			})
@@ -204,77 +225,83 @@
 	}
 }
 
-// A run that was lost keeps no place below, though its notice crosses the word to stop.
-func TestALostRunMakesNoCall(t *testing.T) {
+// A run whose claim was lost must not occupy a downstream call slot, even if its notice crosses the stop command.
+func TestRunWithLostClaimMakesNoCall(t *testing.T) {
 	oneCall := func(s *core.Site) { s.Control.CallsTier, s.Control.CallShare = false, 1 }
-	watched(t, false, oneCall, func(w *scenario.World) {
-		on(w, "run x quote body", w.Ask("x", "quote", ""))
-		on(w, "claim k; run a book body", w.Ask("a", "book", "k"), won())
-		on(w, "failed a; stop a", core.Disown{}, blocked("a", "1"))
-		on(w, "call x quote 3s 2", blocked("x", "2"))
+	withConfirmingStore(t, false, oneCall, func(w *scenario.World) {
+		expectAfter(w, "run x quote body", w.Ask("x", "quote", ""))
+		expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), claimWon())
+		expectAfter(w, "failed a; stop a", core.Disown{}, runBlocked("a", "1"))
+		expectAfter(w, "call x quote 3s 2", runBlocked("x", "2"))
 	})
 }
 
-// A piece of a lost server is run once, like a request that comes now. Nobody is answered: its caller repeats it, and
-// that is what is booked as served.
+// A keyed request of a failed server is run once, like a request that arrives now. Nobody is answered: its caller
+// repeats it, and the repeat is recorded as served.
 func TestAdopt(t *testing.T) {
-	own := func(w *scenario.World) string { h := w.Handles(); return h[len(h)-1] }
+	ownHandle := func(w *scenario.World) string { h := w.Handles(); return h[len(h)-1] }
 	for name, steps := range map[string]func(w *scenario.World){
-		"alone": func(w *scenario.World) {
-			on(w, "run own book body", piece("body"), piece("body"))
-			on(w, "finish k true x", piece("body"), ended(own(w), "x"))
-			on(w, "book 1 withdrawn-ran[1 0 10000 90 0 4 0]", stored(true), piece("body"))
-			on(w, "served a x; book 2 served replay[1 3000000 0 0 0 4 1]; served b x; book 3"+replay, w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
+		"without repeats": func(w *scenario.World) {
+			expectAfter(w, "run own book body", adoptRequest("body"), adoptRequest("body"))
+			expectAfter(w, "finish k true x", adoptRequest("body"), runSucceeded(ownHandle(w), "x"))
+			expectAfter(w, "book 1 withdrawn-ran[1 0 10000 90 0 4 0]", finishStored(true), adoptRequest("body"))
+			expectAfter(w, "served a x; book 2 served replay[1 3000000 0 0 0 4 1]; served b x; book 3"+replay,
+				w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
 		},
 		"with repeats": func(w *scenario.World) {
-			on(w, "run own book body", piece("body"), w.Ask("a", "book", "k"))
-			on(w, "finish k true x; served a x; book 1 served replay[1 3000000 0 10 0 4 1]; book 2 withdrawn-ran[1 0 10000 80 0 4 0]", ended(own(w), "x"), stored(true))
+			expectAfter(w, "run own book body", adoptRequest("body"), w.Ask("a", "book", "k"))
+			expectAfter(w, "finish k true x; served a x; book 1 served replay[1 3000000 0 10 0 4 1]; book 2 withdrawn-ran[1 0 10000 80 0 4 0]",
+				runSucceeded(ownHandle(w), "x"), finishStored(true))
 		},
 		"another body": func(w *scenario.World) {
-			on(w, "run own book other", piece("other"))
-			on(w, "conflict a; book 1 rejected[1 0 0 0 0 4 0]", w.Ask("a", "book", "k"))
+			expectAfter(w, "run own book other", adoptRequest("other"))
+			expectAfter(w, "conflict a; book 1 rejected[1 0 0 0 0 4 0]", w.Ask("a", "book", "k"))
 		},
-		"a try asks for it": func(w *scenario.World) {
-			on(w, "claim k; run a book body", w.Ask("a", "book", "k"), piece("body"))
+		"a try waits for its claim": func(w *scenario.World) {
+			expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), adoptRequest("body"))
 			w.Send(core.Claimed{Key: fleetKey, State: core.ClaimOther})
 			w.Expect(200 * ms)
 		},
-		"a try with another body asks for it": func(w *scenario.World) {
-			on(w, "claim k; conflict a; book 1 rejected[1 0 0 0 0 4 0]; run own book other", w.Ask("a", "book", "k"), piece("other"))
+		"a try with another body waits for its claim": func(w *scenario.World) {
+			expectAfter(w, "claim k; conflict a; book 1 rejected[1 0 0 0 0 4 0]; run own book other",
+				w.Ask("a", "book", "k"), adoptRequest("other"))
 		},
 		"lost again": func(w *scenario.World) {
-			on(w, "run own book body", piece("body"))
+			expectAfter(w, "run own book body", adoptRequest("body"))
 			w.Lose(true)
-			on(w, "book 1 withdrawn-ran[1 0 10000 80 0 4 0]; failed a; book 2 failed[1 0 0 0 0 4 0]", ended(own(w), "x"), w.Ask("a", "book", "k"))
+			expectAfter(w, "book 1 withdrawn-ran[1 0 10000 80 0 4 0]; failed a; book 2 failed[1 0 0 0 0 4 0]",
+				runSucceeded(ownHandle(w), "x"), w.Ask("a", "book", "k"))
 		},
 	} {
-		t.Run(name, func(t *testing.T) { watched(t, false, nil, steps) })
+		t.Run(name, func(t *testing.T) { withConfirmingStore(t, false, nil, steps) })
 	}
 }
 
-// A piece that has no place here, or never ran, is given up; one that comes while nothing is held is not touched.
-func TestAdoptGivesUp(t *testing.T) {
-	for name, x := range map[string]struct {
+// An adopted request that cannot be accepted, or that never ran, is released; one that arrives while no claim is
+// valid is ignored.
+func TestAdoptReleases(t *testing.T) {
+	for name, c := range map[string]struct {
 		site  func(*core.Site)
 		piece func(*core.Piece)
 		want  string
 	}{
-		"turned away":      {nil, func(p *core.Piece) { p.Memory = 1e5 }, "book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
-		"past due":         {nil, func(p *core.Piece) { p.Left = -1 }, "book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
-		"too many in hand": {func(s *core.Site) { s.Bounds.Open = 0 }, nil, "release k"},
-		"no room":          {func(s *core.Site) { s.Bounds.Table = 1000 }, nil, "release k"},
-		"no such class":    {nil, func(p *core.Piece) { p.Key.Class = 2 }, "release k"},
-		"no keyed class":   {nil, func(p *core.Piece) { p.Key.Class = 0 }, "release k"},
-		"not its own":      {nil, nil, ""},
+		"refused": {nil, func(p *core.Piece) { p.Memory = 1e5 },
+			"book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
+		"past due":          {nil, func(p *core.Piece) { p.Left = -1 }, "book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
+		"too many requests": {func(s *core.Site) { s.Bounds.Open = 0 }, nil, "release k"},
+		"key table full":    {func(s *core.Site) { s.Bounds.Table = 1000 }, nil, "release k"},
+		"no such class":     {nil, func(p *core.Piece) { p.Key.Class = 2 }, "release k"},
+		"class not keyed":   {nil, func(p *core.Piece) { p.Key.Class = 0 }, "release k"},
+		"claims not valid":  {nil, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			watched(t, false, x.site, func(w *scenario.World) {
-				p := piece("body")
-				if x.piece != nil {
-					x.piece(&p.Piece)
+			withConfirmingStore(t, false, c.site, func(w *scenario.World) {
+				p := adoptRequest("body")
+				if c.piece != nil {
+					c.piece(&p.Piece)
 				}
-				w.Lose(x.want == "")
-				on(w, x.want, p)
+				w.Lose(c.want == "")
+				expectAfter(w, c.want, p)
 			})
 		})
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -10,209 +10,213 @@
 	"larchscale/control"
 )
 
-// Limits and times of the mechanism; what is decided by load is in the controller.
+// Limits and times of the request path; decisions that depend on load are made by the controller.
 const (
-	maxEvents  = 1024                   // events on their way to the loop: readers wait beyond
-	maxTurn    = 256                    // events of one turn
-	maxIdle    = 64                     // refusals and withdraws in a row on one connection: see strange
-	newcomer   = 300 * time.Millisecond // a connection that has said nothing for longer makes room for others
-	reportEach = 600 * time.Millisecond // the directory forgets after 3 s, and a report may be missing
-	pollEach   = 50 * time.Millisecond  // between two questions for the gauges
-	stopEarly  = 200 * time.Millisecond // before the kill by which the controller answers all
-	shutEarly  = 300 * time.Millisecond // before the end of the grace all are asked to send nothing more
-	endEarly   = 190 * time.Millisecond // before the kill at which nothing more is let in, and connections are ended
-	endLook    = 10 * time.Millisecond  // between two looks whether all of them have ended
-	quitEarly  = 150 * time.Millisecond // before the kill at which the loop ends: what has come by then is read after it
-	quitAfter  = 500 * time.Millisecond // beyond the grace: with nothing left, the program ends sooner
-	callMargin = 100 * time.Millisecond // the layer below is given its patience and this
-	lostBefore = 100 * time.Millisecond // a link that ends may take commands of its last 50 ms with it
+	maxQueuedEvents       = 1024                   // events queued for the loop; senders block beyond this
+	maxEventsPerIteration = 256                    // events handled in one iteration of the loop
+	maxUnserved           = 64                     // consecutive unserved requests on one connection; see tooManyUnserved
+	silentGrace           = 300 * time.Millisecond // a connection silent for longer is the first to be evicted
+	reportInterval        = 600 * time.Millisecond // the directory forgets a server after 3 s, and one report may be lost
+	pollInterval          = 50 * time.Millisecond  // minimum time between two requests for the gauges
+	answerAllMargin       = 200 * time.Millisecond // before the kill, by when the controller answers every request
+	drainNoticeMargin     = 300 * time.Millisecond // before the end of the grace period, when peers are asked to drain
+	closeMargin           = 190 * time.Millisecond // before the kill, when the listener stops and connections are closed
+	closeCheckInterval    = 10 * time.Millisecond  // interval of the checks whether all connections have ended
+	exitMargin            = 150 * time.Millisecond // before the kill, when the loop ends and rejects queued input
+	earlyExitDelay        = 500 * time.Millisecond // after the grace period, when an idle server exits early
+	callTimeoutMargin     = 100 * time.Millisecond // added to the timeout of a call before the core gives it up
+	commandLossWindow     = 100 * time.Millisecond // a broken link may lose the commands of its last 50 ms
 )
 
-// Core owns the controller and the state of all requests. All fields belong to the goroutine of Run.
+// Core owns the controller and the state of all requests. All fields belong to the goroutine that calls Run.
 type Core struct {
-	site   Site
-	runner Runner
-	caller Caller
-	lister Lister
-	store  Store    // nil = keys are this server's alone
-	books  Booker   // nil = no ledger
-	trials Judge    // nil = nobody asks
-	doors  Listener // nil = none
-	log    *slog.Logger
-	events chan Event
-	ended  chan struct{} // closed when the loop is over
-	gate   sync.RWMutex  // held by those that send; see stopTaking
-
-	start    time.Time
-	now      time.Duration // since start, of this turn
-	ctl      *control.Controller
-	poolAt   time.Duration // when the worker pool started
-	heard    time.Duration // its last link, call or end of a run came: it had started by then
-	warmAt   time.Duration // when it is warm at the latest
-	acts     []act         // what the controller asked for in this turn
-	again    []func()      // what this turn's actions have to tell the controller
-	late     deadlines
-	calls    uint64 // made so far: each has its number
-	wake     deadline
-	report   deadline
-	polled   time.Duration
-	polls    uint64
-	linked   bool   // commands reach the worker pool
-	resync   string // ticket of the question that follows a new link
-	lastID   uint32
-	byID     map[uint32]*request
-	byHandle map[string]*request
-	sessions map[Session]*session
-	table    table
-	// until then the newest of its keys may be asked for again
-	keyedUntil time.Duration
-	recent     recent // handles of late
-
-	unwritten []*request // results that wait for their entries, by ticket
-	overdueAt deadline   // the first of them waits no longer
-	bookedNow bool       // in this turn
-
-	figs figures
-	deep deep
-
-	level     float64
-	up        bool
-	idleAfter time.Duration
-	leaving   bool
-	handing   bool // the leaving is a handoff to a newer process
-	held      bool // an operator drains it
-	notice    time.Duration
-	shut      bool // it leaves, and its grace is nearly over
-	ending    bool // connections are ended, and what still comes is refused
-	shutDoors bool // nothing more is let in
-	endCheck  deadline
-	over      bool
+	site      Site
+	runner    Runner
+	caller    Caller
+	directory Lister
+	store     Store    // nil = keys are local to this server
+	ledger    Booker   // nil = no ledger
+	observer  Judge    // nil = no observer
+	listener  Listener // nil = none
+	log       *slog.Logger
+	events    chan Event
+	stopped   chan struct{} // closed when the loop has ended
+	sendMu    sync.RWMutex  // read-locked by senders; see closeQueue
+
+	start        time.Time
+	now          time.Duration // since start, read once in each iteration
+	controller   *control.Controller
+	poolStarted  time.Duration // when the worker pool started
+	poolLastSeen time.Duration // when its last link, call or end of a run was reported: the pool had started by then
+	poolWarm     time.Duration // when the pool is warm at the latest
+	actions      []action      // requested by the controller in this iteration
+	followUps    []func()      // reports to the controller that result from this iteration's actions
+	timers       timers
+	callCount    uint64 // downstream calls made so far; the last one's number
+	wakeTimer    timer
+	reportTimer  timer
+	lastPoll     time.Duration // when the gauges were last requested
+	pollCount    uint64        // requests for the gauges so far
+	linkUp       bool          // commands reach the worker pool
+	resyncTicket string        // ticket of the gauge request that follows a new link
+	lastID       uint32
+	byID         map[uint32]*request
+	byHandle     map[string]*request
+	sessions     map[Session]*session
+	keys         keyTable
+	// keyedUntil is the time until which a repeat may still ask for one of the keys.
+	keyedUntil    time.Duration
+	recentHandles recentHandles // handles used recently
+
+	pendingResults []*request // results that wait for their ledger entries, by ticket
+	pendingTimer   timer      // fires when the first of them may wait no longer
+	usageRecorded  bool       // entries were recorded in this iteration
+
+	metrics    metricsPublisher
+	deepChecks deepCheckState
+
+	level              float64       // load hint that is sent with every answer
+	healthy            bool          // as reported by the controller
+	idleTimeout        time.Duration // after which an idle connection is closed
+	draining           bool          // the drain has started
+	handingOff         bool          // the shutdown is a handoff to a newer process
+	heldByOperator     bool          // drained by an operator
+	drainStart         time.Duration // when the drain started
+	drainAnnounced     bool          // the server drains and its grace period is nearly over
+	closingConnections bool          // connections are being closed, and new requests are refused
+	listenerClosed     bool          // no more connections are accepted
+	closeCheckTimer    timer
+	done               bool // the loop is to end
 }
 
+// session is the state of one connection.
 type session struct {
 	Session
-	open   int
-	heard  uint64        // events that were taken of it
-	once   bool          // it carries one request
-	asked  bool          // something came on it
-	served bool          // a request on it was
-	idled  int           // requests in a row that came to nothing
-	since  time.Duration // nothing has been open on it
-	idle   deadline
-	told   bool // it was told to drain
-	ends   bool // its end was asked for, and it has not been heard of since
+	openRequests   int           // requests that are not answered yet
+	eventsHandled  uint64        // events processed so far
+	single         bool          // carries a single request
+	used           bool          // something has arrived on it
+	everServed     bool          // a request on it has been served
+	unserved       int           // consecutive requests that were not served
+	idleSince      time.Duration // since when no request has been open on it
+	idleTimer      timer
+	drainSent      bool // the peer was asked to drain
+	closeRequested bool // its end was requested, and no event has arrived from it since
 }
 
+// state is the state of a request.
 type state uint8
 
 const (
-	claiming state = iota // waits for the shared store, unknown to the controller
-	held
-	running
-	blocked
-	calling
-	replaying
-	ending // its run is over, and whether that is safe in the shared store is not known; the controller is done with it
-	ended
+	stateClaiming state = iota // waiting for the shared store; unknown to the controller
+	stateHeld                  // waiting for a decision of the controller
+	stateRunning
+	stateBlocked   // the run waits for a decision about its call
+	stateCalling   // a call is in flight
+	stateReplaying // waiting for the outcome of the try that it repeats
+	stateFinishing // the run is over and the store has not confirmed its result; the controller is done with it
+	stateEnded     // removed from the core's tables
 )
 
-// request is one try. It moves to answered once, in book.go.
+// request is one try. Its answered field is set once, by the functions in book.go and intake.go.
 type request struct {
 	Incoming
-	id         uint32
-	arrived    time.Duration
-	due        time.Duration
-	session    *session
-	reply      Reply
-	state      state
-	ran        bool
-	answered   bool
-	adopted    bool   // of a server that is lost: nobody waits for its answer
-	entry      *entry // the key it owns or repeats
-	patience   deadline
-	began      time.Duration // of the call in hand
-	callNumber uint64        // of the call in hand, or the last
-	callBody   []byte
-	callNotice uint64        // that asked for it
-	resend     func()        // repeats its last command on a new link to the worker pool
-	sent       time.Duration // when that was given
-	spawns     int           // commands to run it that were sent
-	doubtful   bool          // that may not have come
-	begins     bool          // that asks for its run
-	stopping   bool          // it was told to stop, and no end has come
-	use        use
+	id               uint32
+	arrived          time.Duration
+	due              time.Duration // when its answer is due
+	session          *session
+	reply            Reply
+	state            state
+	ran              bool          // a run command has been sent
+	answered         bool          // has its final answer, or was canceled
+	adopted          bool          // taken over from a failed server: no caller waits for its answer
+	entry            *entry        // the key that it owns or repeats
+	waitTimer        timer         // limits the wait for a call or for the shared store
+	callStarted      time.Duration // when the call in flight was made
+	callNumber       uint64        // of the call in flight, or of the last one
+	callBody         []byte
+	callNotice       uint64        // notice that asked for the call
+	resendCommand    func()        // sends its last command again on a new link to the worker pool
+	commandSent      time.Duration // when that command was sent
+	runCommands      int           // number of run commands sent
+	commandMayBeLost bool          // the last command may not have arrived
+	commandStartsRun bool          // the last command is a run command
+	stopRequested    bool          // a stop was requested, and the run has not ended
+	usage            usage
 }
 
-// New makes a core; its loop starts with Run.
+// New returns a core; Run starts its loop.
 func New(site Site, log *slog.Logger) *Core {
-	c := &Core{site: site, log: log, events: make(chan Event, maxEvents), ended: make(chan struct{}), start: time.Now(), up: true, level: -1,
+	c := &Core{site: site, log: log, events: make(chan Event, maxQueuedEvents), stopped: make(chan struct{}),
+		start: time.Now(), healthy: true, level: -1,
 		byID: map[uint32]*request{}, byHandle: map[string]*request{}, sessions: map[Session]*session{},
-		idleAfter: site.Control.IdleMax, polled: -time.Hour}
-	c.table.entries = map[Key]*entry{}
-	c.wake.do = c.woken
-	c.report.do = c.reported
-	c.endCheck.do = func() {} // the turn that it makes looks again
-	c.overdueAt.do = c.sweepOverdue
-	c.deep.proved = -1
-	c.deep.expiry.do = func() { c.judge(false) }
-	c.figs.publish.do = c.published
-	c.figs.init(len(site.Classes))
+		idleTimeout: site.Control.IdleMax, lastPoll: -time.Hour}
+	c.keys.entries = map[Key]*entry{}
+	c.wakeTimer.callback = c.pollGauges
+	c.reportTimer.callback = c.reportAvailability
+	c.closeCheckTimer.callback = func() {} // the iteration that it triggers checks again
+	c.pendingTimer.callback = c.expirePending
+	c.deepChecks.lastProof = -1
+	c.deepChecks.timeoutTimer.callback = func() { c.answerDeepChecks(false) }
+	c.metrics.publishTimer.callback = c.publishMetrics
+	c.metrics.init(len(site.Classes))
 	return c
 }
 
-// Attach names the other parties; store may be nil. It is called before Run.
-func (c *Core) Attach(r Runner, below Caller, l Lister, s Store) {
-	c.runner, c.caller, c.lister, c.store = r, below, l, s
+// Attach sets the core's peers; the store may be nil. It is called before Run.
+func (c *Core) Attach(runner Runner, caller Caller, lister Lister, store Store) {
+	c.runner, c.caller, c.directory, c.store = runner, caller, lister, store
 }
 
-// Start is when the core was made; its times count from there.
+// Start returns when the core was created; its times are relative to this.
 func (c *Core) Start() time.Time { return c.start }
 
-// Tell names who hears what calls below were worth. It is called before Run.
-func (c *Core) Tell(j Judge) { c.trials = j }
+// Tell sets the observer of requests that made downstream calls. It is called before Run.
+func (c *Core) Tell(j Judge) { c.observer = j }
 
-// Keep names the ledger. It is called before Run.
-func (c *Core) Keep(b Booker) { c.books = b }
+// Keep sets the ledger. It is called before Run.
+func (c *Core) Keep(b Booker) { c.ledger = b }
 
-// Listen names what lets connections in. It is called before Run.
-func (c *Core) Listen(l Listener) { c.doors = l }
+// Listen sets the listener of the server's connections. It is called before Run.
+func (c *Core) Listen(l Listener) { c.listener = l }
 
-// Send hands an event to the loop; it waits while the loop's queue is full. After the loop a request is refused.
+// Send queues an event for the loop and blocks while the queue is full. After the loop has ended, a request is
+// refused.
 func (c *Core) Send(e Event) {
-	if !c.take(e) {
-		tooLate(e)
+	if !c.enqueue(e) {
+		rejectLate(e)
 	}
 }
 
-// take puts an event into the loop's queue; false = the loop is over.
-func (c *Core) take(e Event) bool {
-	c.gate.RLock()
-	defer c.gate.RUnlock()
+// enqueue puts an event into the loop's queue; false = the loop has ended.
+func (c *Core) enqueue(e Event) bool {
+	c.sendMu.RLock()
+	defer c.sendMu.RUnlock()
 	select {
-	case <-c.ended:
+	case <-c.stopped:
 		return false
 	default:
 	}
 	select {
 	case c.events <- e:
 		return true
-	case <-c.ended:
+	case <-c.stopped:
 		return false
 	}
 }
 
-// stopTaking is the end of the loop: what is in its queue then, and all that comes later, is too late.
-func (c *Core) stopTaking() {
-	close(c.ended)
-	c.gate.Lock() // those that were sending have found out
-	defer c.gate.Unlock()
+// closeQueue ends the queue: events still in it, and all later ones, are rejected.
+func (c *Core) closeQueue() {
+	close(c.stopped)
+	c.sendMu.Lock() // waits for the senders that are blocked on the queue
+	defer c.sendMu.Unlock()
 	for len(c.events) > 0 {
-		tooLate(<-c.events)
+		rejectLate(<-c.events)
 	}
 }
 
-// tooLate answers what was read when nobody decides any longer. It never ran.
-func tooLate(e Event) {
+// rejectLate answers an event that was read after the loop had ended. A request in it never ran.
+func rejectLate(e Event) {
 	switch e := e.(type) {
 	case Arrive:
 		e.Reply.Answer(Answer{Kind: Refused, Why: "the server has ended", Hint: -1})
@@ -221,63 +225,65 @@
 	}
 }
 
-// Run is the loop. It returns when all is answered after a Drain, or when ctx ends.
+// Run executes the loop. It returns when everything is answered after a Drain, or when ctx is done.
 func (c *Core) Run(ctx context.Context) {
-	defer c.stopTaking()
-	clock := time.NewTimer(0)
-	for !c.over {
+	defer c.closeQueue()
+	wakeUp := time.NewTimer(0)
+	for !c.done {
 		select {
 		case e := <-c.events:
-			c.tell()
-			c.feed(e)
-		case <-clock.C:
-			c.tell()
+			c.readClock()
+			c.handle(e)
+		case <-wakeUp.C:
+			c.readClock()
 		case <-ctx.Done():
 			return
 		}
-		for n := 1; n < maxTurn && len(c.events) > 0; n++ {
-			c.feed(<-c.events)
+		for n := 1; n < maxEventsPerIteration && len(c.events) > 0; n++ {
+			c.handle(<-c.events)
 		}
-		c.turn()
-		clock.Reset(c.next())
+		c.completeIteration()
+		wakeUp.Reset(c.timeToNextTimer())
 	}
 	c.logDrain("ended")
-	c.settle()
+	c.finishOpen()
 }
 
-// logDrain logs a state of the drain, and what is open in it.
+// logDrain logs a phase of the drain with the number of open requests and connections.
 func (c *Core) logDrain(state string) {
-	if c.leaving {
-		c.log.Info("drain", "state", state, "since_ms", (c.now - c.notice).Milliseconds(), "open", len(c.byHandle), "connections", len(c.sessions))
+	if c.draining {
+		c.log.Info("drain", "state", state, "since_ms", (c.now - c.drainStart).Milliseconds(),
+			"open", len(c.byHandle), "connections", len(c.sessions))
 	}
 }
 
-// settle answers what waits for a store or a disk when the server ends, and books what is open: runs that nobody
-// waits for any longer.
-func (c *Core) settle() {
+// finishOpen answers the requests that still wait for a store or a disk when the server ends, and records all open
+// requests in the ledger, including runs whose caller is gone.
+func (c *Core) finishOpen() {
 	for _, r := range c.byHandle {
-		c.answer(r, c.lastAnswer(r))
+		c.answer(r, c.shutdownAnswer(r))
 	}
-	if c.books == nil {
+	if c.ledger == nil {
 		return
 	}
-	for _, r := range c.unwritten {
-		c.overdue(r)
+	for _, r := range c.pendingResults {
+		c.resolveOverdue(r)
 	}
 	for _, r := range c.byHandle {
-		if r.ran && r.state != ending {
-			r.runEnded(c.now, c.now-r.use.since)
+		if r.ran && r.state != stateFinishing {
+			r.addRun(c.now, c.now-r.usage.runStarted)
 		}
-		c.endsAs(r, Failed)
-		c.enterUse(r)
+		c.setEnd(r, Failed)
+		c.recordUsage(r)
 	}
-	c.books.Flush()
+	c.ledger.Flush()
 }
 
-// lastAnswer is what a request is told that has none when the server ends. Only one that can have run nowhere is refused.
-func (c *Core) lastAnswer(r *request) Answer {
+// shutdownAnswer returns the answer for a request that has none when the server ends. It is refused only if it cannot
+// have run anywhere.
+func (c *Core) shutdownAnswer(r *request) Answer {
 	switch {
-	case r.state == ending, r.state == claiming:
+	case r.state == stateFinishing, r.state == stateClaiming:
 		return Answer{Kind: Failed, Why: "the shared store did not tell in time"}
 	case r.ran, r.entry != nil && c.store != nil, r.entry != nil && r.entry.owner != r:
 		return Answer{Kind: Failed, Why: "the server has ended"}
@@ -285,228 +291,237 @@
 	return Answer{Kind: Refused, Why: "the server has ended"}
 }
 
-// tell reads the clock, once a turn.
-func (c *Core) tell() { c.now = time.Since(c.start) }
+// readClock sets the time of this loop iteration.
+func (c *Core) readClock() { c.now = time.Since(c.start) }
 
-func (c *Core) next() time.Duration {
-	if len(c.late.list) == 0 {
+// timeToNextTimer returns the time until the next timer is due, or a second if there is none.
+func (c *Core) timeToNextTimer() time.Duration {
+	if len(c.timers.list) == 0 {
 		return time.Second
 	}
-	return max(0, c.late.list[0].at-time.Since(c.start))
+	return max(0, c.timers.list[0].at-time.Since(c.start))
 }
 
-// turn sweeps the deadlines, lets the controller decide once and carries out what it says. What an action
-// has to tell the controller at once (a repeat served from the table) makes a further round.
-func (c *Core) turn() {
-	c.late.sweep(c.now)
+// completeIteration fires the due timers, lets the controller decide once and executes its actions. If an action
+// causes something that the controller must learn at once (for instance a repeat served from the table), another
+// round follows.
+func (c *Core) completeIteration() {
+	c.timers.fire(c.now)
 	for {
-		if c.ctl != nil {
-			c.ctl.Decide(c.now)
+		if c.controller != nil {
+			c.controller.Decide(c.now)
 		}
-		acts := c.acts
-		c.acts = nil
-		for _, a := range acts {
-			c.carry(a)
+		actions := c.actions
+		c.actions = nil
+		for _, a := range actions {
+			c.execute(a)
 		}
-		c.acts = append(acts[:0], c.acts...)
-		if len(c.again) == 0 && len(c.acts) == 0 {
+		c.actions = append(actions[:0], c.actions...)
+		if len(c.followUps) == 0 && len(c.actions) == 0 {
 			break
 		}
-		again := c.again
-		c.again = nil
-		for _, f := range again {
+		followUps := c.followUps
+		c.followUps = nil
+		for _, f := range followUps {
 			f()
 		}
 	}
-	if c.bookedNow {
-		c.bookedNow = false
-		c.books.Flush()
+	if c.usageRecorded {
+		c.usageRecorded = false
+		c.ledger.Flush()
 	}
-	c.checkEnd()
+	c.checkFinished()
 }
 
-func (c *Core) feed(e Event) {
+// handle dispatches one event.
+func (c *Core) handle(e Event) {
 	switch e := e.(type) {
 	case Opened:
-		c.opened(e)
+		c.sessionOpened(e)
 	case Closed:
-		c.closed(e.Session)
+		c.sessionClosed(e.Session)
 	case Arrive:
-		c.arrive(e)
+		c.requestArrived(e)
 	case Withdraw:
-		c.withdraw(e.Session, e.Handle)
+		c.cancel(e.Session, e.Handle)
 	case Check:
-		c.check(e)
+		c.healthCheck(e)
 	case PoolBound:
-		c.bound(e)
+		c.poolBound(e)
 	case PoolLost:
-		c.unlinked()
+		c.poolLinkLost()
 	case PoolUnknown:
-		c.unknown(e)
+		c.commandUnknown(e)
 	case PoolFinished:
-		c.finished(e)
+		c.runFinished(e)
 	case PoolBlocked:
-		c.blocked(e)
+		c.runBlocked(e)
 	case PoolVerified:
-		c.verified(e)
+		c.poolVerified(e)
 	case PoolPolled:
-		c.gauges(e)
+		c.gaugesPolled(e)
 	case CallEnded:
 		c.callEnded(e)
 	case Claimed:
-		c.claimed(e)
+		c.claimAnswered(e)
 	case Finished:
-		c.stored(e)
+		c.finishConfirmed(e)
 	case Adopt:
 		c.adopt(e.Piece)
 	case Disown:
 		c.disown(e)
 	case Booked:
-		c.booked(e.Through)
+		c.ledgerWritten(e.Through)
 	case Drain:
 		c.drain()
 	case Handoff:
 		c.handoff(e.Kill)
 	case Hold:
-		c.held = e.On
-		c.reported()
+		c.heldByOperator = e.On
+		c.reportAvailability()
 	case Configured:
-		c.configured(e.Revision)
+		c.setConfigured(e.Revision)
 	}
 }
 
-// woken is the wake-up that the controller asked for: it brings the gauges.
-func (c *Core) woken() {
-	if c.now-c.polled < pollEach {
+// pollGauges runs at the wake-up time requested by the controller and asks the worker pool for its gauges.
+func (c *Core) pollGauges() {
+	if c.now-c.lastPoll < pollInterval {
 		return
 	}
-	c.polled = c.now
-	c.polls++
-	c.runner.Poll(strconv.FormatUint(c.polls, 10))
+	c.lastPoll = c.now
+	c.pollCount++
+	c.runner.Poll(strconv.FormatUint(c.pollCount, 10))
 }
 
-func (c *Core) gauges(e PoolPolled) {
-	if c.ctl == nil {
+// gaugesPolled passes the gauges to the controller.
+func (c *Core) gaugesPolled(e PoolPolled) {
+	if c.controller == nil {
 		return
 	}
-	if e.Ticket == c.resync {
-		c.resume()
+	if e.Ticket == c.resyncTicket {
+		c.resendCommands()
 	}
-	g := gaugesOf(c.site.Gauges, e.Figures)
-	c.figs.counts.Use = -1
-	if g.CoreUse >= 0 {
-		c.figs.counts.Use = g.CoreUse
+	readings := gaugesOf(c.site.Gauges, e.Figures)
+	c.metrics.counts.Use = -1
+	if readings.CoreUse >= 0 {
+		c.metrics.counts.Use = readings.CoreUse
 	}
-	c.ctl.Tick(c.now, g)
+	c.controller.Tick(c.now, readings)
 }
 
-// reported tells the directory where this server stands, over and over. Before the first link to the worker pool it
-// says nothing: what it could say is of an entry that an older process may hold. Nor does it once it hands off: the
-// entry is its successor's.
-func (c *Core) reported() {
+// reportAvailability tells the directory, periodically, whether this server takes work. It reports nothing before the
+// first link to the worker pool, because an older process may still own the directory entry, and nothing during a
+// handoff, because the entry then belongs to the successor.
+func (c *Core) reportAvailability() {
 	switch {
-	case c.handing:
-		c.lister.Silence()
-	case c.ctl != nil:
-		c.lister.Report(c.up && !c.held && !c.leaving)
+	case c.handingOff:
+		c.directory.Silence()
+	case c.controller != nil:
+		c.directory.Report(c.healthy && !c.heldByOperator && !c.draining)
 	}
-	c.late.set(&c.report, c.now+reportEach)
+	c.timers.set(&c.reportTimer, c.now+reportInterval)
 }
 
-// drain is the notice to leave.
+// drain starts the shutdown of the server.
 func (c *Core) drain() {
-	if c.leaving {
+	if c.draining {
 		return
 	}
-	c.leaving, c.notice = true, c.now
-	c.changed()
+	c.draining, c.drainStart = true, c.now
+	c.metricsChanged()
 	c.log.Info("draining", "open", len(c.byHandle), "stop_ms", c.site.Stop.Milliseconds())
-	if c.ctl != nil {
-		c.ctl.Leave(c.now, max(0, c.site.Stop-stopEarly))
-	}
-	c.reported()
-	grace := c.grace()
-	c.late.set(&deadline{do: c.shutDown}, c.now+max(0, grace-shutEarly))
-	c.late.set(&deadline{do: func() { c.logDrain("refusing all that comes") }}, c.now+grace)
-	c.late.set(&deadline{do: func() {}}, c.now+grace+quitAfter)
-	c.late.set(&deadline{do: c.end}, c.now+c.site.Stop-endEarly)
-	c.late.set(&deadline{do: func() { c.over = true }}, c.now+c.site.Stop-quitEarly)
+	if c.controller != nil {
+		c.controller.Leave(c.now, max(0, c.site.Stop-answerAllMargin))
+	}
+	c.reportAvailability()
+	grace := c.gracePeriod()
+	c.timers.set(&timer{callback: c.announceDrain}, c.now+max(0, grace-drainNoticeMargin))
+	c.timers.set(&timer{callback: func() { c.logDrain("refusing all requests") }}, c.now+grace)
+	c.timers.set(&timer{callback: func() {}}, c.now+grace+earlyExitDelay)
+	c.timers.set(&timer{callback: c.closeConnections}, c.now+c.site.Stop-closeMargin)
+	c.timers.set(&timer{callback: func() { c.done = true }}, c.now+c.site.Stop-exitMargin)
 }
 
-// handoff leaves the address to a newer process, which reports from now on and takes the connections that the
-// balancers make anew.
+// handoff leaves the address to a newer process, which from now on reports to the directory and accepts the
+// connections that the balancers open.
 func (c *Core) handoff(kill time.Duration) {
-	if c.leaving {
+	if c.draining {
 		return
 	}
 	c.site.Stop = min(c.site.Stop, kill)
-	c.handing = true
+	c.handingOff = true
 	c.drain()
-	c.shutDown()
-	c.closeDoors()
+	c.announceDrain()
+	c.closeListener()
 }
 
-// closeDoors lets nothing more in: who has connected already is served, and later ones find no listener, or another
-// process's.
-func (c *Core) closeDoors() {
-	if c.doors != nil && !c.shutDoors {
-		c.shutDoors = true
-		c.doors.Shut()
+// closeListener stops accepting connections. Clients that are already connected are served; later ones reach no
+// listener, or that of another process.
+func (c *Core) closeListener() {
+	if c.listener != nil && !c.listenerClosed {
+		c.listenerClosed = true
+		c.listener.Shut()
 	}
 }
 
-// end asks for the end of all connections. What has come on one is answered first, and one that has come to this
-// server by now is heard: guards against requests that were read, or wait in a socket, when the process ends.
-func (c *Core) end() {
-	if c.ending {
+// closeConnections asks all connections to end. Requests that have arrived on them are answered first, and
+// connections already established to this server are still accepted. This way no request is lost that has been read,
+// or waits in a socket, when the process ends.
+func (c *Core) closeConnections() {
+	if c.closingConnections {
 		return
 	}
-	c.ending = true
+	c.closingConnections = true
 	c.logDrain("closing connections")
-	c.closeDoors()
-	for _, x := range c.sessions {
-		c.rest(x)
+	c.closeListener()
+	for _, sess := range c.sessions {
+		c.startIdle(sess)
 	}
 }
 
-// shutDown asks all for nothing more, shortly before what comes would not be run. Guards against a fleet that
-// goes without this server before its successor is known: until then it works on.
-func (c *Core) shutDown() {
-	c.shut = true
-	c.logDrain("asking for nothing more")
-	for _, s := range c.sessions {
-		c.tellDrain(s)
+// announceDrain asks all peers to send nothing more, shortly before new requests would no longer be run. Until then
+// the server works as usual, so that the fleet does not lose it before its successor is known.
+func (c *Core) announceDrain() {
+	c.drainAnnounced = true
+	c.logDrain("announced to peers")
+	for _, sess := range c.sessions {
+		c.sendDrain(sess)
 	}
 }
 
-// tellDrain asks a connection's other side for nothing more, once.
-func (c *Core) tellDrain(x *session) {
-	if x.told {
+// sendDrain asks the peer of a connection, once, to send nothing more.
+func (c *Core) sendDrain(sess *session) {
+	if sess.drainSent {
 		return
 	}
-	x.told = true
-	x.Drain(max(0, c.notice+c.grace()-c.now))
+	sess.drainSent = true
+	sess.Drain(max(0, c.drainStart+c.gracePeriod()-c.now))
 }
 
-// grace is how long after the notice new requests may still be run: none are once all has to be answered.
-func (c *Core) grace() time.Duration {
-	return min(c.site.Control.DrainGrace, max(0, c.site.Stop-stopEarly))
+// gracePeriod is how long after the drain notice new requests may still be run. It ends no later than the time by
+// which everything must be answered.
+func (c *Core) gracePeriod() time.Duration {
+	return min(c.site.Control.DrainGrace, max(0, c.site.Stop-answerAllMargin))
 }
 
-// checkEnd ends the loop early when the grace is over, all is answered and nobody is connected.
-func (c *Core) checkEnd() {
-	if !c.leaving || len(c.byHandle) > 0 || len(c.sessions) > 0 || len(c.unwritten) > 0 {
+// checkFinished ends the loop early once the grace period is over, every request is answered and no connection is
+// left.
+func (c *Core) checkFinished() {
+	if !c.draining || len(c.byHandle) > 0 || len(c.sessions) > 0 || len(c.pendingResults) > 0 {
 		return
 	}
-	if !c.ending && c.ctl != nil && !c.handing && c.now < c.notice+c.grace()+quitAfter {
+	if !c.closingConnections && c.controller != nil && !c.handingOff &&
+		c.now < c.drainStart+c.gracePeriod()+earlyExitDelay {
 		return
 	}
-	if c.closeDoors(); !c.handing {
-		c.end()
+	if c.closeListener(); !c.handingOff {
+		c.closeConnections()
 	}
-	if c.doors == nil || c.doors.Conns() == 0 {
-		c.over = true
+	if c.listener == nil || c.listener.Conns() == 0 {
+		c.done = true
 		return
 	}
-	c.late.set(&c.endCheck, c.now+endLook) // those that came last are not heard of yet, or linger
+	// The newest connections may not have been reported yet, or may be lingering.
+	c.timers.set(&c.closeCheckTimer, c.now+closeCheckInterval)
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// play runs a scenario on a small server, in time of its own.
+// play runs f on a small server, in a synctest bubble.
 func play(t *testing.T, shared bool, f func(w *scenario.World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -24,35 +24,35 @@
 	})
 }
 
-func finished(handle string, how control.Outcome, result string) core.PoolFinished {
-	e := core.PoolFinished{Handle: handle, End: how, Took: 10 * ms}
+func runFinished(handle string, outcome control.Outcome, result string) core.PoolFinished {
+	e := core.PoolFinished{Handle: handle, End: outcome, Took: 10 * ms}
 	if result != "" {
 		e.Body = []byte(result)
 	}
 	return e
 }
 
-func blocked(handle, body string) core.PoolBlocked {
+func runBlocked(handle, body string) core.PoolBlocked {
 	return core.PoolBlocked{Handle: handle, Body: []byte(body)}
 }
 
-// The life of a request: run, call below, reply, result, one answer.
-func TestARequestRunsCallsAndIsServed(t *testing.T) {
+// The life of a request: run, downstream call, reply, result, one answer.
+func TestRequestLifecycle(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(blocked("a", "first"))
+		w.Send(runBlocked("a", "first"))
 		w.Expect(ms, "call a quote 3s first")
 		w.Send(core.CallEnded{Handle: "a", Outcome: control.OK, Body: []byte("reply")})
 		w.Expect(ms, "supply a reply")
-		w.Send(finished("a", control.OK, "result"), finished("a", control.OK, "result"))
+		w.Send(runFinished("a", control.OK, "result"), runFinished("a", control.OK, "result"))
 		w.Expect(ms, "served a result")
 	})
 }
 
-// What a call's end proves: a keyed request's call is repeated only if it never ran.
+// The call of a keyed request is repeated only if its outcome proves that it never ran.
 func TestCallOutcomes(t *testing.T) {
-	for how, want := range map[control.Outcome][]string{
+	for outcome, want := range map[control.Outcome][]string{
 		control.Rejected:    {"call a book 4s x"},
 		control.Unreachable: {"call a book 4s x"},
 		control.Broken:      {"failed a"},
@@ -63,51 +63,51 @@
 		play(t, false, func(w *scenario.World) {
 			w.Send(w.Ask("a", "book", "k"))
 			w.Expect(ms, "run a book body")
-			w.Send(blocked("a", "x"))
+			w.Send(runBlocked("a", "x"))
 			w.Expect(ms, "call a book 4s x")
-			w.Send(core.CallEnded{Handle: "a", Outcome: how})
-			w.Expect(6*ms, want...) // a call that was turned away waits 5 ms
+			w.Send(core.CallEnded{Handle: "a", Outcome: outcome})
+			w.Expect(6*ms, want...) // a rejected call is repeated after 5 ms
 		})
 	}
 }
 
-// A call that nobody answers is given up by its own deadline, and the request is answered by its due time.
-func TestASilentCallIsGivenUp(t *testing.T) {
+// A call without a reply is given up at its own deadline, and the request is answered by its due time.
+func TestCallWithoutReplyTimesOut(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"))
 		w.Expect(ms, "run a book body")
-		w.Send(blocked("a", "x"))
+		w.Send(runBlocked("a", "x"))
 		w.Expect(ms, "call a book 4s x")
 		w.Expect(4*time.Second, "out of time a", "abandon a")
-		w.Send(finished("a", control.Stopped, ""), w.Ask("b", "book", "k"))
+		w.Send(runFinished("a", control.Stopped, ""), w.Ask("b", "book", "k"))
 		w.Expect(ms, "failed b")
 	})
 }
 
-// Every try of one key gets the end of the one try that ran: while it runs, after it, and if it failed.
+// Every try of a key gets the outcome of the one try that ran: during its run, after it, and if it failed.
 func TestRepeatsShareOneRun(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
 		w.Expect(ms, "run a book body")
 		w.Send(w.Ask("c", "book", "k"))
 		w.Expect(ms)
-		w.Send(finished("a", control.OK, "ride 7"))
+		w.Send(runFinished("a", control.OK, "ride 7"))
 		w.Expect(ms, "served a ride 7", "served b ride 7", "served c ride 7")
 		w.Send(w.Ask("d", "book", "k"))
 		w.Expect(ms, "served d ride 7")
 		w.Send(w.Ask("e", "book", "other"))
 		w.Expect(ms, "run e book body")
-		w.Send(finished("e", control.Errored, ""), w.Ask("f", "book", "other"))
+		w.Send(runFinished("e", control.Errored, ""), w.Ask("f", "book", "other"))
 		w.Expect(ms, "failed e", "failed f")
 	})
 }
 
-// The window counts from t0 of the try that ran, and the entry outlives it; then the key is free again.
-func TestAKeyIsForgottenAfterItsWindow(t *testing.T) {
+// The window counts from t0 of the try that ran, and the entry outlives it by a margin; then the key is free again.
+func TestKeyExpiresAfterWindow(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"))
 		w.Expect(ms, "run a book body")
-		w.Send(finished("a", control.OK, "x"))
+		w.Send(runFinished("a", control.OK, "x"))
 		w.Expect(20*time.Second, "served a x")
 		w.Send(w.Ask("b", "book", "k"))
 		w.Expect(3*time.Second, "served b x")
@@ -116,10 +116,10 @@
 	})
 }
 
-// A try that never ran leaves its key to those that wait for it: none of them ran, so one of them may.
-func TestAWithdrawnTryThatNeverRanHandsItsKeyOn(t *testing.T) {
+// A try that never ran passes its key to the tries that wait for it: none of them ran, so one of them may.
+func TestCanceledTryPassesKeyOn(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		for _, h := range []string{"1", "2"} { // both cores are taken
+		for _, h := range []string{"1", "2"} { // occupies both cores
 			w.Send(w.Ask(h, "book", "k"+h))
 		}
 		w.Expect(ms, "run 1 book body", "run 2 book body")
@@ -127,48 +127,49 @@
 		w.Expect(ms)
 		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"})
 		w.Expect(ms)
-		w.Send(finished("1", control.OK, "x"))
+		w.Send(runFinished("1", control.OK, "x"))
 		w.Expect(ms, "served 1 x", "run b book body")
-		w.Send(finished("b", control.OK, "y"))
+		w.Send(runFinished("b", control.OK, "y"))
 		w.Expect(ms, "served b y", "served c y")
 	})
 }
 
-// A token belongs to one body, a handle to one request.
-func TestAnotherBodyOrAHandleInUseNeverRuns(t *testing.T) {
+// A token belongs to one body, and a handle to one request.
+func TestConflictingBodyOrHandleNeverRuns(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		odd := w.Ask("b", "book", "k")
-		odd.Req.Body = []byte("other")
-		w.Send(w.Ask("a", "book", "k"), odd, w.Ask("a", "quote", ""))
+		conflicting := w.Ask("b", "book", "k")
+		conflicting.Req.Body = []byte("other")
+		w.Send(w.Ask("a", "book", "k"), conflicting, w.Ask("a", "quote", ""))
 		w.Expect(ms, "conflict b", "invalid a", "run a book body")
 	})
 }
 
-// A caller that has gone gets no answer, and its safe run is stopped.
-func TestAWithdrawnRunIsStopped(t *testing.T) {
+// A canceled request is not answered, and its safe run is stopped.
+func TestCanceledRunIsStopped(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
 		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, core.Withdraw{Session: w.Session("c"), Handle: "a"})
 		w.Expect(ms, "stop a")
-		w.Send(finished("a", control.Stopped, ""))
+		w.Send(runFinished("a", control.Stopped, ""))
 		w.Expect(10 * time.Second)
 	})
 }
 
-// All is answered before the stop; what arrives after the grace is refused; the loop ends.
+// Everything is answered before the stop, requests that arrive after the grace period are refused, and the loop ends.
 func TestDrain(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"), w.Ask("b", "quote", ""))
 		w.Expect(ms, "run a book body", "run b quote body")
 		w.Send(core.Drain{})
 		w.Expect(ms, "closed")
-		w.Send(finished("b", control.OK, "x"), w.Ask("c", "quote", ""))
-		w.Expect(ms, "served b x", "run c quote body") // it works on until its grace is nearly over
+		w.Send(runFinished("b", control.OK, "x"), w.Ask("c", "quote", ""))
+		w.Expect(ms, "served b x", "run c quote body") // the server works until its grace period is nearly over
 		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
 		w.Expect(ms, "checked h true")
 		w.Expect(1800*ms, "draining to c")
-		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply}, core.Opened{Session: w.Session("last")}, w.AskOn("last", "e", "quote", ""))
+		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply},
+			core.Opened{Session: w.Session("last")}, w.AskOn("last", "e", "quote", ""))
 		w.Expect(200*ms, "checked h false", "draining to last", "run e quote body")
 		w.Send(w.Ask("d", "book", "d"))
 		w.Expect(ms, "refused d")
@@ -177,20 +178,20 @@
 	})
 }
 
-// With nothing left and nobody connected, a server that leaves does not wait for its end.
-func TestDrainEndsEarlyWhenAllHaveGone(t *testing.T) {
+// A draining server with no open request and no connection does not wait for the end of its stop time.
+func TestDrainEndsEarlyWhenIdle(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(core.Drain{}, core.Closed{Session: w.Session("c")})
 		start := time.Now()
 		<-w.Done
-		if d := time.Since(start); d > 2600*ms {
-			t.Errorf("ended after %v", d)
+		if elapsed := time.Since(start); elapsed > 2600*ms {
+			t.Errorf("ended after %v", elapsed)
 		}
 	})
 }
 
-// Before its worker pool is up a server runs nothing and says so.
-func TestNothingRunsWithoutAWorkerPool(t *testing.T) {
+// Before its worker pool is up, a server runs nothing and reports that.
+func TestNothingRunsWithoutWorkerPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := scenario.NewWorld(t, scenario.Site(), false)
 		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
@@ -198,36 +199,37 @@
 	})
 }
 
-// A new link repeats what the worker pool has not shown to have received, after the notices that were
-// missed; a pool that started anew has lost its runs, and a keyed one is never run again.
-func TestANewLinkToTheWorkerPool(t *testing.T) {
+// A new link repeats the commands that the worker pool has not shown to have received, after the notices that were
+// missed. A pool that was restarted has lost its runs, and a keyed run is never repeated.
+func TestNewLinkToWorkerPool(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"), w.Ask("b", "quote", ""))
 		w.Expect(ms, "run a book body", "run b quote body")
-		w.Send(core.PoolBound{Age: time.Hour}, finished("b", control.OK, "x"))
+		w.Send(core.PoolBound{Age: time.Hour}, runFinished("b", control.OK, "x"))
 		w.Expect(ms, "served b x", "run a book body")
-		for _, h := range []string{"c", "d", "e"} { // one more runs, two wait
+		for _, h := range []string{"c", "d", "e"} { // one of them runs, two wait
 			w.Send(w.Ask(h, "book", h))
 		}
 		w.Send(w.Ask("d2", "book", "d"))
 		w.Expect(ms, "run c book body")
 		w.Send(core.PoolBound{Age: 0, Cold: true}, w.Ask("a2", "book", "k"))
 		w.Expect(ms, "failed a", "failed c", "failed a2", "run d book body", "run e book body")
-		w.Send(finished("d", control.OK, "x"))
+		w.Send(runFinished("d", control.OK, "x"))
 		w.Expect(ms, "served d x", "served d2 x")
 	})
 }
 
-// A link that ends takes its last commands with it, and no others: a run that had its reply would take the
-// copy for the reply to its next call. Without a link nothing is sent, and all of it after the next is up. A run
-// that has shown nothing of itself is asked for again whenever that was: a loop may hear late of a break.
-func TestWhatALinkTakesWithIt(t *testing.T) {
+// A broken link loses only its last commands: if an older one were repeated, a run that had its reply would take the
+// copy for the reply to its next call. Without a link nothing is sent; after the next one is up, everything is. A run
+// of which nothing was heard is requested again whatever its age, since the loop may learn of the break late.
+func TestBrokenLinkRepeatsOnlyRecentCommands(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"), w.Ask("b", "quote", ""))
 		w.Expect(200*ms, "run a book body", "run b quote body")
-		w.Send(core.PoolLost{}, core.PoolBlocked{Handle: "a", Body: []byte("ask")}) // the last notice that came
+		w.Send(core.PoolLost{}, core.PoolBlocked{Handle: "a", Body: []byte("ask")}) // the last notice that arrived
 		w.Expect(ms, "call a book 3.8s ask")
-		w.Send(core.CallEnded{Handle: "a", Outcome: control.OK, Body: []byte("r")}, core.Withdraw{Session: w.Session("c"), Handle: "b"})
+		w.Send(core.CallEnded{Handle: "a", Outcome: control.OK, Body: []byte("r")},
+			core.Withdraw{Session: w.Session("c"), Handle: "b"})
 		w.Expect(200 * ms)
 		w.Send(core.PoolBound{Age: time.Hour})
 		w.Expect(ms, "supply a r", "run b quote body", "stop b")
@@ -239,28 +241,30 @@
 	})
 }
 
-// A run that the worker pool never began is proven not to have run: the request is not served, and its key
-// is free for the next try. One that was asked for twice may have run.
-func TestARunThatNeverBegan(t *testing.T) {
-	for name, e := range map[string]core.Event{"unknown": core.PoolUnknown{Command: "spawn", Handle: "a"}, "moot": finished("a", control.Moot, "")} {
+// A run that the worker pool never began is known not to have run: the request is not served, and its key is free for
+// the next try. A run that was requested twice may have run.
+func TestRunThatNeverBegan(t *testing.T) {
+	for name, event := range map[string]core.Event{"unknown": core.PoolUnknown{Command: "spawn", Handle: "a"},
+		"moot": runFinished("a", control.Moot, "")} {
 		t.Run(name, func(t *testing.T) {
 			play(t, false, func(w *scenario.World) {
 				w.Send(w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
 				w.Expect(ms, "run a book body")
-				w.Send(e)
+				w.Send(event)
 				w.Expect(ms, map[string]string{"unknown": "invalid a", "moot": "failed a"}[name], "run b book body")
-				w.Send(core.PoolUnknown{Command: "supply", Handle: "b"}, core.PoolLost{}, core.PoolBound{Age: time.Hour})
+				w.Send(core.PoolUnknown{Command: "supply", Handle: "b"}, core.PoolLost{},
+					core.PoolBound{Age: time.Hour})
 				w.Expect(ms, "run b book body")
-				w.Send(finished("b", control.Moot, ""), w.Ask("c", "book", "k"))
+				w.Send(runFinished("b", control.Moot, ""), w.Ask("c", "book", "k"))
 				w.Expect(ms, "failed b", "failed c")
 			})
 		})
 	}
 }
 
-// With too many connections one that stands idle makes room: first one that never said anything, then the
-// one that has been idle for longest, and never one in use.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// With too many connections an idle one is closed: first one that never sent anything, then the one that has been
+// idle for longest, and never one in use.
+func TestIdleConnectionsAreEvicted(t *testing.T) {
 	play(t, false, func(w *scenario.World) { // c is the first of eight
 		open := func(name string) { w.Send(core.Opened{Session: w.Session(name)}) }
 		w.Send(w.Ask("a", "quote", ""))
@@ -269,7 +273,7 @@
 			name := string(rune('d' + i))
 			open(name)
 			if name != "h" {
-				release := w.Block() // both come in one turn
+				release := w.Block() // both events are handled in one iteration
 				w.Send(w.AskOn(name, name, "quote", ""), core.Withdraw{Session: w.Session(name), Handle: name})
 				release()
 			}
@@ -282,95 +286,98 @@
 	})
 }
 
-// A handle of late is never run again; and who is turned away, or takes back what it asks, time after time,
-// no longer reaches the controller and loses its connection.
-func TestStrangeClients(t *testing.T) {
+// A recent handle is never run again. A client whose requests are repeatedly refused or canceled no longer reaches
+// the controller and loses its connection.
+func TestClientsWithManyUnservedRequests(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(finished("a", control.OK, "x"), w.Ask("a", "quote", ""))
+		w.Send(runFinished("a", control.OK, "x"), w.Ask("a", "quote", ""))
 		w.Expect(ms, "served a x", "invalid a")
 		w.Send(core.Opened{Session: w.Session("d")}, w.AskOn("d", "b", "quote", ""), w.AskOn("d", "c", "quote", ""))
-		w.Expect(ms, "run b quote body", "run c quote body") // the cores are taken: the rest is held
+		w.Expect(ms, "run b quote body", "run c quote body") // both cores are busy: the rest is held
 		for i := range 64 {
 			h := fmt.Sprint("w", i)
-			w.Send(w.Ask(h, "quote", ""), core.Withdraw{Session: w.Session("d"), Handle: h}) // not its own
+			// The first cancellation comes from another connection and is ignored.
+			w.Send(w.Ask(h, "quote", ""), core.Withdraw{Session: w.Session("d"), Handle: h})
 			w.Send(core.Withdraw{Session: w.Session("c"), Handle: h})
 		}
-		// The last request was sent before the connection could end: it is answered, by a refusal that nothing else sees.
+		// The last request was sent before the connection could end: it is refused without reaching the controller.
 		w.Expect(ms, "draining to c", "refused w63", "close c")
 	})
 }
 
-// A client of which too much came to nothing goes on although it was asked to end: each of its requests is refused, its
-// connection stays, and what was open on it is served.
-func TestAStrangeClientThatGoesOnIsAnswered(t *testing.T) {
+// A client with too many unserved requests continues after its connection was asked to end: each of its requests is
+// refused, the connection stays, and the requests already open on it are served.
+func TestRequestsAfterCloseRequestAreAnswered(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""), w.Ask("b", "quote", ""))
 		w.Expect(ms, "run a quote body", "run b quote body")
-		const all, withdrawn = 1000, 64
-		for i := range all { // all of them at once: none finds the connection idle
-			w.Send(w.Ask(fmt.Sprint("w", i), "quote", ""), core.Withdraw{Session: w.Session("c"), Handle: fmt.Sprint("w", i)})
+		const total, limit = 1000, 64
+		for i := range total { // all at once, so that none finds the connection idle
+			w.Send(w.Ask(fmt.Sprint("w", i), "quote", ""),
+				core.Withdraw{Session: w.Session("c"), Handle: fmt.Sprint("w", i)})
 		}
 		var want []string
-		for i := range all - withdrawn {
-			want = append(want, fmt.Sprint("refused w", withdrawn+i))
+		for i := range total - limit {
+			want = append(want, fmt.Sprint("refused w", limit+i))
 		}
 		w.Expect(ms, want...)
-		w.Send(finished("a", control.OK, "x"), finished("b", control.OK, "y"))
+		w.Send(runFinished("a", control.OK, "x"), runFinished("b", control.OK, "y"))
 		w.Expect(ms, "served a x", "served b y")
 		w.Send(w.Ask("z", "quote", ""))
 		w.Expect(ms, "run z quote body")
 	})
 }
 
-// A worker pool that starts anew, or for the first time, during a drain makes a new controller: what comes past the grace
-// is not run for that.
-func TestAPoolThatStartsInADrainRunsNothingLate(t *testing.T) {
+// A worker pool that is restarted, or starts for the first time, during a drain creates a new controller. Requests
+// after the grace period must not be run because of that.
+func TestPoolStartDuringDrainRunsNothingLate(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		grace := scenario.Site().Control.DrainGrace
 		w.Send(core.Drain{})
 		w.Expect(grace-100*ms, "closed", "draining to c")
 		w.Send(core.PoolLost{}, core.PoolBound{Cold: true}, w.Ask("a", "quote", ""))
 		w.Expect(10*ms, "run a quote body")
-		w.Send(finished("a", control.OK, "x"))
+		w.Send(runFinished("a", control.OK, "x"))
 		w.Expect(200*ms, "served a x")
-		w.Send(w.Ask("b", "quote", "")) // past the grace
+		w.Send(w.Ask("b", "quote", "")) // after the grace period
 		w.Expect(ms, "refused b")
 		w.Send(core.PoolLost{}, core.PoolBound{Cold: true}, w.Ask("c", "quote", ""))
 		w.Expect(ms, "refused c")
 	})
 }
 
-// A request that is read past the grace is not run, whenever it is said to have come: its last byte may be as late.
-func TestWhatIsReadPastTheGraceIsNotRun(t *testing.T) {
+// A request that is read after the grace period is not run, whatever its arrival time: its last byte may be as late.
+func TestRequestAfterGracePeriodIsNotRun(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(core.Drain{})
 		w.Expect(scenario.Site().Control.DrainGrace, "closed", "draining to c")
-		late := w.Ask("a", "quote", "")
-		late.Req.Arrived = time.Now().Add(-100 * ms)
-		w.Send(late)
+		req := w.Ask("a", "quote", "")
+		req.Req.Arrived = time.Now().Add(-100 * ms)
+		w.Send(req)
 		w.Expect(ms, "refused a")
 	})
 }
 
-// A request that waits for a store which says nothing has its answer before the server ends, though it would wait longer.
-func TestTheEndAnswersWhatWaitsForAStore(t *testing.T) {
+// A request that waits for a store which does not answer is answered before the server ends, although it could wait
+// longer.
+func TestShutdownAnswersRequestsWaitingForStore(t *testing.T) {
 	play(t, true, func(w *scenario.World) {
 		w.Send(w.Ask("a", "book", "k"))
 		w.Expect(ms, "claim k")
 		start := time.Now()
 		w.Send(core.Drain{})
 		w.Await("failed a")
-		if d := time.Since(start); d >= scenario.Site().Stop {
-			t.Errorf("answered after %v", d)
+		if elapsed := time.Since(start); elapsed >= scenario.Site().Stop {
+			t.Errorf("answered after %v", elapsed)
 		}
 		<-w.Done
 	})
 }
 
-// With no room for another key the oldest results go, and what is known to have run stays known.
-func TestTheTableOfKeysIsBounded(t *testing.T) {
+// When there is no room for another key, the oldest results are dropped, and it stays known which keys have run.
+func TestKeyTableIsBounded(t *testing.T) {
 	site := scenario.Site()
 	site.Bounds.Table = 3 * 4700
 	synctest.Test(t, func(t *testing.T) {
@@ -378,7 +385,7 @@
 		for _, h := range []string{"a", "b", "c", "d"} {
 			w.Send(w.Ask(h, "book", h))
 			w.Expect(ms, "run "+h+" book body")
-			w.Send(finished(h, control.OK, strings.Repeat("x", 4096)))
+			w.Send(runFinished(h, control.OK, strings.Repeat("x", 4096)))
 			w.Expect(ms, "served "+h+" "+strings.Repeat("x", 4096))
 		}
 		w.Send(w.Ask("a2", "book", "a"), w.Ask("d2", "book", "d"))
@@ -386,26 +393,26 @@
 	})
 }
 
-// A try that comes in the turn in which the one before it is withdrawn, held and not run, runs, once.
-func TestATryCrossesTheWithdrawalOfAnother(t *testing.T) {
+// A try that arrives in the same iteration in which the previous, held try is canceled must run, once.
+func TestTryCrossesCancellation(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("x", "quote", ""), w.Ask("y", "quote", ""))
-		w.Expect(ms, "run x quote body", "run y quote body") // the cores are taken
+		w.Expect(ms, "run x quote body", "run y quote body") // both cores are busy
 		w.Send(w.Ask("a", "book", "k"))
 		w.Expect(ms)
 		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
 		w.Expect(ms)
-		w.Send(finished("x", control.OK, "x"))
+		w.Send(runFinished("x", control.OK, "x"))
 		w.Expect(ms, "served x x", "run b book body")
 		w.Send(w.Ask("d", "book", "k"))
 		w.Expect(ms)
-		w.Send(finished("b", control.OK, "b"))
+		w.Send(runFinished("b", control.OK, "b"))
 		w.Expect(ms, "served b b", "served d b")
 	})
 }
 
-// Idle connections are closed; what comes once one has ended is not run, and what was sent before that, when the core had
-// asked for the end and not heard of the request yet, keeps the connection.
+// Idle connections are closed. A request that arrives on a connection that has ended is not run; one that was sent
+// before that, when the core had asked for the end but not yet seen the request, keeps the connection open.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Expect(31*time.Second, "close c")
@@ -415,21 +422,21 @@
 	play(t, false, func(w *scenario.World) {
 		w.Expect(29900 * ms)
 		release := w.Block()
-		for range 800 { // more than a few turns take
+		for range 800 { // more than a few iterations handle
 			w.Send(core.Hold{})
 		}
 		w.Send(w.Ask("a", "quote", ""))
-		time.Sleep(200 * ms) // it is idle for too long, and what has come on it stands in the queue
+		time.Sleep(200 * ms) // the connection exceeds its idle timeout while its request is in the queue
 		release()
 		w.Expect(ms, "run a quote body")
-		w.Send(finished("a", control.OK, "x"))
+		w.Send(runFinished("a", control.OK, "x"))
 		w.Expect(ms, "served a x")
 	})
 }
 
-// The shared store: a keyed request runs only with the claim in hand; without an answer it is refused, and
-// safe classes go on.
-func TestTheSharedStore(t *testing.T) {
+// With a shared store, a keyed request runs only with its claim. Without an answer of the store it is refused, and
+// safe classes continue.
+func TestSharedStore(t *testing.T) {
 	claimed := func(s core.Claim, result string) core.Claimed {
 		return core.Claimed{Key: core.Key{Class: 1, Token: "k"}, State: s, Result: []byte(result)}
 	}
@@ -437,7 +444,7 @@
 		"won": func(w *scenario.World) {
 			w.Send(claimed(core.ClaimWon, ""))
 			w.Expect(ms, "run a book body")
-			w.Send(finished("a", control.OK, "x"))
+			w.Send(runFinished("a", control.OK, "x"))
 			w.Expect(ms, "finish k true x", "served a x", "served b x")
 		},
 		"done elsewhere": func(w *scenario.World) {
@@ -448,7 +455,7 @@
 			w.Send(claimed(core.ClaimFailed, ""))
 			w.Expect(ms, "failed a", "failed b")
 		},
-		"in hand elsewhere": func(w *scenario.World) {
+		"in flight elsewhere": func(w *scenario.World) {
 			w.Send(claimed(core.ClaimOther, ""))
 			w.Expect(150*ms, "claim k")
 			w.Send(claimed(core.ClaimDone, "x"))
@@ -469,19 +476,22 @@
 			w.Send(w.Ask("d", "book", "k"))
 			w.Expect(ms, "claim k", "release k", "refused d")
 		},
-		"too late": func(w *scenario.World) {
+		"won too late": func(w *scenario.World) {
 			w.Expect(4*time.Second, "out of time b", "out of time a", "out of time s", "stop s")
 			w.Send(claimed(core.ClaimWon, ""))
 			w.Expect(ms, "release k")
 		},
-		"won as they are withdrawn": func(w *scenario.World) { // all in one turn: nothing runs, and the next try asks anew
-			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, core.Withdraw{Session: w.Session("c"), Handle: "b"}, claimed(core.ClaimWon, ""))
+		// All in one iteration: nothing runs, and the next try claims again.
+		"won as the tries are canceled": func(w *scenario.World) {
+			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"},
+				core.Withdraw{Session: w.Session("c"), Handle: "b"}, claimed(core.ClaimWon, ""))
 			w.Expect(ms, "release k")
 			w.Send(w.Ask("d", "book", "k"))
 			w.Expect(ms, "claim k")
 		},
-		"asked for by nobody": func(w *scenario.World) {
-			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, core.Withdraw{Session: w.Session("c"), Handle: "b"})
+		"all tries canceled": func(w *scenario.World) {
+			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"},
+				core.Withdraw{Session: w.Session("c"), Handle: "b"})
 			w.Expect(ms)
 			w.Send(claimed(core.ClaimWon, ""))
 			w.Expect(ms, "release k")
--- a/internal/core/deadline.go
+++ b/internal/core/deadline.go
@@ -5,55 +5,55 @@
 	"time"
 )
 
-// deadline is one entry of the sorted structure that holds all deadlines of a server.
-type deadline struct {
-	at  time.Duration
-	pos int // place in the heap plus one; 0 = not in it
-	do  func()
+// timer is one entry of the heap that holds all timers of a server.
+type timer struct {
+	at           time.Duration
+	heapPosition int // 1-based index in the heap; 0 = not in it
+	callback     func()
 }
 
-// deadlines is a heap, the earliest first.
-type deadlines struct{ list []*deadline }
+// timers is a min-heap ordered by time.
+type timers struct{ list []*timer }
 
-func (d *deadlines) Len() int           { return len(d.list) }
-func (d *deadlines) Less(i, j int) bool { return d.list[i].at < d.list[j].at }
-func (d *deadlines) Swap(i, j int) {
-	d.list[i], d.list[j] = d.list[j], d.list[i]
-	d.list[i].pos, d.list[j].pos = i+1, j+1
+func (h *timers) Len() int           { return len(h.list) }
+func (h *timers) Less(i, j int) bool { return h.list[i].at < h.list[j].at }
+func (h *timers) Swap(i, j int) {
+	h.list[i], h.list[j] = h.list[j], h.list[i]
+	h.list[i].heapPosition, h.list[j].heapPosition = i+1, j+1
 }
-func (d *deadlines) Push(x any) {
-	t := x.(*deadline)
-	d.list = append(d.list, t)
-	t.pos = len(d.list)
+func (h *timers) Push(x any) {
+	t := x.(*timer)
+	h.list = append(h.list, t)
+	t.heapPosition = len(h.list)
 }
-func (d *deadlines) Pop() any {
-	t := d.list[len(d.list)-1]
-	d.list[len(d.list)-1] = nil
-	d.list = d.list[:len(d.list)-1]
-	t.pos = 0
+func (h *timers) Pop() any {
+	t := h.list[len(h.list)-1]
+	h.list[len(h.list)-1] = nil
+	h.list = h.list[:len(h.list)-1]
+	t.heapPosition = 0
 	return t
 }
 
 // set adds t or moves it to another time.
-func (d *deadlines) set(t *deadline, at time.Duration) {
+func (h *timers) set(t *timer, at time.Duration) {
 	t.at = at
-	if t.pos == 0 {
-		heap.Push(d, t)
+	if t.heapPosition == 0 {
+		heap.Push(h, t)
 	} else {
-		heap.Fix(d, t.pos-1)
+		heap.Fix(h, t.heapPosition-1)
 	}
 }
 
-// drop takes t out, if it is in.
-func (d *deadlines) drop(t *deadline) {
-	if t.pos > 0 {
-		heap.Remove(d, t.pos-1)
+// remove removes t if it is in the heap.
+func (h *timers) remove(t *timer) {
+	if t.heapPosition > 0 {
+		heap.Remove(h, t.heapPosition-1)
 	}
 }
 
-// sweep does all that is due by now.
-func (d *deadlines) sweep(now time.Duration) {
-	for len(d.list) > 0 && d.list[0].at <= now {
-		heap.Pop(d).(*deadline).do()
+// fire runs all timers that are due by now.
+func (h *timers) fire(now time.Duration) {
+	for len(h.list) > 0 && h.list[0].at <= now {
+		heap.Pop(h).(*timer).callback()
 	}
 }
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -5,97 +5,100 @@
 	"time"
 )
 
-// publishEach bounds the age of published figures: a change is shown within this time.
-const publishEach = 100 * time.Millisecond
+// publishInterval bounds the age of the published metrics: a change becomes visible within this time.
+const publishInterval = 100 * time.Millisecond
 
-// Figures are the counts of one process since its start, by class in the order of Site.Classes. The loop
-// publishes a copy; readers get it by Core.Figures and never touch the loop's own.
+// Figures are the metrics of one process since its start, by class in the order of the configuration. The loop
+// publishes a copy; readers on other goroutines get that copy and never access the loop's own counters.
 type Figures struct {
 	OK     []uint64 // served
 	Shed   []uint64 // refused, never ran
 	Errors []uint64 // failed, timed out, conflicts, invalid
 	Tries  []uint64 // runs handed to the worker pool
-	Active int      // requests taken and not yet ended
-	// Calls below now: in hand, and runs that wait to make one. Lost counts those that nobody answered in time.
+	Active int      // open requests
+	// Calls is the number of downstream calls in flight, Waiting the number of runs that wait to make one, and Lost
+	// counts the calls that were not answered in time.
 	Calls, Waiting int
 	Lost           uint64
-	Use            float64   // share of the worker pool's cores in use, as it last said; negative = unknown
+	Use            float64   // share of the worker pool's cores in use, as last reported; negative = unknown
 	WarmAt         time.Time // the worker pool is warm from then on; zero = it is not up
 	KeyedUntil     time.Time // until then a repeat may ask for a result that this process has
-	Configured     uint64    // revision of the configuration documents in force; 0 = there are none yet
-	Serves         bool      // the worker pool is up and no notice to leave has come
+	Configured     uint64    // revision of the configuration documents in effect; 0 = none yet
+	Serves         bool      // the worker pool is up and the server is not draining
 }
 
-// figures is the loop's side: its counts, and the copy that others read.
-type figures struct {
-	counts  Figures
-	shown   atomic.Pointer[Figures]
-	publish deadline
+// metricsPublisher holds the loop's counters and the copy that readers see.
+type metricsPublisher struct {
+	counts       Figures
+	published    atomic.Pointer[Figures]
+	publishTimer timer
 }
 
-func (f *figures) init(classes int) {
-	f.counts = Figures{OK: make([]uint64, classes), Shed: make([]uint64, classes),
+func (m *metricsPublisher) init(classes int) {
+	m.counts = Figures{OK: make([]uint64, classes), Shed: make([]uint64, classes),
 		Errors: make([]uint64, classes), Tries: make([]uint64, classes)}
-	f.show(0)
+	m.publish(0)
 }
 
-func (f *figures) show(active int) {
-	n := f.counts
-	n.Active = active
-	n.OK, n.Shed = append([]uint64(nil), n.OK...), append([]uint64(nil), n.Shed...)
-	n.Errors, n.Tries = append([]uint64(nil), n.Errors...), append([]uint64(nil), n.Tries...)
-	f.shown.Store(&n)
+func (m *metricsPublisher) publish(active int) {
+	snapshot := m.counts
+	snapshot.Active = active
+	snapshot.OK, snapshot.Shed = append([]uint64(nil), snapshot.OK...), append([]uint64(nil), snapshot.Shed...)
+	snapshot.Errors, snapshot.Tries = append([]uint64(nil), snapshot.Errors...), append([]uint64(nil),
+		snapshot.Tries...)
+	m.published.Store(&snapshot)
 }
 
-// Figures gives the last published copy; it is at most publishEach old where anything changed. Safe from any
-// goroutine.
-func (c *Core) Figures() *Figures { return c.figs.shown.Load() }
+// Figures returns the last published copy, which is at most publishInterval older than the last change. It is safe
+// for concurrent use.
+func (c *Core) Figures() *Figures { return c.metrics.published.Load() }
 
-// counted notes a final answer of class k.
-func (c *Core) counted(k int, kind Kind) {
-	if k < 0 || k >= len(c.figs.counts.OK) {
+// countAnswer counts a final answer of a class.
+func (c *Core) countAnswer(class int, kind Kind) {
+	if class < 0 || class >= len(c.metrics.counts.OK) {
 		return
 	}
 	switch kind {
 	case Served:
-		c.figs.counts.OK[k]++
+		c.metrics.counts.OK[class]++
 	case Refused:
-		c.figs.counts.Shed[k]++
+		c.metrics.counts.Shed[class]++
 	default:
-		c.figs.counts.Errors[k]++
+		c.metrics.counts.Errors[class]++
 	}
-	c.changed()
+	c.metricsChanged()
 }
 
-// configured notes that the configuration as of a revision is in force.
-func (c *Core) configured(revision uint64) {
-	c.figs.counts.Configured = revision
-	c.changed()
+// setConfigured records the revision of the configuration in effect.
+func (c *Core) setConfigured(revision uint64) {
+	c.metrics.counts.Configured = revision
+	c.metricsChanged()
 }
 
-// changed has the figures published within publishEach.
-func (c *Core) changed() {
-	if c.figs.publish.pos == 0 {
-		c.late.set(&c.figs.publish, c.now+publishEach)
+// metricsChanged schedules a publication of the metrics within publishInterval.
+func (c *Core) metricsChanged() {
+	if c.metrics.publishTimer.heapPosition == 0 {
+		c.timers.set(&c.metrics.publishTimer, c.now+publishInterval)
 	}
 }
 
-func (c *Core) published() {
-	c.figs.counts.Serves = c.ctl != nil && !c.leaving && !c.over
-	if c.ctl != nil {
-		c.figs.counts.WarmAt = c.start.Add(c.warmAt)
+// publishMetrics publishes a copy of the metrics.
+func (c *Core) publishMetrics() {
+	c.metrics.counts.Serves = c.controller != nil && !c.draining && !c.done
+	if c.controller != nil {
+		c.metrics.counts.WarmAt = c.start.Add(c.poolWarm)
 	}
 	if c.keyedUntil > 0 {
-		c.figs.counts.KeyedUntil = c.start.Add(c.keyedUntil)
+		c.metrics.counts.KeyedUntil = c.start.Add(c.keyedUntil)
 	}
-	c.figs.counts.Calls, c.figs.counts.Waiting = 0, 0
+	c.metrics.counts.Calls, c.metrics.counts.Waiting = 0, 0
 	for _, r := range c.byID {
 		switch r.state {
-		case calling:
-			c.figs.counts.Calls++
-		case blocked:
-			c.figs.counts.Waiting++
+		case stateCalling:
+			c.metrics.counts.Calls++
+		case stateBlocked:
+			c.metrics.counts.Waiting++
 		}
 	}
-	c.figs.show(len(c.byHandle))
+	c.metrics.publish(len(c.byHandle))
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -5,92 +5,95 @@
 	"time"
 )
 
-// Health checks. A plain one is answered from what the controller says. A deep one asks whether work is getting
-// done: a run that ended well a moment ago proves it at no cost; otherwise one verification by the worker pool is
-// in hand at a time, for all checks that wait, and one that does not come back in time is a no.
+// Health checks. A plain check is answered from the state that the controller reports. A deep check asks whether work
+// is being completed. A run that ended well within proofLifetime proves that at no cost; otherwise all waiting checks
+// share one verification by the worker pool, and if that does not come back in time, the answer is no.
 
 const (
-	proofFor     = time.Second            // a run that ended well so lately shows that work is getting done
-	verifyWithin = 800 * time.Millisecond // a verification that takes longer is a no
+	proofLifetime = time.Second            // a run that ended well within this time proves that work is being completed
+	verifyTimeout = 800 * time.Millisecond // a verification that takes longer has failed
 )
 
-// deep is what is known of work getting done.
-type deep struct {
-	proved  time.Duration // when a run or a verification last ended well; negative = never
-	ticket  string        // of the verification in hand; "" = none
-	tickets uint64
-	waiting []waiter
-	expiry  deadline
+// deepCheckState is what is known about work being completed.
+type deepCheckState struct {
+	lastProof    time.Duration // when a run or a verification last ended well; negative = never
+	ticket       string        // of the verification in flight; "" = none
+	ticketCount  uint64
+	waiting      []waitingCheck
+	timeoutTimer timer
 }
 
-// waiter is one deep check that has no answer yet.
-type waiter struct {
+// waitingCheck is a deep check that is not answered yet.
+type waitingCheck struct {
 	session *session
 	reply   Reply
 }
 
-func (c *Core) check(e Check) {
-	x, ok := c.use(e.Session)
+// healthCheck answers a health check, or makes a deep one wait for a verification.
+func (c *Core) healthCheck(e Check) {
+	sess, ok := c.touch(e.Session)
 	if !ok {
 		return
 	}
-	serves := c.up && !c.shut && !c.held
+	serving := c.healthy && !c.drainAnnounced && !c.heldByOperator
 	switch {
-	case !e.Deep, !serves:
-		c.checked(e.Reply, serves)
-	case c.ctl == nil || !c.linked || len(c.deep.waiting) >= c.site.Bounds.Sessions:
-		c.checked(e.Reply, false)
-	case c.deep.proved >= 0 && c.now-c.deep.proved <= proofFor:
-		c.checked(e.Reply, true)
+	case !e.Deep, !serving:
+		c.answerCheck(e.Reply, serving)
+	case c.controller == nil || !c.linkUp || len(c.deepChecks.waiting) >= c.site.Bounds.Sessions:
+		c.answerCheck(e.Reply, false)
+	case c.deepChecks.lastProof >= 0 && c.now-c.deepChecks.lastProof <= proofLifetime:
+		c.answerCheck(e.Reply, true)
 	default:
-		x.open++ // it is not closed as idle meanwhile
-		c.deep.waiting = append(c.deep.waiting, waiter{x, e.Reply})
-		c.verify()
+		sess.openRequests++ // so that it is not closed as idle meanwhile
+		c.deepChecks.waiting = append(c.deepChecks.waiting, waitingCheck{sess, e.Reply})
+		c.startVerification()
 		return
 	}
-	c.rest(x)
+	c.startIdle(sess)
 }
 
-func (c *Core) checked(to Reply, up bool) { to.Answer(Answer{Kind: Checked, Up: up, Hint: c.level}) }
+func (c *Core) answerCheck(reply Reply, healthy bool) {
+	reply.Answer(Answer{Kind: Checked, Up: healthy, Hint: c.level})
+}
 
-// verify asks the worker pool for the work of a deep check, unless one is in hand.
-func (c *Core) verify() {
-	d := &c.deep
-	if d.ticket != "" {
+// startVerification asks the worker pool for the work of a deep check, unless a verification is in flight.
+func (c *Core) startVerification() {
+	state := &c.deepChecks
+	if state.ticket != "" {
 		return
 	}
-	d.tickets++
-	d.ticket = "v" + strconv.FormatUint(d.tickets, 10)
-	c.late.set(&d.expiry, c.now+verifyWithin)
-	c.runner.Verify(d.ticket)
+	state.ticketCount++
+	state.ticket = "v" + strconv.FormatUint(state.ticketCount, 10)
+	c.timers.set(&state.timeoutTimer, c.now+verifyTimeout)
+	c.runner.Verify(state.ticket)
 }
 
-// verified is the end of a verification; one that was given up says nothing any longer.
-func (c *Core) verified(e PoolVerified) {
-	if e.Ticket == "" || e.Ticket != c.deep.ticket {
+// poolVerified handles the end of a verification; one that timed out is ignored.
+func (c *Core) poolVerified(e PoolVerified) {
+	if e.Ticket == "" || e.Ticket != c.deepChecks.ticket {
 		return
 	}
 	if e.OK {
-		c.deep.proved = c.now
+		c.deepChecks.lastProof = c.now
 	}
-	c.judge(e.OK)
+	c.answerDeepChecks(e.OK)
 }
 
-// judge answers all deep checks that wait.
-func (c *Core) judge(good bool) {
-	d := &c.deep
-	c.late.drop(&d.expiry)
-	d.ticket = ""
-	all := d.waiting
-	d.waiting = nil
-	if !good && len(all) > 0 {
-		c.log.Warn("deep check", "up", false, "checks", len(all))
+// answerDeepChecks answers all waiting deep checks.
+func (c *Core) answerDeepChecks(ok bool) {
+	state := &c.deepChecks
+	c.timers.remove(&state.timeoutTimer)
+	state.ticket = ""
+	waiting := state.waiting
+	state.waiting = nil
+	if !ok && len(waiting) > 0 {
+		c.log.Warn("deep check", "up", false, "checks", len(waiting))
 	}
-	for _, w := range all {
-		w.session.open--
+	for _, w := range waiting {
+		w.session.openRequests--
 		if c.sessions[w.session.Session] == w.session {
-			c.checked(w.reply, good && c.up && !c.shut && !c.held)
-			c.rest(w.session)
+			c.answerCheck(w.reply, ok && c.healthy && !c.drainAnnounced && !c.heldByOperator)
+			c.startIdle(w.session)
 		}
 	}
 }
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -2,171 +2,174 @@
 
 import "time"
 
-// The stage "take in": connections, and what comes on them.
+// Intake: connections, and the events that arrive on them.
 
-func (c *Core) opened(e Opened) {
-	x := &session{Session: e.Session, once: e.Single}
-	x.idle.do = func() { c.hangUp(x, CloseIdle) }
-	c.sessions[e.Session] = x
-	c.rest(x)
-	c.makeRoom(x)
+// sessionOpened handles a new connection.
+func (c *Core) sessionOpened(e Opened) {
+	sess := &session{Session: e.Session, single: e.Single}
+	sess.idleTimer.callback = func() { c.requestClose(sess, CloseIdle) }
+	c.sessions[e.Session] = sess
+	c.startIdle(sess)
+	c.evictIdle(sess)
 }
 
-// makeRoom asks a connection to end that stands idle when there are too many: first one that has said nothing so far,
-// then one that asked and was never served, then the one that has been idle for longest. Guards against clients that
-// connect and say nothing, ask for the health over and over, or ask once and stay, until no balancer finds room.
-func (c *Core) makeRoom(newest *session) {
-	if len(c.sessions) <= c.site.Bounds.Sessions { // no connection has to go: the search costs time with each of them
+// evictIdle closes an idle connection when there are too many: first one that has sent nothing so far, then one that
+// has sent something and was never served, then the one that has been idle for longest. It prevents clients that
+// connect and send nothing, only ask for the health, or stay after one request, from keeping balancers out.
+func (c *Core) evictIdle(newest *session) {
+	if len(c.sessions) <= c.site.Bounds.Sessions { // skip the search, which would take time for every connection
 		return
 	}
-	var out *session
-	n := 0 // that are kept open; those of one request are bounded by their front
-	worth := func(x *session) int {
+	var victim *session
+	longLived := 0 // long-lived connections; single-request ones are bounded by their front
+	evictionRank := func(sess *session) int {
 		switch {
-		case !x.asked && c.now-x.since > newcomer:
+		case !sess.used && c.now-sess.idleSince > silentGrace:
 			return 0
-		case x.asked && !x.served:
+		case sess.used && !sess.everServed:
 			return 1
 		}
 		return 2
 	}
-	for _, x := range c.sessions {
-		if x.ends {
+	for _, sess := range c.sessions {
+		if sess.closeRequested {
 			continue
 		}
-		if !x.once {
-			n++
+		if !sess.single {
+			longLived++
 		}
-		if x.open == 0 && !x.once && (out == nil || worth(x) < worth(out) || worth(x) == worth(out) && x.since < out.since) {
-			out = x
+		if sess.openRequests == 0 && !sess.single && (victim == nil || evictionRank(sess) < evictionRank(victim) ||
+			evictionRank(sess) == evictionRank(victim) && sess.idleSince < victim.idleSince) {
+			victim = sess
 		}
 	}
-	if out != nil && n > c.site.Bounds.Sessions {
-		if out == newest {
-			c.log.Warn("crowded", "connections", n, "open", len(c.byHandle))
+	if victim != nil && longLived > c.site.Bounds.Sessions {
+		if victim == newest {
+			c.log.Warn("crowded", "connections", longLived, "open", len(c.byHandle))
 		}
-		c.hangUp(out, CloseRoom)
+		c.requestClose(victim, CloseRoom)
 	}
 }
 
-// closed is the end of a connection: nobody waits for what was open on it.
-func (c *Core) closed(s Session) {
-	x := c.sessions[s]
-	if x == nil {
+// sessionClosed handles the end of a connection, which cancels the requests that were open on it.
+func (c *Core) sessionClosed(conn Session) {
+	sess := c.sessions[conn]
+	if sess == nil {
 		return
 	}
-	if x.open > 0 {
+	if sess.openRequests > 0 {
 		for _, r := range c.byHandle {
-			if r.session == x {
-				c.gone(r)
+			if r.session == sess {
+				c.callerGone(r)
 			}
 		}
 	}
-	c.late.drop(&x.idle)
-	delete(c.sessions, s)
+	c.timers.remove(&sess.idleTimer)
+	delete(c.sessions, conn)
 }
 
-// rest starts a connection's idle time when nothing is open on it.
-func (c *Core) rest(x *session) {
-	x.since = c.now
-	c.watch(x)
+// startIdle starts a connection's idle time if no request is open on it.
+func (c *Core) startIdle(sess *session) {
+	sess.idleSince = c.now
+	c.scheduleIdleClose(sess)
 }
 
-// watch sets when an idle connection is closed: at the end of the server that is now, and where too much came to
-// nothing, so that its caller makes another.
-func (c *Core) watch(x *session) {
+// scheduleIdleClose sets when an idle connection is closed: at once if the server is ending, or if too many of its
+// requests were not served, so that its caller opens another.
+func (c *Core) scheduleIdleClose(sess *session) {
 	switch {
-	case x.open > 0 || x.ends || c.sessions[x.Session] != x:
-	case c.ending:
-		c.hangUp(x, CloseShutdown)
-	case c.strange(x):
-		c.tellDrain(x)
-		c.hangUp(x, CloseUnserved)
-	case !x.once && c.idleAfter > 0:
-		c.late.set(&x.idle, x.since+c.idleAfter)
+	case sess.openRequests > 0 || sess.closeRequested || c.sessions[sess.Session] != sess:
+	case c.closingConnections:
+		c.requestClose(sess, CloseShutdown)
+	case c.tooManyUnserved(sess):
+		c.sendDrain(sess)
+		c.requestClose(sess, CloseUnserved)
+	case !sess.single && c.idleTimeout > 0:
+		c.timers.set(&sess.idleTimer, sess.idleSince+c.idleTimeout)
 	}
 }
 
-// hangUp asks for the end of an idle connection. The connection decides: what has come on it by then is taken, and
-// keeps it.
-func (c *Core) hangUp(x *session, why CloseReason) {
-	c.late.drop(&x.idle)
-	x.ends = true
-	x.Close(x.heard, why)
+// requestClose asks an idle connection to end. The connection decides: input that has arrived on it by then is
+// delivered and keeps it open.
+func (c *Core) requestClose(sess *session, reason CloseReason) {
+	c.timers.remove(&sess.idleTimer)
+	sess.closeRequested = true
+	sess.Close(sess.eventsHandled, reason)
 }
 
-// hear notes an event of a connection; nil = it is gone, and nothing can be answered on it.
-func (c *Core) hear(s Session) *session {
-	x := c.sessions[s]
-	if x != nil {
-		x.heard++
-		x.ends = false
-	}
-	return x
+// countEvent counts an event of a connection; nil = the connection has ended, and nothing can be answered on it.
+func (c *Core) countEvent(conn Session) *session {
+	sess := c.sessions[conn]
+	if sess != nil {
+		sess.eventsHandled++
+		sess.closeRequested = false
+	}
+	return sess
 }
 
-// use marks a connection as in use; false = it is gone.
-func (c *Core) use(s Session) (*session, bool) {
-	x := c.hear(s)
-	if x == nil {
+// touch marks a connection as in use; false = it has ended.
+func (c *Core) touch(conn Session) (*session, bool) {
+	sess := c.countEvent(conn)
+	if sess == nil {
 		return nil, false
 	}
-	c.late.drop(&x.idle)
-	x.asked = true
-	if c.shut && !x.told { // it was opened since
-		c.tellDrain(x)
+	c.timers.remove(&sess.idleTimer)
+	sess.used = true
+	if c.drainAnnounced && !sess.drainSent { // the connection was opened after the announcement
+		c.sendDrain(sess)
 	}
-	return x, true
+	return sess, true
 }
 
-func (c *Core) arrive(e Arrive) {
-	x, ok := c.use(e.Session)
+// requestArrived takes in a request.
+func (c *Core) requestArrived(e Arrive) {
+	sess, ok := c.touch(e.Session)
 	if !ok {
 		return
 	}
-	q := e.Req
-	x.open++
-	waited := max(0, time.Since(q.Arrived))
-	r := &request{Incoming: q, session: x, reply: e.Reply, arrived: c.now - waited}
-	budget := q.Budget
+	req := e.Req
+	sess.openRequests++
+	waited := max(0, time.Since(req.Arrived))
+	r := &request{Incoming: req, session: sess, reply: e.Reply, arrived: c.now - waited}
+	budget := req.Budget
 	if budget <= 0 {
-		budget = c.site.Control.Classes[q.Class].Deadline
+		budget = c.site.Control.Classes[req.Class].Deadline
 	}
 	r.due = r.arrived + budget
-	r.patience.do = func() { c.outOfPatience(r) }
+	r.waitTimer.callback = func() { c.waitExpired(r) }
 	c.admit(r)
 }
 
-// withdraw is a caller that gave up one of its own requests.
-func (c *Core) withdraw(s Session, handle string) {
-	if r := c.byHandle[handle]; r != nil && r.session.Session == s {
-		c.gone(r)
+// cancel handles a caller's cancellation of one of its own requests.
+func (c *Core) cancel(conn Session, handle string) {
+	if r := c.byHandle[handle]; r != nil && r.session.Session == conn {
+		c.callerGone(r)
 	}
-	if x := c.hear(s); x != nil {
-		c.watch(x)
+	if sess := c.countEvent(conn); sess != nil {
+		c.scheduleIdleClose(sess)
 	}
 }
 
-// gone is a request that nobody waits for any longer: no answer is owed.
-func (c *Core) gone(r *request) {
+// callerGone handles a request whose caller no longer waits: no answer is owed.
+func (c *Core) callerGone(r *request) {
 	if r.answered {
 		return
 	}
 	r.answered = true
-	c.withdrawn(r)
-	c.judged(r, Failed)
-	r.session.idled++
-	c.left(r)
-	if r.state == claiming {
-		c.drop(r)
+	c.markCanceled(r)
+	c.reportOutcome(r, Failed)
+	r.session.unserved++
+	c.detach(r)
+	if r.state == stateClaiming {
+		c.discard(r)
 		return
 	}
-	if r.state == calling {
-		c.abandon(r)
+	if r.state == stateCalling {
+		c.abandonCall(r)
 	}
-	waited := r.state == held || r.state == replaying
-	c.ctl.Gone(c.now, r.id)
-	if waited { // the controller is done with it
-		c.drop(r)
+	controllerDone := r.state == stateHeld || r.state == stateReplaying
+	c.controller.Gone(c.now, r.id)
+	if controllerDone { // the controller is done with it
+		c.discard(r)
 	}
 }
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -7,189 +7,193 @@
 	"larchscale/internal/ledger"
 )
 
-// The stage "book", second part: what each request used goes to the ledger, once, when it is over.
-
-const writtenEarly = 50 * time.Millisecond // before its due time a result waits no longer for its entry
-
-// use is what a request has used so far.
-type use struct {
-	end     ledger.End
-	ended   bool // end is set
-	booked  bool
-	replay  bool
-	earns   bool // its answer is the first with this result
-	calls   int64
-	lost    int64 // calls that brought no reply
-	out     int64
-	took    time.Duration // of its runs, as the worker pool measured them
-	since   time.Duration // its run began
-	running time.Duration // it ran or was paused
-	over    time.Duration // when it was booked
-	kept    *kept
+// Usage: what each request used is recorded in the ledger, once, when the request is over.
+
+const ledgerWaitMargin = 50 * time.Millisecond // how long before its due time a result stops waiting for its entry
+
+// usage is what a request has used so far.
+type usage struct {
+	end        ledger.End
+	endSet     bool // end is set
+	recorded   bool
+	replay     bool
+	earnsWorth bool // its answer is the first with this result
+	calls      int64
+	lostCalls  int64 // calls that brought no reply
+	bytesOut   int64
+	runTime    time.Duration // of its runs, as measured by the worker pool
+	runStarted time.Duration // when its run began
+	busyTime   time.Duration // total time in which it ran or was paused
+	recordedAt time.Duration // when it was recorded
+	pending    *pendingResult
 }
 
-// kept is a result that waits for its entry.
-type kept struct {
-	answer Answer
-	given  bool
-	ticket uint64
-	until  time.Duration // it waits no longer
+// pendingResult is a result that waits for its ledger entry.
+type pendingResult struct {
+	answer    Answer
+	sent      bool
+	ticket    uint64
+	waitUntil time.Duration // when it stops waiting
 }
 
-// endsAs notes how a request ends, the first time it is said.
-func (c *Core) endsAs(r *request, k Kind) {
-	if c.books == nil || r.use.ended {
+// setEnd records how a request ends; only the first end counts.
+func (c *Core) setEnd(r *request, kind Kind) {
+	if c.ledger == nil || r.usage.endSet {
 		return
 	}
-	r.use.ended = true
-	switch k {
+	r.usage.endSet = true
+	switch kind {
 	case Served:
-		r.use.end = ledger.ServedInAim
+		r.usage.end = ledger.ServedInAim
 		if aim := c.site.Control.Classes[r.Class].Aim; aim > 0 && c.now-r.arrived > aim {
-			r.use.end = ledger.ServedLate
+			r.usage.end = ledger.ServedLate
 		}
-		r.use.earns = r.entry == nil || !r.entry.earned
+		r.usage.earnsWorth = r.entry == nil || !r.entry.worthEarned
 		if r.entry != nil {
-			r.entry.earned = true
+			r.entry.worthEarned = true
 		}
 	case Refused:
-		r.use.end = ledger.Refused
+		r.usage.end = ledger.Refused
 	case Conflict, Invalid:
-		r.use.end = ledger.Rejected
+		r.usage.end = ledger.Rejected
 	default:
-		r.use.end = ledger.Failed
+		r.usage.end = ledger.Failed
 	}
 }
 
-// withdrawn notes that a request's caller has gone.
-func (c *Core) withdrawn(r *request) {
-	if r.use.ended {
+// markCanceled records that the caller canceled the request.
+func (c *Core) markCanceled(r *request) {
+	if r.usage.endSet {
 		return
 	}
-	r.use.ended, r.use.end = true, ledger.WithdrawnUnrun
+	r.usage.endSet, r.usage.end = true, ledger.WithdrawnUnrun
 	if r.ran {
-		r.use.end = ledger.WithdrawnRan
+		r.usage.end = ledger.WithdrawnRan
 	}
 }
 
-// runEnded sums up a run. One that is held again after a stop is summed already.
-func (r *request) runEnded(now, took time.Duration) {
-	if r.state == held {
+// addRun adds the time of a run. The run of a request that is held again after a stop has been added already.
+func (r *request) addRun(now, took time.Duration) {
+	if r.state == stateHeld {
 		return
 	}
-	r.use.took += took
-	r.use.running += now - r.use.since
-	r.use.since = now
+	r.usage.runTime += took
+	r.usage.busyTime += now - r.usage.runStarted
+	r.usage.runStarted = now
 }
 
-// enterUse books a request that is over. A result that waits for that goes into the line.
-func (c *Core) enterUse(r *request) {
-	if c.books == nil || r.use.booked {
+// recordUsage records a request that is over in the ledger, and queues the result if that waits for its entry.
+func (c *Core) recordUsage(r *request) {
+	if c.ledger == nil || r.usage.recorded {
 		return
 	}
-	r.use.booked, r.use.over = true, c.now
-	c.bookedNow = true
-	ticket := c.books.Book(c.useOf(r))
-	if w := r.use.kept; w != nil {
-		w.ticket, w.until = ticket, r.due-writtenEarly
-		c.unwritten = append(c.unwritten, r)
-		if len(c.unwritten) == 1 || w.until < c.overdueAt.at {
-			c.late.set(&c.overdueAt, w.until)
+	r.usage.recorded, r.usage.recordedAt = true, c.now
+	c.usageRecorded = true
+	ticket := c.ledger.Book(c.usageOf(r))
+	if pending := r.usage.pending; pending != nil {
+		pending.ticket, pending.waitUntil = ticket, r.due-ledgerWaitMargin
+		c.pendingResults = append(c.pendingResults, r)
+		if len(c.pendingResults) == 1 || pending.waitUntil < c.pendingTimer.at {
+			c.timers.set(&c.pendingTimer, pending.waitUntil)
 		}
 	}
 }
 
-func (c *Core) useOf(r *request) Use {
-	u := &r.use
-	k := &c.site.Control.Classes[r.Class]
-	var f ledger.Figures
-	f[ledger.Requests] = 1
-	if u.earns && u.end == ledger.ServedInAim {
-		f[ledger.Worth] = micro(k.Worth)
-	} else if u.earns && u.end == ledger.ServedLate {
-		f[ledger.Worth] = micro(k.Worth * k.LateWorth)
-	}
-	span := max(0, u.over-r.arrived)
-	busy := min(u.running, span)
-	held := max(0, r.Memory) * 1000 // bytes: the figure is told in kilobytes, with a fraction
-	f[ledger.Held] = int64(held * (float64((span - busy).Microseconds()) + c.site.Control.RunFactor*float64(busy.Microseconds())) / 1e6)
-	f[ledger.Run] = u.took.Microseconds()
-	f[ledger.Calls], f[ledger.In], f[ledger.Out] = u.calls, int64(len(r.Body)), u.out
-	return Use{Class: r.Class, Tenant: r.Tenant, Began: r.arrived, Ended: u.over, End: u.end, Replay: u.replay, Figures: f}
+// usageOf computes the ledger entry of a request.
+func (c *Core) usageOf(r *request) Use {
+	used := &r.usage
+	class := &c.site.Control.Classes[r.Class]
+	var metrics ledger.Figures
+	metrics[ledger.Requests] = 1
+	if used.earnsWorth && used.end == ledger.ServedInAim {
+		metrics[ledger.Worth] = microWorth(class.Worth)
+	} else if used.earnsWorth && used.end == ledger.ServedLate {
+		metrics[ledger.Worth] = microWorth(class.Worth * class.LateWorth)
+	}
+	span := max(0, used.recordedAt-r.arrived)
+	busy := min(used.busyTime, span)
+	heldBytes := max(0, r.Memory) * 1000 // the metric is in kilobyte-milliseconds; bytes keep the fraction of a kilobyte
+	metrics[ledger.Held] = int64(heldBytes * (float64((span - busy).Microseconds()) +
+		c.site.Control.RunFactor*float64(busy.Microseconds())) / 1e6)
+	metrics[ledger.Run] = used.runTime.Microseconds()
+	metrics[ledger.Calls], metrics[ledger.In], metrics[ledger.Out] = used.calls, int64(len(r.Body)), used.bytesOut
+	return Use{Class: r.Class, Tenant: r.Tenant, Began: r.arrived, Ended: used.recordedAt, End: used.end,
+		Replay: used.replay, Figures: metrics}
 }
 
-// micro is the one place where a worth becomes an integer.
-func micro(worth float64) int64 { return int64(math.Round(worth * 1e6)) }
+// microWorth converts a worth to millionths; it is the only place where a worth becomes an integer.
+func microWorth(worth float64) int64 { return int64(math.Round(worth * 1e6)) }
 
-// booked gives out the results whose entries are written.
-func (c *Core) booked(through uint64) {
-	n := 0
-	for n < len(c.unwritten) && c.unwritten[n].use.kept.ticket <= through {
-		r := c.unwritten[n]
-		n++
-		c.giveOut(r, r.use.kept.answer)
+// ledgerWritten sends the results whose entries are written.
+func (c *Core) ledgerWritten(through uint64) {
+	written := 0
+	for written < len(c.pendingResults) && c.pendingResults[written].usage.pending.ticket <= through {
+		r := c.pendingResults[written]
+		written++
+		c.sendPending(r, r.usage.pending.answer)
 	}
-	clear(c.unwritten[:n])
-	if c.unwritten = c.unwritten[n:]; len(c.unwritten) == 0 {
-		c.unwritten = nil
-		c.late.drop(&c.overdueAt)
+	clear(c.pendingResults[:written])
+	if c.pendingResults = c.pendingResults[written:]; len(c.pendingResults) == 0 {
+		c.pendingResults = nil
+		c.timers.remove(&c.pendingTimer)
 	}
 }
 
-// sweepOverdue ends the waiting of results that are due. One deadline serves for all of them, as nearly none is met.
-func (c *Core) sweepOverdue() {
+// expirePending ends the wait of results that are due. One timer serves all of them, since almost none expire.
+func (c *Core) expirePending() {
 	next := time.Duration(math.MaxInt64)
-	for _, r := range c.unwritten {
-		if w := r.use.kept; w.until <= c.now {
-			c.overdue(r)
-		} else if !w.given {
-			next = min(next, w.until)
+	for _, r := range c.pendingResults {
+		if pending := r.usage.pending; pending.waitUntil <= c.now {
+			c.resolveOverdue(r)
+		} else if !pending.sent {
+			next = min(next, pending.waitUntil)
 		}
 	}
 	if next < math.MaxInt64 {
-		c.late.set(&c.overdueAt, next)
+		c.timers.set(&c.pendingTimer, next)
 	}
 }
 
-// overdue is a result whose entry is not written when it has to leave. It leaves all the same, or the request
-// fails.
-func (c *Core) overdue(r *request) {
-	if r.use.kept.given {
+// resolveOverdue handles a result whose entry is not written by the time it has to be sent: depending on the ledger's
+// mode, the result is sent anyway or the request fails.
+func (c *Core) resolveOverdue(r *request) {
+	if r.usage.pending.sent {
 		return
 	}
-	if c.books.Overdue() {
-		c.giveOut(r, r.use.kept.answer)
+	if c.ledger.Overdue() {
+		c.sendPending(r, r.usage.pending.answer)
 		return
 	}
-	c.takeBack(r, Answer{Kind: TimedOut, Why: "the ledger could not be written"})
+	c.failPending(r, Answer{Kind: TimedOut, Why: "the ledger could not be written"})
 }
 
-// takeBack fails a request whose result is kept: its entry, wherever that is by now, is taken back and another booked.
-func (c *Core) takeBack(r *request, a Answer) {
-	if r.use.kept.given {
+// failPending fails a request whose result is pending: its entry, wherever that is by now, is reversed, and an entry
+// for the failure is recorded.
+func (c *Core) failPending(r *request, answer Answer) {
+	if r.usage.pending.sent {
 		return
 	}
-	back := c.useOf(r)
-	back.Figures, _ = back.Figures.Neg() // sums of one request are far from the bounds
-	c.books.Book(back)
-	r.use.end, r.use.out = ledger.Failed, 0
-	c.books.Book(c.useOf(r))
-	c.bookedNow = true
-	c.giveOut(r, a)
+	reversal := c.usageOf(r)
+	reversal.Figures, _ = reversal.Figures.Neg() // the sums of one request are far from overflowing
+	c.ledger.Book(reversal)
+	r.usage.end, r.usage.bytesOut = ledger.Failed, 0
+	c.ledger.Book(c.usageOf(r))
+	c.usageRecorded = true
+	c.sendPending(r, answer)
 }
 
-// giveOut sends an answer that has waited, once.
-func (c *Core) giveOut(r *request, a Answer) {
-	w := r.use.kept
-	if w.given {
+// sendPending sends a delayed answer, once.
+func (c *Core) sendPending(r *request, answer Answer) {
+	pending := r.usage.pending
+	if pending.sent {
 		return
 	}
-	if a.Kind == Served && !c.holds(r.entry) {
-		c.takeBack(r, Answer{Kind: Failed, Why: elsewhere})
+	if answer.Kind == Served && !c.owns(r.entry) {
+		c.failPending(r, Answer{Kind: Failed, Why: whyElsewhere})
 		return
 	}
-	w.given, w.answer = true, Answer{}
-	a.Hint = c.level
-	r.reply.Answer(a)
-	c.left(r)
+	pending.sent, pending.answer = true, Answer{}
+	answer.Hint = c.level
+	r.reply.Answer(answer)
+	c.detach(r)
 }
--- a/internal/core/ledger_test.go
+++ b/internal/core/ledger_test.go
@@ -10,18 +10,18 @@
 	"larchscale/internal/scenario"
 )
 
-// Every request is booked once, when it is over, with what it used; a refusal is never held back.
-func TestEachRequestIsBookedOnce(t *testing.T) {
+// Every request is recorded once, when it is over, with its usage; a refusal is never delayed.
+func TestEachRequestIsRecordedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &scenario.Ledger{}
 		w := scenario.NewWorld(t, scenario.Site(), false, scenario.KeepLedger(l))
 		w.Send(w.Ask("a", "quote", ""), w.Ask("b", "book", "k"), w.Ask("c", "book", "k"))
 		w.Expect(time.Second, "run b book body", "run a quote body")
-		w.Send(blocked("a", "map"))
+		w.Send(runBlocked("a", "map"))
 		w.Expect(time.Second, "call a quote 2s map")
 		w.Send(core.CallEnded{Handle: "a", Outcome: control.OK, Body: []byte("road")})
 		w.Expect(time.Second, "supply a road")
-		w.Send(finished("a", control.OK, "5 rupees"), finished("b", control.OK, "taxi 7"))
+		w.Send(runFinished("a", control.OK, "5 rupees"), runFinished("b", control.OK, "taxi 7"))
 		// 3 s at 10 KB; runs count eightfold.
 		w.Expect(time.Second, "served a 5 rupees", "book 1 served[1 1000000 10000 240000 1 4 8]",
 			"served b taxi 7", "served c taxi 7", "book 2 served replay[1 0 0 30000 0 4 6]",
@@ -41,14 +41,15 @@
 	})
 }
 
-// In strict mode a result waits for its entry, whichever comes first; refusals and failures do not.
-func TestStrictHoldsResults(t *testing.T) {
+// In strict mode a result waits for its ledger entry, in whichever order the two complete; refusals and failures do
+// not wait.
+func TestStrictLedgerDelaysResults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &scenario.Ledger{IsStrict: true}
 		w := scenario.NewWorld(t, scenario.Site(), false, scenario.KeepLedger(l))
 		w.Send(w.Ask("a", "quote", ""), w.Ask("b", "quote", ""))
 		w.Expect(ms, "run a quote body", "run b quote body")
-		w.Send(finished("a", control.OK, "1"), core.PoolFinished{Handle: "b", End: control.Errored})
+		w.Send(runFinished("a", control.OK, "1"), core.PoolFinished{Handle: "b", End: control.Errored})
 		w.Expect(time.Second, "book 1 served[1 1000000 10000 80 0 4 1]", "failed b", "book 2 failed[1 0 0 80 0 4 0]")
 		w.Send(core.Booked{Through: 2})
 		w.Expect(ms, "served a 1")
@@ -57,19 +58,19 @@
 	})
 }
 
-// A disk that does not answer breaks no due time: the result leaves without its entry or the request fails, as
-// the operator chose, and the entry is set right.
+// A disk that does not respond must not delay an answer past its due time: depending on the ledger's mode the result
+// is sent without its entry, or the request fails and the entry is corrected.
 func TestOverdueEntries(t *testing.T) {
-	for lets, want := range map[bool][]string{
+	for sendOverdue, want := range map[bool][]string{
 		true:  {"served a 1"},
 		false: {"book 2 served[-1 -1000000 -10000 -80 0 -4 -1]", "book 3 failed[1 0 10000 80 0 4 0]", "out of time a"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			l := &scenario.Ledger{IsStrict: true, LetsOverdue: lets}
+			l := &scenario.Ledger{IsStrict: true, LetsOverdue: sendOverdue}
 			w := scenario.NewWorld(t, scenario.Site(), false, scenario.KeepLedger(l))
 			w.Send(w.Ask("a", "quote", ""))
 			w.Expect(ms, "run a quote body")
-			w.Send(finished("a", control.OK, "1"))
+			w.Send(runFinished("a", control.OK, "1"))
 			w.Expect(3900*time.Millisecond, "book 1 served[1 1000000 10000 80 0 4 1]")
 			w.Expect(50*time.Millisecond, want...)
 			w.Send(core.Booked{Through: 3})
--- a/internal/core/listing_test.go
+++ b/internal/core/listing_test.go
@@ -11,70 +11,70 @@
 	"larchscale/internal/scenario"
 )
 
-// heard is a directory that notes what it is told.
-type heard struct{ told []string }
+// fakeDirectory records what is reported to it.
+type fakeDirectory struct{ reports []string }
 
-func (h *heard) Report(open bool) {
-	h.told = append(h.told, map[bool]string{true: "open", false: "closed"}[open])
+func (h *fakeDirectory) Report(open bool) {
+	h.reports = append(h.reports, map[bool]string{true: "open", false: "closed"}[open])
 }
-func (h *heard) Silence() { h.told = append(h.told, "silence") }
+func (h *fakeDirectory) Silence() { h.reports = append(h.reports, "silence") }
 
-// Before the worker pool was bound for the first time nothing is reported, whatever happens meanwhile: an older
-// process may hold the entry. At the first link the state is told at once.
-func TestNothingIsReportedBeforeTheWorkerPoolIsBound(t *testing.T) {
+// Nothing is reported before the worker pool is bound for the first time, whatever happens meanwhile, because an
+// older process may own the directory entry. At the first link the state is reported at once.
+func TestNoReportBeforeWorkerPoolIsBound(t *testing.T) {
 	for name, c := range map[string]struct {
 		meanwhile []core.Event
 		then      string
 	}{
-		"":                     {nil, "open"},
-		"held and no more":     {[]core.Event{core.Hold{On: true}, core.Hold{}}, "open"},
-		"held":                 {[]core.Event{core.Hold{On: true}}, "closed"},
-		"the notice to leave":  {[]core.Event{core.Drain{}}, "closed"},
-		"a handoff to another": {[]core.Event{core.Handoff{Kill: 3700 * ms}}, "silence"},
+		"":                                    {nil, "open"},
+		"drained by an operator and released": {[]core.Event{core.Hold{On: true}, core.Hold{}}, "open"},
+		"drained by an operator":              {[]core.Event{core.Hold{On: true}}, "closed"},
+		"drain":                               {[]core.Event{core.Drain{}}, "closed"},
+		"handoff":                             {[]core.Event{core.Handoff{Kill: 3700 * ms}}, "silence"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			list := &heard{}
+			directory := &fakeDirectory{}
 			server := core.New(scenario.Site(), slog.New(slog.DiscardHandler))
-			server.Attach(none{}, nil, list, nil)
+			server.Attach(noop{}, nil, directory, nil)
 			go server.Run(t.Context())
-			server.Send(core.Opened{Session: none{}}) // it does not end while somebody is connected
+			server.Send(core.Opened{Session: noop{}}) // the server does not end while a connection is open
 			for _, e := range c.meanwhile {
 				server.Send(e)
 			}
 			time.Sleep(1300 * ms)
 			synctest.Wait()
-			if n := slices.Index(list.told, "open"); n >= 0 || slices.Contains(list.told, "closed") {
-				t.Errorf("%q: told %q before the worker pool was bound", name, list.told)
+			if n := slices.Index(directory.reports, "open"); n >= 0 || slices.Contains(directory.reports, "closed") {
+				t.Errorf("%q: reported %q before the worker pool was bound", name, directory.reports)
 			}
-			list.told = nil
+			directory.reports = nil
 			server.Send(core.PoolBound{Age: time.Hour})
 			synctest.Wait()
-			if len(list.told) == 0 || list.told[0] != c.then {
-				t.Errorf("%q: told %q when it was bound, want %q first", name, list.told, c.then)
+			if len(directory.reports) == 0 || directory.reports[0] != c.then {
+				t.Errorf("%q: reported %q when it was bound, want %q first", name, directory.reports, c.then)
 			}
 		})
 	}
 }
 
-// A process that hands off is silent from then on: the entry is its successor's.
-func TestAHandoffSilencesReports(t *testing.T) {
+// A process that hands off reports nothing from then on: the entry belongs to its successor.
+func TestHandoffStopsReports(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		w.Send(w.Ask("a", "quote", "")) // what it has open keeps it alive
+		w.Send(w.Ask("a", "quote", "")) // the open request keeps the process alive
 		w.Expect(ms, "run a quote body")
 		w.Listed()
 		w.Send(core.Handoff{Kill: 3700 * ms})
 		w.Expect(1500*ms, "draining to c")
-		for _, what := range w.Listed() {
-			if what != "silence" {
-				t.Errorf("told %q", what)
+		for _, report := range w.Listed() {
+			if report != "silence" {
+				t.Errorf("reported %q", report)
 			}
 		}
 	})
 }
 
-// A server that leaves reports closed, whatever crosses the notice: an operator who lets go of it, a new link, a worker
-// pool that starts anew, a handoff that comes too late.
-func TestALeavingServerNeverReportsOpen(t *testing.T) {
+// A draining server reports closed, whatever crosses the notice: the end of an operator's drain, a new link, a
+// restart of the worker pool, or a handoff that comes too late.
+func TestDrainingServerNeverReportsOpen(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		time.Sleep(ms)
@@ -84,20 +84,21 @@
 		w.Send(core.Hold{}, core.PoolLost{}, core.PoolBound{Age: time.Hour}, core.Hold{On: true}, core.Hold{},
 			core.PoolLost{}, core.PoolBound{}, core.Handoff{Kill: 3700 * ms})
 		time.Sleep(1500 * ms)
-		if all := w.Listed(); len(all) < 3 || slices.ContainsFunc(all, func(s string) bool { return s != "closed" }) {
-			t.Errorf("told %q", all)
+		if reports := w.Listed(); len(reports) < 3 ||
+			slices.ContainsFunc(reports, func(s string) bool { return s != "closed" }) {
+			t.Errorf("reported %q", reports)
 		}
 	})
 }
 
-// none is a connection and a worker pool that do nothing.
-type none struct{}
+// noop is a connection and a worker pool that do nothing.
+type noop struct{}
 
-func (none) Drain(time.Duration)            {}
-func (none) Close(uint64, core.CloseReason) {}
-func (none) Run(string, string, []byte)     {}
-func (none) Stop(string)                    {}
-func (none) Supply(string, []byte)          {}
-func (none) Pass(string, uint64)            {}
-func (none) Verify(string)                  {}
-func (none) Poll(string)                    {}
+func (noop) Drain(time.Duration)            {}
+func (noop) Close(uint64, core.CloseReason) {}
+func (noop) Run(string, string, []byte)     {}
+func (noop) Stop(string)                    {}
+func (noop) Supply(string, []byte)          {}
+func (noop) Pass(string, uint64)            {}
+func (noop) Verify(string)                  {}
+func (noop) Poll(string)                    {}
--- a/internal/core/names.go
+++ b/internal/core/names.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// nameIndex finds the place of a name in a list in constant time. It is not changed once it is built, so that several
+// nameIndex maps names to their position in a list in constant time. It is immutable once built, so several
 // goroutines may read it.
 type nameIndex map[string]int
 
-// newNameIndex builds the index of a list. A name that the list has twice keeps its first place.
+// newNameIndex builds the index of a list. A duplicate name maps to its first position.
 func newNameIndex(names []string) nameIndex {
 	index := make(nameIndex, len(names))
-	for place, name := range names {
+	for position, name := range names {
 		if _, found := index[name]; !found {
-			index[name] = place
+			index[name] = position
 		}
 	}
 	return index
 }
 
-// find returns the place of a name in the list that the index was built of; -1 = the list does not have it. A nil index
-// is one that was not built: the names are searched one by one.
-func (x nameIndex) find(names []string, name string) int {
-	if x == nil {
+// find returns the position of a name in the list from which the index was built; -1 = not in the list. With a nil
+// index, which was not built, it searches linearly.
+func (index nameIndex) find(names []string, name string) int {
+	if index == nil {
 		return slices.Index(names, name)
 	}
-	if place, found := x[name]; found {
-		return place
+	if position, found := index[name]; found {
+		return position
 	}
 	return -1
 }
--- a/internal/core/names_test.go
+++ b/internal/core/names_test.go
@@ -8,15 +8,16 @@
 	"larchscale/internal/core"
 )
 
-// A name is found at its first place, and an unknown one is not, with the indexes and before they are built.
-func TestNamesAreFoundAtTheirFirstPlace(t *testing.T) {
+// A name is found at its first position and an unknown one is not found, both with the indexes and before they are
+// built.
+func TestNamesMapToFirstPosition(t *testing.T) {
 	lists := map[string][]string{
 		"none":       nil,
 		"one":        {"a"},
 		"several":    {"a", "b", "c"},
 		"duplicates": {"a", "b", "a", "c", "b"},
 		"empty name": {"a", "", "b"},
-		"alike":      {"a", "A", "a ", " a"},
+		"similar":    {"a", "A", "a ", " a"},
 		"many":       manyNames(5000),
 	}
 	for kind, names := range lists {
@@ -25,10 +26,10 @@
 			for _, name := range append(slices.Clone(names), "", "unknown", "A", "a\x00") {
 				want := slices.Index(names, name)
 				if got := site.Class(name); got != want {
-					t.Errorf("%s, %s IndexNames: class %q is at %d, want %d", kind, built, name, got, want)
+					t.Errorf("%s, %s IndexNames: Class(%q) = %d, want %d", kind, built, name, got, want)
 				}
 				if got := site.Tenant(name); got != want {
-					t.Errorf("%s, %s IndexNames: tenant %q is at %d, want %d", kind, built, name, got, want)
+					t.Errorf("%s, %s IndexNames: Tenant(%q) = %d, want %d", kind, built, name, got, want)
 				}
 			}
 			site.IndexNames()
@@ -36,19 +37,19 @@
 	}
 }
 
-// Classes and tenants have names of their own: a tenant's name is no class.
-func TestClassesAndTenantsAreIndexedApart(t *testing.T) {
+// Classes and tenants have separate names: the name of a tenant is not a class.
+func TestClassesAndTenantsAreIndexedSeparately(t *testing.T) {
 	site := core.Site{Classes: []string{"quote", "book"}, Tenants: []string{"north", "quote"}}
 	site.IndexNames()
 	for name, want := range map[string][2]int{"quote": {0, 1}, "book": {1, -1}, "north": {-1, 0}, "": {-1, -1}} {
 		if got := [2]int{site.Class(name), site.Tenant(name)}; got != want {
-			t.Errorf("%q is class and tenant %v, want %v", name, got, want)
+			t.Errorf("%q: class and tenant index %v, want %v", name, got, want)
 		}
 	}
 }
 
-// A lookup allocates nothing, however many names there are.
-func TestLookupsAllocateNothing(t *testing.T) {
+// A lookup does not allocate, however many names there are.
+func TestLookupsDoNotAllocate(t *testing.T) {
 	site := core.Site{Classes: manyNames(4500), Tenants: manyNames(42_000)}
 	site.IndexNames()
 	allocations := testing.AllocsPerRun(100, func() {
@@ -56,11 +57,11 @@
 		site.Tenant("unknown")
 	})
 	if allocations != 0 {
-		t.Errorf("%v allocations in two lookups", allocations)
+		t.Errorf("%v allocations per two lookups, want 0", allocations)
 	}
 }
 
-// The time of a lookup is the same at each number of names.
+// The time of a lookup does not depend on the number of names.
 func BenchmarkTenantLookup(b *testing.B) {
 	for _, count := range []int{10, 100, 1000, 4500, 10_000, 42_000} {
 		site := core.Site{Tenants: manyNames(count)}
@@ -72,14 +73,14 @@
 	}
 }
 
-// lookUp finds names spread over the whole list.
+// lookUp looks up names spread over the whole list.
 func lookUp(b *testing.B, site *core.Site, names []string) {
-	const stride = 7919 // prime: it meets all places
-	place := 0
+	const stride = 7919 // a prime, so that it reaches all positions
+	position := 0
 	for b.Loop() {
-		place = (place + stride) % len(names)
-		if site.Tenant(names[place]) != place {
-			b.Fatal("not at its place")
+		position = (position + stride) % len(names)
+		if site.Tenant(names[position]) != position {
+			b.Fatal("wrong index")
 		}
 	}
 }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -11,328 +11,339 @@
 	"larchscale/internal/settings"
 )
 
-// The stage "send": the controller's actions on their way out, and the link to the worker pool.
+// Sending: executing the controller's actions, and the link to the worker pool.
 
-type verb uint8
+// actionKind is the kind of an action.
+type actionKind uint8
 
 const (
-	doRun verb = iota
-	doStop
-	doRefuse
-	doFail
-	doCall
-	doSkip
-	doReplay
-	doLevel
-	doHealth
-	doIdle
-	doWake
+	actionRun actionKind = iota
+	actionStop
+	actionRefuse
+	actionFail
+	actionCall
+	actionSkip
+	actionReplay
+	actionSetLevel
+	actionSetHealth
+	actionCloseIdle
+	actionWake
 )
 
-// act is one action of the controller, kept until it has decided.
-type act struct {
-	verb verb
-	id   uint32
-	span time.Duration
-	flag bool
-	x    float64
+// action is one action of the controller, recorded until the controller has finished deciding.
+type action struct {
+	kind     actionKind
+	id       uint32
+	duration time.Duration
+	flag     bool
+	value    float64
 }
 
-// hand is the control.Worker: it only notes what it is told, as its methods must not call back.
-type hand struct{ c *Core }
+// actionRecorder implements control.Worker. It only records the actions, because its methods must not call back into
+// the controller.
+type actionRecorder struct{ core *Core }
 
-func (h hand) note(a act)         { h.c.acts = append(h.c.acts, a) }
-func (h hand) Run(id uint32)      { h.note(act{verb: doRun, id: id}) }
-func (h hand) Stop(id uint32)     { h.note(act{verb: doStop, id: id}) }
-func (h hand) Skip(id uint32)     { h.note(act{verb: doSkip, id: id}) }
-func (h hand) Fail(id uint32)     { h.note(act{verb: doFail, id: id}) }
-func (h hand) Replay(id uint32)   { h.note(act{verb: doReplay, id: id}) }
-func (h hand) SetLevel(x float64) { h.note(act{verb: doLevel, x: x}) }
-func (h hand) Log(text string)    { h.c.log.Info("controller", "says", text) }
-func (h hand) Refuse(id uint32, away time.Duration, last bool) {
-	h.note(act{verb: doRefuse, id: id, span: away, flag: last})
+func (r actionRecorder) record(a action)    { r.core.actions = append(r.core.actions, a) }
+func (r actionRecorder) Run(id uint32)      { r.record(action{kind: actionRun, id: id}) }
+func (r actionRecorder) Stop(id uint32)     { r.record(action{kind: actionStop, id: id}) }
+func (r actionRecorder) Skip(id uint32)     { r.record(action{kind: actionSkip, id: id}) }
+func (r actionRecorder) Fail(id uint32)     { r.record(action{kind: actionFail, id: id}) }
+func (r actionRecorder) Replay(id uint32)   { r.record(action{kind: actionReplay, id: id}) }
+func (r actionRecorder) SetLevel(x float64) { r.record(action{kind: actionSetLevel, value: x}) }
+func (r actionRecorder) Log(text string)    { r.core.log.Info("controller", "says", text) }
+func (r actionRecorder) Refuse(id uint32, away time.Duration, last bool) {
+	r.record(action{kind: actionRefuse, id: id, duration: away, flag: last})
 }
-func (h hand) Call(id uint32, patience time.Duration) {
-	h.note(act{verb: doCall, id: id, span: patience})
+func (r actionRecorder) Call(id uint32, patience time.Duration) {
+	r.record(action{kind: actionCall, id: id, duration: patience})
 }
 
-// Keep and Forget book the controller's memory. The table of keys has its own, longer terms: an entry
-// stands from admission on and goes with a try that never ran.
-func (h hand) Keep(uint32, time.Duration) {}
+// Keep and Forget manage the controller's own memory of keys. The core's table of keys is kept for longer: an entry
+// exists from admission on and is removed with a try that never ran.
+func (r actionRecorder) Keep(uint32, time.Duration) {}
 
-// Forget: see Keep.
-func (h hand) Forget(uint32) {}
+// Forget does nothing; see Keep.
+func (r actionRecorder) Forget(uint32) {}
 
-func (h hand) SetHealth(ok, _ bool)          { h.note(act{verb: doHealth, flag: ok}) }
-func (h hand) CloseIdle(after time.Duration) { h.note(act{verb: doIdle, span: after}) }
-func (h hand) Wake(in time.Duration)         { h.note(act{verb: doWake, span: in}) }
+func (r actionRecorder) SetHealth(ok, _ bool) { r.record(action{kind: actionSetHealth, flag: ok}) }
+func (r actionRecorder) CloseIdle(after time.Duration) {
+	r.record(action{kind: actionCloseIdle, duration: after})
+}
+func (r actionRecorder) Wake(in time.Duration) { r.record(action{kind: actionWake, duration: in}) }
 
-// carry carries out one action. One that comes too late for its request does nothing.
-func (c *Core) carry(a act) {
-	switch a.verb {
-	case doLevel:
-		c.level = a.x
+// execute executes one action. An action that comes too late for its request does nothing.
+func (c *Core) execute(a action) {
+	switch a.kind {
+	case actionSetLevel:
+		c.level = a.value
 		return
-	case doHealth:
-		if c.up != a.flag {
-			c.up = a.flag
+	case actionSetHealth:
+		if c.healthy != a.flag {
+			c.healthy = a.flag
 			c.log.Info("health", "up", a.flag)
-			c.reported()
+			c.reportAvailability()
 		}
 		return
-	case doIdle:
-		c.idleAfter = a.span
-		for _, x := range c.sessions {
-			c.watch(x)
+	case actionCloseIdle:
+		c.idleTimeout = a.duration
+		for _, sess := range c.sessions {
+			c.scheduleIdleClose(sess)
 		}
 		return
-	case doWake:
-		c.late.set(&c.wake, c.now+a.span)
+	case actionWake:
+		c.timers.set(&c.wakeTimer, c.now+a.duration)
 		return
 	}
 	r := c.byID[a.id]
 	if r == nil {
 		return
 	}
-	switch a.verb {
-	case doRun:
-		c.run(r)
-	case doStop:
-		c.stop(r)
-	case doRefuse:
-		c.refuse(r, a.span, a.flag)
-	case doFail:
+	switch a.kind {
+	case actionRun:
+		c.startRun(r)
+	case actionStop:
+		c.stopRun(r)
+	case actionRefuse:
+		c.refuse(r, a.duration, a.flag)
+	case actionFail:
 		c.fail(r)
-	case doCall:
-		c.call(r, a.span)
-	case doSkip:
-		c.skip(r)
-	case doReplay:
+	case actionCall:
+		c.startCall(r, a.duration)
+	case actionSkip:
+		c.skipCall(r)
+	case actionReplay:
 		c.replay(r)
 	}
 }
 
-// run starts a held request.
-func (c *Core) run(r *request) {
-	if r.state != held || !c.holds(r.entry) {
+// startRun starts the run of a held request.
+func (c *Core) startRun(r *request) {
+	if r.state != stateHeld || !c.owns(r.entry) {
 		return
 	}
-	r.state, r.ran = running, true
-	r.use.since = c.now
+	r.state, r.ran = stateRunning, true
+	r.usage.runStarted = c.now
 	if r.entry != nil {
-		c.remember(r)
+		c.retain(r)
 	}
-	r.spawns, r.stopping = 0, false
-	c.figs.counts.Tries[r.Class]++
-	c.changed()
-	c.command(r, func() {
-		r.spawns++
+	r.runCommands, r.stopRequested = 0, false
+	c.metrics.counts.Tries[r.Class]++
+	c.metricsChanged()
+	c.sendCommand(r, func() {
+		r.runCommands++
 		c.runner.Run(r.Handle, c.site.Classes[r.Class], r.Body)
 	})
-	r.begins = true
+	r.commandStartsRun = true
 }
 
-// command sends a command for r and keeps it until the worker pool has shown that it came. Without a link it
-// is only kept.
-func (c *Core) command(r *request, f func()) {
-	r.resend, r.sent, r.doubtful, r.begins = f, c.now, !c.linked, false
-	if c.linked {
-		f()
+// sendCommand sends a command for r and remembers it until the worker pool has shown that it arrived. Without a link
+// the command is only remembered.
+func (c *Core) sendCommand(r *request, send func()) {
+	r.resendCommand, r.commandSent, r.commandMayBeLost, r.commandStartsRun = send, c.now, !c.linkUp, false
+	if c.linkUp {
+		send()
 	}
 }
 
-// stop has a run stopped.
-func (c *Core) stop(r *request) {
-	r.stopping = true
-	if c.linked {
+// stopRun asks for a run to be stopped.
+func (c *Core) stopRun(r *request) {
+	r.stopRequested = true
+	if c.linkUp {
 		c.runner.Stop(r.Handle)
 	}
 }
 
-// unlinked is the end of a link. Guards against runs that hang on a command that was lost with it, and
-// against a command given twice: a run that had its reply would take the copy for the reply to its next
-// call. So only what was sent shortly before the end is sent again, and nothing until it is known what came.
-func (c *Core) unlinked() {
-	if !c.linked {
-		return // what was given since is doubtful already
+// poolLinkLost handles the end of a link. A command that was lost with the link must be sent again, or its run would
+// hang; but a command that arrived must not be sent twice: a run that already had its reply would take the copy for
+// the reply to its next call. So only commands sent shortly before the end are repeated, and none until it is known
+// which of them arrived.
+func (c *Core) poolLinkLost() {
+	if !c.linkUp {
+		return // commands sent since then are marked already
 	}
-	c.linked = false
+	c.linkUp = false
 	c.log.Info("worker pool link", "up", false, "open", len(c.byID))
 	for _, r := range c.byID {
-		if r.resend != nil && r.sent >= c.now-lostBefore {
-			r.doubtful = true
+		if r.resendCommand != nil && r.commandSent >= c.now-commandLossWindow {
+			r.commandMayBeLost = true
 		}
 	}
 }
 
-// bound is a new link to the worker pool; the first one makes the controller.
-func (c *Core) bound(e PoolBound) {
-	at, heard := c.now-e.Age, c.heard
-	c.heard = c.now
-	if c.ctl == nil {
-		c.linked = true
-		c.begin(e.Cold, at)
+// poolBound handles a new link to the worker pool; the first one creates the controller.
+func (c *Core) poolBound(e PoolBound) {
+	started, lastSeen := c.now-e.Age, c.poolLastSeen
+	c.poolLastSeen = c.now
+	if c.controller == nil {
+		c.linkUp = true
+		c.startController(e.Cold, started)
 		return
 	}
-	// The age is told on its way for a while: for a pool that was just heard of, at is too late by that.
-	if at > min(c.poolAt+time.Second, heard) {
-		c.linked = true
-		c.restarted(e.Cold, at)
+	// The reported age is too small by the time the message took, so the computed start of a pool that is already
+	// known is late by that time.
+	if started > min(c.poolStarted+time.Second, lastSeen) {
+		c.linkUp = true
+		c.poolRestarted(e.Cold, started)
 		return
 	}
-	c.unlinked()
-	// All notices that were missed follow. Only after them is it known which commands were lost with the
-	// old link: the answer to this question marks that point.
-	c.polls++
-	c.resync = "r" + strconv.FormatUint(c.polls, 10)
-	c.runner.Poll(c.resync)
+	c.poolLinkLost()
+	// The notices that were missed follow. Only after them is it known which commands were lost with the old link:
+	// the answer to this gauge request marks that point.
+	c.pollCount++
+	c.resyncTicket = "r" + strconv.FormatUint(c.pollCount, 10)
+	c.runner.Poll(c.resyncTicket)
 }
 
-// begin makes the controller of a worker pool that started at a time.
-func (c *Core) begin(cold bool, at time.Duration) {
-	cfg := c.site.Control
-	cfg.Cold = cold
-	ctl, err := control.New(cfg, max(at, 0), hand{c})
-	if err != nil { // checked at the start of the program
+// startController creates the controller for a worker pool that started at the given time.
+func (c *Core) startController(cold bool, started time.Duration) {
+	config := c.site.Control
+	config.Cold = cold
+	controller, err := control.New(config, max(started, 0), actionRecorder{c})
+	if err != nil { // the configuration was checked at the start of the program
 		c.log.Error("controller", "err", err)
-		c.over = true
+		c.done = true
 		return
 	}
-	c.ctl, c.poolAt, c.warmAt = ctl, at, at
+	c.controller, c.poolStarted, c.poolWarm = controller, started, started
 	if cold {
-		c.warmAt += cfg.ColdFor
+		c.poolWarm += config.ColdFor
 	}
-	c.changed()
-	c.log.Info("worker pool up", "cold", cold, "age_ms", (c.now - at).Milliseconds())
-	if c.leaving {
-		c.ctl.LeaveSince(c.now, c.notice, max(0, c.notice+c.site.Stop-stopEarly-c.now))
+	c.metricsChanged()
+	c.log.Info("worker pool up", "cold", cold, "age_ms", (c.now - started).Milliseconds())
+	if c.draining {
+		c.controller.LeaveSince(c.now, c.drainStart, max(0, c.drainStart+c.site.Stop-answerAllMargin-c.now))
 	}
-	c.reported()
+	c.reportAvailability()
 }
 
-// restarted is a worker pool that started anew without this server: its runs are lost, which counts as run
-// and failed. Guards against a cold pool that a controller takes for warm: a new one gets what is held.
-func (c *Core) restarted(cold bool, at time.Duration) {
+// poolRestarted handles a worker pool that was restarted independently of this server. Its runs are lost, which
+// counts as run and failed. A new controller takes over the held requests, because the old one would treat the cold
+// pool as warm.
+func (c *Core) poolRestarted(cold bool, started time.Duration) {
 	c.log.Warn("worker pool restarted", "open", len(c.byID))
 	ids := slices.Sorted(maps.Keys(c.byID)) // the owner of a key comes before its repeats
 	for _, id := range ids {
-		if r := c.byID[id]; r != nil && r.ran && (r.state != held || c.site.Control.Classes[r.Class].Effect != control.Safe) {
-			c.finished(PoolFinished{Handle: r.Handle, End: control.Errored})
+		if r := c.byID[id]; r != nil && r.ran &&
+			(r.state != stateHeld || c.site.Control.Classes[r.Class].Effect != control.Safe) {
+			c.runFinished(PoolFinished{Handle: r.Handle, End: control.Errored})
 		}
 	}
-	c.begin(cold, at)
+	c.startController(cold, started)
 	for _, id := range ids {
 		r := c.byID[id]
 		if r == nil {
 			continue
 		}
 		delete(c.byID, id)
-		repeats := uint32(0)
+		repeatOf := uint32(0)
 		if r.entry != nil && r.entry.owner != r {
-			repeats = 1
+			repeatOf = 1
 			r.entry.waiters = slices.DeleteFunc(r.entry.waiters, func(w *request) bool { return w == r })
 		}
-		c.enter(r, repeats)
+		c.submit(r, repeatOf)
 	}
 }
 
-// resume sends again what the worker pool has not shown to have received.
-func (c *Core) resume() {
-	c.resync = ""
+// resendCommands repeats the commands that the worker pool has not shown to have received.
+func (c *Core) resendCommands() {
+	c.resyncTicket = ""
 	for _, id := range slices.Sorted(maps.Keys(c.byID)) {
 		r := c.byID[id]
-		if r == nil || r.state != running {
+		if r == nil || r.state != stateRunning {
 			continue
 		}
-		mine := c.holds(r.entry)
-		// To ask for a run twice does no harm. Guards against runs that never begin, whose end nobody tells.
-		if r.resend != nil && (r.doubtful || r.begins) {
-			r.sent, r.doubtful = c.now, false
-			r.resend()
-			c.log.Info("command repeated", "id", r.Handle, "spawn", r.begins, "why", "new link to the worker pool")
+		owned := c.owns(r.entry)
+		// Repeating a run command is harmless. If a lost one were not repeated, the run would never start, and its end
+		// would never be reported.
+		if r.resendCommand != nil && (r.commandMayBeLost || r.commandStartsRun) {
+			r.commandSent, r.commandMayBeLost = c.now, false
+			r.resendCommand()
+			c.log.Info("command repeated", "id", r.Handle, "spawn", r.commandStartsRun,
+				"why", "new link to the worker pool")
 		}
-		if r.stopping {
+		if r.stopRequested {
 			c.runner.Stop(r.Handle)
 		}
-		if !mine && r.begins { // whether its run began nobody can tell, and it is not asked for again
-			r.runEnded(c.now, 0)
+		if !owned && r.commandStartsRun { // it is unknown whether its run began, and it is not requested again
+			r.addRun(c.now, 0)
 			c.finish(r, control.Errored, 0)
 		}
 	}
-	c.linked = true
+	c.linkUp = true
 	c.log.Info("worker pool link", "up", true, "open", len(c.byID))
 }
 
-// unknown is a command that was not carried out. A run that was asked for once and refused by the worker
-// pool never began: guards against a request, and its key, that wait for a run which nobody has.
-func (c *Core) unknown(e PoolUnknown) {
+// commandUnknown handles a command that was not carried out. A run that was requested once and rejected by the worker
+// pool never began. Without this, the request and its key would wait for a run that does not exist.
+func (c *Core) commandUnknown(e PoolUnknown) {
 	r := c.byHandle[e.Handle]
-	if r == nil || e.Command != "spawn" || r.state != running || r.spawns != 1 {
+	if r == nil || e.Command != "spawn" || r.state != stateRunning || r.runCommands != 1 {
 		return
 	}
-	r.resend, r.state = nil, ending
-	if c.holds(r.entry) {
+	r.resendCommand, r.state = nil, stateFinishing
+	if c.owns(r.entry) {
 		c.answer(r, Answer{Kind: Invalid, Why: "the worker pool does not know this request"})
-		c.neverRan(r)
+		c.undoRun(r)
 	}
 	c.finish(r, control.Moot, 0)
 }
 
-// neverRan takes back that a run of r had begun, and gives its key to the next try.
-func (c *Core) neverRan(r *request) {
+// undoRun records that a run of r never began after all, and passes its key to the next try.
+func (c *Core) undoRun(r *request) {
 	r.ran = false
 	if e := r.entry; e != nil && e.owner == r {
 		e.ran = false
-		c.release(e)
+		c.releaseKey(e)
 	}
 }
 
-// finished is the end of a run.
-func (c *Core) finished(e PoolFinished) {
-	c.heard = c.now
+// runFinished handles the end of a run.
+func (c *Core) runFinished(e PoolFinished) {
+	c.poolLastSeen = c.now
 	r := c.byHandle[e.Handle]
-	if r == nil || !r.ran || r.state == ending {
+	if r == nil || !r.ran || r.state == stateFinishing {
 		return
 	}
-	r.resend, r.stopping = nil, false
-	if r.state == calling {
-		c.abandon(r)
+	r.resendCommand, r.stopRequested = nil, false
+	if r.state == stateCalling {
+		c.abandonCall(r)
 	}
-	r.runEnded(c.now, e.Took)
-	a := Answer{Kind: Failed, Why: runFailed}
+	r.addRun(c.now, e.Took)
+	answer := Answer{Kind: Failed, Why: whyRunFailed}
 	switch e.End {
 	case control.OK:
-		c.deep.proved = c.now
-		a = Answer{Kind: Served, Body: e.Body}
+		c.deepChecks.lastProof = c.now
+		answer = Answer{Kind: Served, Body: e.Body}
 	case control.Stopped:
-		if !r.answered { // it was stopped by the controller and is held again
-			r.state = held
-			c.ctl.Done(c.now, r.id, e.Took, control.Stopped)
+		if !r.answered { // stopped by the controller and held again
+			r.state = stateHeld
+			c.controller.Done(c.now, r.id, e.Took, control.Stopped)
 			return
 		}
 	}
-	r.state = ending
+	r.state = stateFinishing
 	switch {
 	case r.entry == nil:
-		c.answer(r, a)
-	case e.End == control.Moot && r.spawns == 1:
-		c.answer(r, a)
-		c.neverRan(r)
+		c.answer(r, answer)
+	case e.End == control.Moot && r.runCommands == 1:
+		c.answer(r, answer)
+		c.undoRun(r)
 	default:
-		c.conclude(r.entry, e.End == control.OK, e.Body)
+		c.finishEntry(r.entry, e.End == control.OK, e.Body)
 	}
 	if r.answered {
 		c.finish(r, e.End, e.Took)
 	} else {
-		c.keepBack(r, e.End, e.Took)
+		c.awaitStored(r, e.End, e.Took)
 	}
 }
 
-func gaugesOf(names []string, figures []float64) control.Gauges {
-	for i, x := range figures {
-		if math.IsInf(x, 0) {
-			figures[i] = math.NaN()
+// gaugesOf converts the reported values to gauges; an infinite value is unknown.
+func gaugesOf(names []string, values []float64) control.Gauges {
+	for i, value := range values {
+		if math.IsInf(value, 0) {
+			values[i] = math.NaN()
 		}
 	}
-	return settings.Gauges(names, figures)
+	return settings.Gauges(names, values)
 }
