--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -10,45 +10,52 @@
 	"larchscale/internal/scenario"
 )
 
-// sites are settings of several kinds: what differs between deployments. Each has the classes read (safe), keyed
-// and once (unsafe), as far as its kind has them, and what every deployment is promised holds in all of them.
-func sites() map[string]core.Site {
+// deploymentKinds returns configurations of several kinds of deployment. Each has the classes read (safe), keyed and
+// once (unsafe), as far as its kind has them. What every deployment is promised holds in all of them.
+func deploymentKinds() map[string]core.Site {
 	read := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 1, Calls: true}
-	keyed := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 3, Effect: control.Keyed, Window: 20 * time.Second, Calls: true}
+	keyed := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 3, Effect: control.Keyed,
+		Window: 20 * time.Second, Calls: true}
 	once := control.Class{Aim: 2600 * ms, Deadline: 6400 * ms, Worth: 3, Effect: control.Unsafe, Calls: true}
-	poorer := read
-	poorer.SkipWorth, poorer.Aim, poorer.Deadline = 0.6, 1900*ms, 4500*ms
-	tier := func(s *core.Site) { s.Control.CallsTier = true }
-	shared := func(s *core.Site) {
-		s.Control.CallsTier, s.Control.CallShare, s.Control.CallWindow, s.Control.CallLingers = false, 8, 5*time.Second, 200*ms
-		s.Control.DearChecks = true
+	skipping := read
+	skipping.SkipWorth, skipping.Aim, skipping.Deadline = 0.6, 1900*ms, 4500*ms
+	tier := func(site *core.Site) { site.Control.CallsTier = true }
+	shared := func(site *core.Site) {
+		site.Control.CallsTier, site.Control.CallShare, site.Control.CallWindow,
+			site.Control.CallLingers = false, 8, 5*time.Second, 200*ms
+		site.Control.DearChecks = true
 	}
-	out := map[string]core.Site{}
-	for name, x := range map[string]struct {
-		below   func(*core.Site)
-		classes map[string]control.Class
+	deployments := map[string]core.Site{}
+	for name, kind := range map[string]struct {
+		downstream func(*core.Site)
+		classes    map[string]control.Class
 	}{
-		"keyed writes, a tier below":                   {tier, map[string]control.Class{"read": read, "keyed": keyed}},
-		"unsafe writes, a shared database":             {shared, map[string]control.Class{"read": poorer, "once": once}},
-		"keyed and unsafe writes, a tier below":        {tier, map[string]control.Class{"read": poorer, "keyed": keyed, "once": once}},
-		"keyed and unsafe writes, a database and tier": {func(s *core.Site) { shared(s); tier(s) }, map[string]control.Class{"read": read, "keyed": keyed, "once": once}},
+		"keyed writes, a downstream tier": {tier, map[string]control.Class{"read": read, "keyed": keyed}},
+		"unsafe writes, a shared database": {shared,
+			map[string]control.Class{"read": skipping, "once": once}},
+		"keyed and unsafe writes, a downstream tier": {tier,
+			map[string]control.Class{"read": skipping, "keyed": keyed, "once": once}},
+		"keyed and unsafe writes, a database and tier": {func(site *core.Site) { shared(site); tier(site) },
+			map[string]control.Class{"read": read, "keyed": keyed, "once": once}},
 	} {
-		s := scenario.Site()
-		s.Classes, s.Control.Classes = nil, nil
+		site := scenario.Site()
+		site.Classes, site.Control.Classes = nil, nil
 		for _, name := range []string{"read", "keyed", "once"} {
-			if k, ok := x.classes[name]; ok {
-				s.Classes, s.Control.Classes = append(s.Classes, name), append(s.Control.Classes, k)
+			if class, ok := kind.classes[name]; ok {
+				site.Classes, site.Control.Classes = append(site.Classes, name), append(site.Control.Classes, class)
 			}
 		}
-		x.below(&s)
-		out[name] = s
+		kind.downstream(&site)
+		deployments[name] = site
 	}
-	return out
+	return deployments
 }
 
-// everywhere plays f on every kind of site, once for each of its classes that are writes, or for all classes.
-func everywhere(t *testing.T, writes bool, f func(w *scenario.World, class string, ask func(handle, token string) core.Arrive)) {
-	for name, site := range sites() {
+// onEachKind runs f on every kind of deployment, once for each of its classes or, with writes, for each class that is
+// not safe.
+func onEachKind(t *testing.T, writes bool,
+	f func(w *scenario.World, class string, ask func(handle, token string) core.Arrive)) {
+	for name, site := range deploymentKinds() {
 		for i, class := range site.Classes {
 			if writes && site.Control.Classes[i].Effect == control.Safe {
 				continue
@@ -58,11 +65,11 @@
 					w := scenario.NewWorld(t, site, false)
 					w.Expect(ms)
 					f(w, class, func(handle, token string) core.Arrive {
-						q := w.Ask(handle, "quote", token)
-						if q.Req.Class = site.Class(class); !site.Keyed(q.Req.Class) {
-							q.Req.Token = ""
+						request := w.Ask(handle, "quote", token)
+						if request.Req.Class = site.Class(class); !site.Keyed(request.Req.Class) {
+							request.Req.Token = ""
 						}
-						return q
+						return request
 					})
 				})
 			})
@@ -70,92 +77,93 @@
 	}
 }
 
-// Whatever the class, one answer; and a hint of the work reaches the decisions without a change of the answer.
-func TestEveryClassOfEverySiteIsServedOnce(t *testing.T) {
-	everywhere(t, false, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
-		q := ask("a", "k")
-		q.Req.Work = 250 * ms
-		w.Send(q)
+// A request of any class gets one answer, and the estimate of its work reaches the controller without changing the
+// answer.
+func TestEveryClassIsServedOnce(t *testing.T) {
+	onEachKind(t, false, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+		request := ask("a", "k")
+		request.Req.Work = 250 * ms
+		w.Send(request)
 		w.Expect(ms, "run a "+class+" body")
-		w.Send(finished("a", control.OK, "result"), finished("a", control.OK, "again"))
+		w.Send(runFinished("a", control.OK, "result"), runFinished("a", control.OK, "again"))
 		w.Expect(ms, "served a result")
 	})
 }
 
-// A write whose call may have had its effect is failed, and never called for or run again.
-func TestAWriteOfUnknownFateIsNeverTriedAgain(t *testing.T) {
-	for _, how := range []control.Outcome{control.Broken, control.Errored, control.TimedOut} {
-		everywhere(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+// A write whose call may have had its effect fails; neither the call nor the run is repeated.
+func TestWriteOfUnknownOutcomeIsNotRepeated(t *testing.T) {
+	for _, outcome := range []control.Outcome{control.Broken, control.Errored, control.TimedOut} {
+		onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
 			w.Send(ask("a", "k"))
 			w.Expect(ms, "run a "+class+" body")
-			w.Send(blocked("a", "x"))
+			w.Send(runBlocked("a", "x"))
 			w.Expect(ms, "call a "+class+" 4s x")
-			w.Send(core.CallEnded{Handle: "a", Outcome: how})
+			w.Send(core.CallEnded{Handle: "a", Outcome: outcome})
 			w.Expect(20*time.Second, "failed a")
 		})
 	}
 }
 
-// A worker pool that starts anew has lost its runs: a write of any kind that ran, also one that it had given back,
-// counts as run and failed. Only a write with no key reached the new pool as if it were new.
-func TestAWriteIsNotRunAgainByARestartedPool(t *testing.T) {
-	everywhere(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+// A restarted worker pool has lost its runs. A write of any kind that has run, even one that was held again after a
+// stop, counts as run and failed. Guards against a fault in which a write without a key reached the new pool as new.
+func TestWriteIsNotRunAgainByRestartedPool(t *testing.T) {
+	onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
 		w.Send(ask("a", "k"), ask("b", "l"))
 		w.Expect(ms, "run a "+class+" body", "run b "+class+" body")
-		w.Send(finished("a", control.Stopped, "")) // stopped by nobody here: held again
+		w.Send(runFinished("a", control.Stopped, "")) // not stopped by the controller: held again
 		w.Expect(1500 * ms)
 		w.Send(core.PoolBound{Cold: true, Age: ms})
 		w.Expect(5*time.Second, "failed a", "failed b")
 	})
 }
 
-// A run goes on without a call that would come too late, named by the notice that asked for it; on a new link
-// the command is given again, for it cannot be taken for a word on the next call.
-func TestACallIsLeftOutByItsNotice(t *testing.T) {
+// A run continues without a call that would come too late; the command names the notice that asked for the call. On a
+// new link the command is repeated, since it cannot be taken for an answer to the next call.
+func TestSkippedCallNamesItsNotice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := scenario.NewWorld(t, sites()["unsafe writes, a shared database"], false)
+		w := scenario.NewWorld(t, deploymentKinds()["unsafe writes, a shared database"], false)
 		w.Expect(ms)
-		q := w.Ask("a", "quote", "")
-		w.Send(q)
+		request := w.Ask("a", "quote", "")
+		w.Send(request)
 		w.Expect(ms, "run a read body")
 		w.Send(core.PoolBlocked{Handle: "a", Notice: 7, Body: []byte("x")})
 		w.Expect(ms, "call a read 1.9s x")
 		w.Send(core.CallEnded{Handle: "a", Outcome: control.Broken})
-		w.Expect(ms, "call a read 1.9s x") // it is safe: once more
+		w.Expect(ms, "call a read 1.9s x") // the class is safe: one more call
 		w.Send(core.CallEnded{Handle: "a", Outcome: control.Broken})
 		w.Expect(ms, "pass a 7")
 		w.Send(core.PoolLost{}, core.PoolBound{Age: time.Hour})
 		w.Expect(10*ms, "pass a 7")
-		w.Send(finished("a", control.OK, "poorer"))
+		w.Send(runFinished("a", control.OK, "poorer"))
 		w.Expect(ms, "served a poorer")
 	})
 }
 
-// A deep check is answered from runs that ended well of late, else by one verification for all that wait; one
-// that never comes back, or a pool that is away, is a no in time.
+// A deep check is answered from recent runs that ended well, otherwise by one verification for all waiting checks. If
+// the verification does not come back, or the pool is unavailable, the answer is no, in time.
 func TestDeepChecks(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		deep := func(h string) core.Check {
+		deepCheck := func(h string) core.Check {
 			return core.Check{Session: w.Session("c"), Reply: w.Ask(h, "quote", "").Reply, Deep: true}
 		}
-		w.Send(deep("1"), deep("2"))
+		w.Send(deepCheck("1"), deepCheck("2"))
 		w.Expect(ms, "verify v1")
 		w.Send(core.PoolVerified{Ticket: "v1", OK: true})
 		w.Expect(ms, "checked 1 true", "checked 2 true")
-		w.Send(deep("3")) // proved a moment ago
+		w.Send(deepCheck("3")) // proved a moment ago
 		w.Expect(2*time.Second, "checked 3 true")
-		w.Send(deep("4"))
+		w.Send(deepCheck("4"))
 		w.Expect(790*ms, "verify v2")
 		w.Expect(20*ms, "checked 4 false")
-		w.Send(core.PoolVerified{Ticket: "v2", OK: true}, deep("5")) // too late to prove anything
+		w.Send(core.PoolVerified{Ticket: "v2", OK: true}, deepCheck("5")) // too late to prove anything
 		w.Expect(ms, "verify v3")
 		w.Send(core.PoolVerified{Ticket: "v3"})
 		w.Expect(ms, "checked 5 false")
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(finished("a", control.OK, "x"), deep("6"))
+		w.Send(runFinished("a", control.OK, "x"), deepCheck("6"))
 		w.Expect(time.Second+50*ms, "served a x", "checked 6 true")
-		w.Send(core.PoolLost{}, deep("7"))
+		w.Send(core.PoolLost{}, deepCheck("7"))
 		w.Expect(ms, "checked 7 false")
 	})
 }
--- a/internal/core/variants_test.go
+++ b/internal/core/variants_test.go
@@ -18,130 +18,130 @@
 	"larchscale/internal/scenario"
 )
 
-// deployments are sites of other customers: our own two of deploy/sites as a process of them is told, and settings at the
-// edges of what can be told.
+// deployments returns configurations of various customers: the two of deploy/sites as a process there receives them,
+// and configurations at the limits of the valid range.
 func deployments(t *testing.T) map[string]core.Site {
 	t.Helper()
-	out := map[string]core.Site{}
+	sites := map[string]core.Site{}
 	for _, name := range []string{"ridge-lift-gates", "tide-harbour-office"} {
-		c, err := config.Load("../config/testdata/" + name + ".json")
+		loaded, err := config.Load("../config/testdata/" + name + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[name] = c.Site
+		sites[name] = loaded.Site
 	}
 	edge := func(deadline, window, grace, stop time.Duration) core.Site {
-		s := scenario.Site()
-		s.Classes, s.Stop = []string{"read", "keyed", "once"}, stop
-		s.Control.DrainGrace, s.Control.Classes = grace, nil
+		site := scenario.Site()
+		site.Classes, site.Stop = []string{"read", "keyed", "once"}, stop
+		site.Control.DrainGrace, site.Control.Classes = grace, nil
 		for _, effect := range []control.Effect{control.Safe, control.Keyed, control.Unsafe} {
-			k := control.Class{Aim: deadline * 2 / 3, Deadline: deadline, Worth: 1, Effect: effect, Calls: true}
+			class := control.Class{Aim: deadline * 2 / 3, Deadline: deadline, Worth: 1, Effect: effect, Calls: true}
 			if effect == control.Keyed {
-				k.Window = window
+				class.Window = window
 			}
-			s.Control.Classes = append(s.Control.Classes, k)
+			site.Control.Classes = append(site.Control.Classes, class)
 		}
-		return s
+		return site
 	}
-	out["deadlines of 200 ms"] = edge(200*ms, 500*ms, 200*ms, 400*ms)
-	out["deadlines of 500 ms"] = edge(500*ms, 500*ms, 200*ms, 400*ms)
-	out["a window shorter than the deadline"] = edge(4*time.Second, 500*ms, 2*time.Second, 4*time.Second)
-	out["a stop shorter than the grace"] = edge(300*ms, 500*ms, 1500*ms, 400*ms)
-	out["a stop shorter than the deadline"] = edge(4*time.Second, 5*time.Second, 200*ms, 400*ms)
-	out["no grace"] = edge(500*ms, 500*ms, 0, 400*ms)
-	out["hardly a stop"] = edge(500*ms, 500*ms, 200*ms, 100*ms)
+	sites["deadlines of 200 ms"] = edge(200*ms, 500*ms, 200*ms, 400*ms)
+	sites["deadlines of 500 ms"] = edge(500*ms, 500*ms, 200*ms, 400*ms)
+	sites["a window shorter than the deadline"] = edge(4*time.Second, 500*ms, 2*time.Second, 4*time.Second)
+	sites["a stop shorter than the grace"] = edge(300*ms, 500*ms, 1500*ms, 400*ms)
+	sites["a stop shorter than the deadline"] = edge(4*time.Second, 5*time.Second, 200*ms, 400*ms)
+	sites["no grace"] = edge(500*ms, 500*ms, 0, 400*ms)
+	sites["a very short stop"] = edge(500*ms, 500*ms, 200*ms, 100*ms)
 	many := edge(500*ms, 500*ms, 200*ms, 400*ms)
 	for i := range 36 {
 		many.Classes = append(many.Classes, fmt.Sprint(many.Classes[i%3], i))
 		many.Control.Classes = append(many.Control.Classes, many.Control.Classes[i%3])
 	}
-	out["39 classes"] = many
-	writes := edge(500*ms, 500*ms, 200*ms, 400*ms)
-	writes.Classes, writes.Control.Classes = []string{"keyed"}, writes.Control.Classes[1:2]
-	writes.Tenants, writes.Control.Tenants = nil, nil
-	out["one class, no tenants"] = writes
-	for name, less := range map[string][2]string{ // what is told without one setting
+	sites["39 classes"] = many
+	oneClass := edge(500*ms, 500*ms, 200*ms, 400*ms)
+	oneClass.Classes, oneClass.Control.Classes = []string{"keyed"}, oneClass.Control.Classes[1:2]
+	oneClass.Tenants, oneClass.Control.Tenants = nil, nil
+	sites["one class, no tenants"] = oneClass
+	for name, without := range map[string][2]string{ // configurations with one setting removed
 		"no deadline": {"ridge-lift-gates", `"GiveUpUs": \d+, `},
 		"no quantum":  {"tide-harbour-office", `"QuantumUs": \d+,`},
 	} {
-		text, err := os.ReadFile("../config/testdata/" + less[0] + ".json")
+		text, err := os.ReadFile("../config/testdata/" + without[0] + ".json")
 		if err != nil {
 			t.Fatal(err)
 		}
-		c, err := config.Parse(regexp.MustCompile(less[1]).ReplaceAll(text, nil))
+		loaded, err := config.Parse(regexp.MustCompile(without[1]).ReplaceAll(text, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
-		out[name] = c.Site
+		sites[name] = loaded.Site
 	}
-	return out
+	return sites
 }
 
-// callers are the other side of a core's front: what each was told, and when.
-type callers struct {
-	w    *scenario.World
-	site core.Site
-	mu   sync.Mutex
-	told map[string][]told
-	due  map[string]time.Time
-	left []time.Time // when the connection was told that the server leaves
-	sent int
-	line *callersLine // nil = the next request opens one
+// clients are the callers of a core's front. They record what each request was answered, and when.
+type clients struct {
+	world   *scenario.World
+	site    core.Site
+	mu      sync.Mutex
+	answers map[string][]receivedAnswer
+	due     map[string]time.Time
+	drains  []time.Time // when the connection was asked to drain
+	sent    int
+	conn    *clientConn // nil = the next request opens one
 }
 
-type told struct {
+type receivedAnswer struct {
 	core.Answer
 	at time.Time
 }
 
-type callersReply struct {
-	c      *callers
+type clientReply struct {
+	c      *clients
 	handle string
 }
 
-func (r callersReply) Answer(a core.Answer) {
+func (r clientReply) Answer(a core.Answer) {
 	r.c.mu.Lock()
 	defer r.c.mu.Unlock()
-	r.c.told[r.handle] = append(r.c.told[r.handle], told{a, time.Now()})
+	r.c.answers[r.handle] = append(r.c.answers[r.handle], receivedAnswer{a, time.Now()})
 }
 
-// callersLine is a connection of theirs; one that the core closes is followed by another.
-type callersLine struct {
-	c    *callers
+// clientConn is a connection of the clients; after the core closes one, the next request opens another.
+type clientConn struct {
+	c    *clients
 	sent uint64
 }
 
-func (l *callersLine) Drain(time.Duration) {
+func (l *clientConn) Drain(time.Duration) {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
-	l.c.left = append(l.c.left, time.Now())
+	l.c.drains = append(l.c.drains, time.Now())
 }
 
 // Close ends the connection, unless more was sent on it.
-func (l *callersLine) Close(heard uint64, _ core.CloseReason) {
+func (l *clientConn) Close(heard uint64, _ core.CloseReason) {
 	l.c.mu.Lock()
 	defer l.c.mu.Unlock()
 	if l.sent != heard {
 		return
 	}
-	if l.c.line == l {
-		l.c.line = nil
+	if l.c.conn == l {
+		l.c.conn = nil
 	}
-	go l.c.w.Send(core.Closed{Session: l})
+	go l.c.world.Send(core.Closed{Session: l})
 }
 
-// open gives the connection for the next request. The caller holds c.mu until that is counted: a connection does not end
-// between the two.
-func (c *callers) open() *callersLine {
-	if c.line == nil {
-		c.line = &callersLine{c: c}
-		c.w.Send(core.Opened{Session: c.line})
+// open returns the connection for the next request. The caller holds c.mu until it has counted that request, so that
+// the connection cannot end in between.
+func (c *clients) open() *clientConn {
+	if c.conn == nil {
+		c.conn = &clientConn{c: c}
+		c.world.Send(core.Opened{Session: c.conn})
 	}
-	return c.line
+	return c.conn
 }
 
-// ask sends a request of a class that waits for its deadline, and gives its handle.
-func (c *callers) ask(class int, token, body string) string {
+// ask sends a request of a class with the class's deadline and returns its handle.
+func (c *clients) ask(class int, token, body string) string {
 	c.mu.Lock()
 	line, tenant := c.open(), -1
 	line.sent++
@@ -155,52 +155,54 @@
 	if !c.site.Keyed(class) {
 		token = ""
 	}
-	c.w.Send(core.Arrive{Session: line, Reply: callersReply{c, handle}, Req: core.Incoming{Handle: handle, Class: class, Tenant: tenant,
-		Arrived: time.Now(), Rank: 0.9, Memory: 10, Token: token, Body: []byte(body)}})
+	c.world.Send(core.Arrive{Session: line, Reply: clientReply{c, handle},
+		Req: core.Incoming{Handle: handle, Class: class, Tenant: tenant,
+			Arrived: time.Now(), Rank: 0.9, Memory: 10, Token: token, Body: []byte(body)}})
 	return handle
 }
 
-// kind tells the one answer to a request so far; -1 = none.
-func (c *callers) kind(handle string) int {
+// kind returns the kind of the first answer to a request; -1 = none yet.
+func (c *clients) kind(handle string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if a := c.told[handle]; len(a) > 0 {
+	if a := c.answers[handle]; len(a) > 0 {
 		return int(a[0].Kind)
 	}
 	return -1
 }
 
-// check finds requests with no answer, two, one that is not before its due time, or a refusal of what ran.
-func (c *callers) check(t *testing.T) {
+// check reports requests with no answer, with two, with one at or after the due time, or refused after they ran.
+func (c *clients) check(t *testing.T) {
 	t.Helper()
 	ran := map[string]bool{}
-	for _, h := range c.w.Handles() {
-		ran[h] = true
+	for _, handle := range c.world.Handles() {
+		ran[handle] = true
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, h := range slices.Sorted(maps.Keys(c.due)) {
-		if a := c.told[h]; len(a) != 1 || !a[0].at.Before(c.due[h]) {
-			t.Errorf("%s: %d answers, due %v: %+v", h, len(a), c.due[h], a)
-		} else if a[0].Kind == core.Refused && ran[h] {
-			t.Errorf("%s ran and was refused", h)
+	for _, handle := range slices.Sorted(maps.Keys(c.due)) {
+		if answers := c.answers[handle]; len(answers) != 1 || !answers[0].at.Before(c.due[handle]) {
+			t.Errorf("%s: %d answers, due %v: %+v", handle, len(answers), c.due[handle], answers)
+		} else if answers[0].Kind == core.Refused && ran[handle] {
+			t.Errorf("%s ran and was refused", handle)
 		}
 	}
 }
 
-// onEach plays f on each deployment, with a connection open and every run ended well after work.
-func onEach(t *testing.T, work func(core.Site) time.Duration, f func(t *testing.T, c *callers)) {
+// onEach runs f on each deployment, with one connection open; every run ends well after the time that work returns.
+func onEach(t *testing.T, work func(core.Site) time.Duration, f func(t *testing.T, c *clients)) {
 	onEachWith(t, false, work, f)
 }
 
-// onEachWith is onEach, with a shared store that the test plays or without.
-func onEachWith(t *testing.T, shared bool, work func(core.Site) time.Duration, f func(t *testing.T, c *callers)) {
+// onEachWith is like onEach, optionally with a shared store that the test plays.
+func onEachWith(t *testing.T, shared bool, work func(core.Site) time.Duration, f func(t *testing.T, c *clients)) {
 	for name, site := range deployments(t) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &callers{w: scenario.NewWorld(t, site, shared), site: site, told: map[string][]told{}, due: map[string]time.Time{}}
+				c := &clients{world: scenario.NewWorld(t, site, shared), site: site,
+					answers: map[string][]receivedAnswer{}, due: map[string]time.Time{}}
 				if d := work(site); d > 0 {
-					c.w.Serve(d)
+					c.world.Serve(d)
 				}
 				c.mu.Lock()
 				c.open()
@@ -212,38 +214,38 @@
 	}
 }
 
-func shortest(s core.Site) time.Duration {
-	d := time.Minute
-	for _, k := range s.Control.Classes {
-		d = min(d, k.Deadline)
+func shortestDeadline(s core.Site) time.Duration {
+	deadline := time.Minute
+	for _, class := range s.Control.Classes {
+		deadline = min(deadline, class.Deadline)
 	}
-	return d
+	return deadline
 }
 
-func quick(s core.Site) time.Duration { return min(shortest(s)/10, 200*ms) }
+func shortRun(s core.Site) time.Duration { return min(shortestDeadline(s)/10, 200*ms) }
 
-// Every class is served, whether its callers say for how long they wait or not. A keyed request is run once within its
-// window, and may run again well after it.
+// Every class is served, whether its callers state their budget or not. A keyed request runs once within its window,
+// and may run again well after it.
 func TestEveryDeploymentServesEveryClass(t *testing.T) {
-	onEach(t, quick, func(t *testing.T, c *callers) {
+	onEach(t, shortRun, func(t *testing.T, c *clients) {
 		for i, name := range c.site.Classes {
-			k := c.site.Control.Classes[i]
+			class := c.site.Control.Classes[i]
 			first := c.ask(i, "k", name)
-			time.Sleep(2 * quick(c.site))
+			time.Sleep(2 * shortRun(c.site))
 			again := c.ask(i, "k", name)
-			time.Sleep(2 * quick(c.site))
+			time.Sleep(2 * shortRun(c.site))
 			if c.kind(first) != int(core.Served) || c.kind(again) != int(core.Served) {
 				t.Errorf("%s: %d, then %d", name, c.kind(first), c.kind(again))
 			}
-			if runs := c.w.Runs()[name]; k.Effect == control.Keyed && runs != 1 {
-				t.Errorf("%s ran %d times within its window", name, runs)
+			if runs := c.world.Runs()[name]; class.Effect == control.Keyed && runs != 1 {
+				t.Errorf("%s ran %d times within its window, want 1", name, runs)
 			}
-			if k.Effect == control.Keyed {
-				time.Sleep(k.Window + 3*time.Second)
+			if class.Effect == control.Keyed {
+				time.Sleep(class.Window + 3*time.Second)
 				last := c.ask(i, "k", name)
-				time.Sleep(2 * quick(c.site))
-				if runs := c.w.Runs()[name]; c.kind(last) != int(core.Served) || runs != 2 {
-					t.Errorf("%s after its window: %d, %d runs", name, c.kind(last), runs)
+				time.Sleep(2 * shortRun(c.site))
+				if runs := c.world.Runs()[name]; c.kind(last) != int(core.Served) || runs != 2 {
+					t.Errorf("%s after its window: answer %d, %d runs", name, c.kind(last), runs)
 				}
 			}
 		}
@@ -252,8 +254,8 @@
 	})
 }
 
-// crowd sends more than any server can carry. Each keyed request is tried three times.
-func (c *callers) crowd(n int) {
+// overload sends more than any server can carry. Each keyed request is tried three times.
+func (c *clients) overload(n int) {
 	for i := range n {
 		class := i / 3 % len(c.site.Classes)
 		body := fmt.Sprint("body ", class, " ", c.sent)
@@ -261,68 +263,71 @@
 			body = fmt.Sprint("body ", class, " ", c.sent-i%3)
 		}
 		c.ask(class, body, body)
-		time.Sleep(shortest(c.site) / 100)
+		time.Sleep(shortestDeadline(c.site) / 100)
 	}
 }
 
-// once finds writes that ran twice.
-func (c *callers) once(t *testing.T) {
+// checkRunOnce reports writes that ran twice.
+func (c *clients) checkRunOnce(t *testing.T) {
 	t.Helper()
-	for body, n := range c.w.Runs() {
+	for body, runs := range c.world.Runs() {
 		var class int
 		fmt.Sscanf(body, "body %d", &class)
-		if c.site.Control.Classes[class].Effect != control.Safe && n > 1 {
-			t.Errorf("%q ran %d times", body, n)
+		if c.site.Control.Classes[class].Effect != control.Safe && runs > 1 {
+			t.Errorf("write %q ran %d times", body, runs)
 		}
 	}
 }
 
-func third(s core.Site) time.Duration { return shortest(s) / 3 }
+func thirdOfDeadline(s core.Site) time.Duration { return shortestDeadline(s) / 3 }
 
-// In a crowd that no server can carry each request gets one answer by its due time, and no write runs twice.
-func TestEveryDeploymentAnswersACrowdInTime(t *testing.T) {
-	onEach(t, third, func(t *testing.T, c *callers) {
-		c.crowd(399)
+// Under an overload that no server can carry, each request gets one answer by its due time, and no write runs twice.
+func TestEveryDeploymentAnswersInTimeUnderOverload(t *testing.T) {
+	onEach(t, thirdOfDeadline, func(t *testing.T, c *clients) {
+		c.overload(399)
 		time.Sleep(time.Minute + time.Second)
 		c.check(t)
-		c.once(t)
+		c.checkRunOnce(t)
 	})
 }
 
-// The worker pool starts anew, twice, in the middle of a crowd: one answer in time all the same, and no write runs twice.
-func TestEveryDeploymentOutlivesItsPool(t *testing.T) {
-	onEach(t, third, func(t *testing.T, c *callers) {
+// The worker pool is restarted several times during an overload: each request still gets one answer in time, and no
+// write runs twice.
+func TestEveryDeploymentSurvivesPoolRestarts(t *testing.T) {
+	onEach(t, thirdOfDeadline, func(t *testing.T, c *clients) {
 		for range 3 {
-			c.crowd(60)
-			time.Sleep(1100 * ms) // a start so soon after another is taken for the same
-			c.w.Send(core.PoolLost{}, core.PoolBound{Cold: true, Age: ms})
+			c.overload(60)
+			time.Sleep(1100 * ms) // a start sooner after another is taken for the same pool
+			c.world.Send(core.PoolLost{}, core.PoolBound{Cold: true, Age: ms})
 		}
 		time.Sleep(time.Minute + time.Second)
 		c.check(t)
-		c.once(t)
+		c.checkRunOnce(t)
 	})
 }
 
-// A call below that never ends, or ends only after its request is due, costs no request its answer in time.
-func TestEveryDeploymentOutlivesItsCalls(t *testing.T) {
-	onEach(t, func(core.Site) time.Duration { return 0 }, func(t *testing.T, c *callers) {
-		for i, k := range c.site.Control.Classes {
-			if !k.Calls {
+// A downstream call that never ends, or ends only after its request is due, does not keep any request from its answer
+// in time.
+func TestEveryDeploymentSurvivesHangingCalls(t *testing.T) {
+	onEach(t, func(core.Site) time.Duration { return 0 }, func(t *testing.T, c *clients) {
+		for i, class := range c.site.Control.Classes {
+			if !class.Calls {
 				continue
 			}
 			for _, late := range []bool{false, true} {
-				h := c.ask(i, fmt.Sprint("k", late), fmt.Sprint("call ", late))
+				handle := c.ask(i, fmt.Sprint("k", late), fmt.Sprint("call ", late))
 				time.Sleep(10 * ms)
-				c.w.Send(blocked(h, "x"))
-				time.Sleep(k.Deadline + 10*ms)
+				c.world.Send(runBlocked(handle, "x"))
+				time.Sleep(class.Deadline + 10*ms)
 				if late {
-					c.w.Send(core.CallEnded{Handle: h, Outcome: control.OK, Body: []byte("reply")}, finished(h, control.OK, "late"))
+					c.world.Send(core.CallEnded{Handle: handle, Outcome: control.OK, Body: []byte("reply")},
+						runFinished(handle, control.OK, "late"))
 				} else {
-					c.w.Send(finished(h, control.Stopped, ""))
+					c.world.Send(runFinished(handle, control.Stopped, ""))
 				}
 				time.Sleep(time.Second)
-				if got := c.kind(h); got == int(core.Served) {
-					t.Errorf("%s: %d", c.site.Classes[i], got)
+				if kind := c.kind(handle); kind == int(core.Served) {
+					t.Errorf("%s: answer %d", c.site.Classes[i], kind)
 				}
 			}
 		}
@@ -330,38 +335,39 @@
 	})
 }
 
-// A shared store that tells nothing, or tells only after a request is due that its key is won, costs no request its
-// answer in time, and what it tells then runs nothing.
-func TestEveryDeploymentOutlivesItsStore(t *testing.T) {
-	onEachWith(t, true, quick, func(t *testing.T, c *callers) {
-		for i, k := range c.site.Control.Classes {
-			if k.Effect != control.Keyed {
+// A shared store that never answers, or reports a claim as won only after the request is due, does not keep any
+// request from its answer in time, and its late answer runs nothing.
+func TestEveryDeploymentSurvivesSilentStore(t *testing.T) {
+	onEachWith(t, true, shortRun, func(t *testing.T, c *clients) {
+		for i, class := range c.site.Control.Classes {
+			if class.Effect != control.Keyed {
 				continue
 			}
 			first := c.ask(i, "k", c.site.Classes[i])
-			time.Sleep(k.Deadline / 2)
+			time.Sleep(class.Deadline / 2)
 			second := c.ask(i, "k", c.site.Classes[i])
-			time.Sleep(k.Deadline/2 + ms)
-			c.w.Send(core.Claimed{Key: core.Key{Class: i, Token: "k"}, State: core.ClaimWon})
-			time.Sleep(k.Deadline)
-			if a, b := c.kind(first), c.kind(second); a == int(core.Served) || a == -1 || b == -1 {
-				t.Errorf("%s: %d, %d", c.site.Classes[i], a, b)
+			time.Sleep(class.Deadline/2 + ms)
+			c.world.Send(core.Claimed{Key: core.Key{Class: i, Token: "k"}, State: core.ClaimWon})
+			time.Sleep(class.Deadline)
+			if firstKind, secondKind := c.kind(first), c.kind(second); firstKind == int(core.Served) ||
+				firstKind == -1 || secondKind == -1 {
+				t.Errorf("%s: answers %d and %d", c.site.Classes[i], firstKind, secondKind)
 			}
-			if n := c.w.Runs()[c.site.Classes[i]]; n > 1 {
-				t.Errorf("%s ran %d times", c.site.Classes[i], n)
+			if runs := c.world.Runs()[c.site.Classes[i]]; runs > 1 {
+				t.Errorf("%s ran %d times", c.site.Classes[i], runs)
 			}
 		}
 		c.check(t)
 	})
 }
 
-// A notice to leave in the middle of a stream: connections are told before the end, what comes after the grace is not
-// run, each request that came before the loop's end has its answer by then and by its due time, and that end is before
-// the kill.
+// A drain notice during a stream of requests: connections are asked to drain before the end, requests after the grace
+// period are not run, each request that arrived before the loop's end has its answer by then and by its due time, and
+// the loop ends before the kill.
 func TestEveryDeploymentDrainsInTime(t *testing.T) {
-	long := func(s core.Site) time.Duration { return shortest(s) * 2 / 3 }
-	notice := func(c *callers) (time.Duration, core.Event) { return c.site.Stop, core.Drain{} }
-	restart := func(c *callers) (time.Duration, core.Event) {
+	longRun := func(s core.Site) time.Duration { return shortestDeadline(s) * 2 / 3 }
+	notice := func(c *clients) (time.Duration, core.Event) { return c.site.Stop, core.Drain{} }
+	handOff := func(c *clients) (time.Duration, core.Event) {
 		var deadlines []time.Duration
 		for _, k := range c.site.Control.Classes {
 			deadlines = append(deadlines, k.Deadline)
@@ -369,26 +375,27 @@
 		kill := handoff.Kill(deadlines)
 		return min(kill, c.site.Stop), core.Handoff{Kill: kill}
 	}
-	t.Run("quick runs", func(t *testing.T) { onEach(t, quick, leaves(notice)) })
-	t.Run("long runs", func(t *testing.T) { onEach(t, long, leaves(notice)) })
-	t.Run("quick runs, a handoff", func(t *testing.T) { onEach(t, quick, leaves(restart)) })
-	t.Run("long runs, a handoff", func(t *testing.T) { onEach(t, long, leaves(restart)) })
+	t.Run("quick runs", func(t *testing.T) { onEach(t, shortRun, drainBy(notice)) })
+	t.Run("long runs", func(t *testing.T) { onEach(t, longRun, drainBy(notice)) })
+	t.Run("quick runs, a handoff", func(t *testing.T) { onEach(t, shortRun, drainBy(handOff)) })
+	t.Run("long runs, a handoff", func(t *testing.T) { onEach(t, longRun, drainBy(handOff)) })
 }
 
-// leaves has a core told to leave by an event in the middle of a stream, and killed so long after it.
-func leaves(by func(c *callers) (kill time.Duration, e core.Event)) func(t *testing.T, c *callers) {
-	return func(t *testing.T, c *callers) {
-		kill, e := by(c)
-		c.leave(t, kill, e)
+// drainBy returns a test that sends the given event to the core during a stream of requests, and expects the loop to
+// end before the kill.
+func drainBy(by func(c *clients) (kill time.Duration, event core.Event)) func(t *testing.T, c *clients) {
+	return func(t *testing.T, c *clients) {
+		kill, event := by(c)
+		c.drainDuringStream(t, kill, event)
 	}
 }
 
-func (c *callers) leave(t *testing.T, kill time.Duration, e core.Event) {
-	step := max(ms, quick(c.site)/8)
+func (c *clients) drainDuringStream(t *testing.T, kill time.Duration, event core.Event) {
+	step := max(ms, shortRun(c.site)/8)
 	send := func(until time.Time) {
 		for i := 0; time.Now().Before(until); i++ {
 			select {
-			case <-c.w.Done:
+			case <-c.world.Done:
 				return
 			default:
 			}
@@ -398,25 +405,26 @@
 	}
 	send(time.Now().Add(10 * step))
 	notice := time.Now()
-	c.w.Send(e)
+	c.world.Send(event)
 	send(notice.Add(kill + time.Second))
-	<-c.w.Done
+	<-c.world.Done
 	ended := time.Now()
-	if d := ended.Sub(notice); d > kill {
-		t.Errorf("it ended %v after the notice, %v before the kill", d, kill-d)
+	if elapsed := ended.Sub(notice); elapsed > kill {
+		t.Errorf("the loop ended %v after the notice, %v before the kill", elapsed, kill-elapsed)
 	}
-	if len(c.left) == 0 || c.left[0].After(notice.Add(min(c.site.Control.DrainGrace, kill))) || c.left[0].After(ended) {
-		t.Errorf("told %v, notice %v, end %v", c.left, notice, ended)
+	if len(c.drains) == 0 || c.drains[0].After(notice.Add(min(c.site.Control.DrainGrace, kill))) ||
+		c.drains[0].After(ended) {
+		t.Errorf("asked to drain at %v, notice %v, end %v", c.drains, notice, ended)
 	}
-	delete(c.due, fmt.Sprintf("h%d", c.sent)) // it may have crossed the end
+	delete(c.due, fmt.Sprintf("h%d", c.sent)) // it may have crossed the end of the loop
 	c.check(t)
-	ran := c.w.Runs()
+	ran := c.world.Runs()
 	for body := range ran {
-		var n int
-		fmt.Sscanf(body, "body %d", &n)
-		sent := c.due[fmt.Sprintf("h%d", n+1)].Add(-c.site.Control.Classes[n%len(c.site.Classes)].Deadline)
+		var index int
+		fmt.Sscanf(body, "body %d", &index)
+		sent := c.due[fmt.Sprintf("h%d", index+1)].Add(-c.site.Control.Classes[index%len(c.site.Classes)].Deadline)
 		if sent.After(notice.Add(c.site.Control.DrainGrace)) {
-			t.Errorf("%q came %v after the notice and ran", body, sent.Sub(notice))
+			t.Errorf("%q was sent %v after the notice and ran", body, sent.Sub(notice))
 		}
 	}
 }
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -17,25 +17,26 @@
 
 const window = 20 * time.Second // of the keyed class of scenario.Site
 
-// written is a request whose t0 is past by unread when it is sent; below 0 it is to come.
-func written(a core.Arrive, unread time.Duration) core.Arrive {
-	a.Req.Arrived = time.Now().Add(-unread)
-	return a
+// whyReadLate returns a request whose t0 is unread in the past when it is sent; a negative unread means the future.
+func readLate(request core.Arrive, unread time.Duration) core.Arrive {
+	request.Req.Arrived = time.Now().Add(-unread)
+	return request
 }
 
-// ranOnce has a keyed request run that was read so long after its t0, and gives how far t0 is past at its end.
-func ranOnce(w *scenario.World, unread time.Duration) time.Duration {
-	on(w, "run a book body", written(w.Ask("a", "book", "k"), unread))
-	on(w, "served a x", finished("a", control.OK, "x"))
+// runOnce runs a keyed request that is read the given time after its t0, and returns how far t0 is in the past at its
+// end.
+func runOnce(w *scenario.World, unread time.Duration) time.Duration {
+	expectAfter(w, "run a book body", readLate(w.Ask("a", "book", "k"), unread))
+	expectAfter(w, "served a x", runFinished("a", control.OK, "x"))
 	return unread + 2*ms
 }
 
-// A repeat that is written within the window of the try that ran is not run, whenever it is read: it gets the result, or
-// is refused where that may be forgotten. One written after the window and read in time runs.
-func TestRepeatsAtTheWindowsEnd(t *testing.T) {
-	for name, x := range map[string]struct {
+// A repeat that is written within the window of the try that ran is not run, whenever it is read: it gets the result,
+// or is refused if the result may be forgotten. A repeat written after the window and read in time runs.
+func TestRepeatsAtWindowEnd(t *testing.T) {
+	for name, c := range map[string]struct {
 		first   time.Duration // how late the first try is read
-		written time.Duration // after the window's end, below 0 = within
+		written time.Duration // after the end of the window; negative = within it
 		unread  time.Duration
 		want    string
 	}{
@@ -48,63 +49,64 @@
 		"written after, read in time":              {0, 2050 * ms, 0, "run b book body"},
 		"the first read late, in time":             {1500 * ms, -ms, 1990 * ms, "served b x"},
 		"the first read late, after the margin":    {1500 * ms, -ms, 2010 * ms, "refused b"},
-		"t0 to come, in time":                      {-1900 * ms, -ms, 0, "served b x"},
-		"t0 to come, read within the margin":       {-1900 * ms, -ms, 1990 * ms, "served b x"},
-		"t0 to come, read after the margin":        {-1900 * ms, -ms, 2010 * ms, "refused b"},
+		"t0 in the future, in time":                {-1900 * ms, -ms, 0, "served b x"},
+		"t0 in the future, read within the margin": {-1900 * ms, -ms, 1990 * ms, "served b x"},
+		"t0 in the future, read after the margin":  {-1900 * ms, -ms, 2010 * ms, "refused b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, false, func(w *scenario.World) {
-				past := ranOnce(w, x.first)
-				w.Expect(window + x.written + x.unread - past)
-				on(w, x.want, written(w.Ask("b", "book", "k"), x.unread))
+				sinceT0 := runOnce(w, c.first)
+				w.Expect(window + c.written + c.unread - sinceT0)
+				expectAfter(w, c.want, readLate(w.Ask("b", "book", "k"), c.unread))
 			})
 		})
 	}
 }
 
-// A try that was read too late joins only what ran: the try that it waits for may come to nothing, and then it would run.
-func TestALateTryJoinsOnlyWhatRan(t *testing.T) {
+// A try that was read too late joins only a try that ran: if it waited for one that never runs, it would run in its
+// place.
+func TestLateTryJoinsOnlyTryThatRan(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		on(w, "run a book body; run x quote body", w.Ask("a", "book", "k"), w.Ask("x", "quote", ""))
-		on(w, "", w.Ask("held", "book", "held"))
-		on(w, "refused b", written(w.Ask("b", "book", "held"), 2010*ms))
-		on(w, "", written(w.Ask("c", "book", "k"), 2010*ms))
-		on(w, "", written(w.Ask("d", "book", "held"), 1990*ms))
-		on(w, "", core.Withdraw{Session: w.Session("c"), Handle: "held"})
-		on(w, "served a x; served c x; run d book body", finished("a", control.OK, "x"))
+		expectAfter(w, "run a book body; run x quote body", w.Ask("a", "book", "k"), w.Ask("x", "quote", ""))
+		expectAfter(w, "", w.Ask("held", "book", "held"))
+		expectAfter(w, "refused b", readLate(w.Ask("b", "book", "held"), 2010*ms))
+		expectAfter(w, "", readLate(w.Ask("c", "book", "k"), 2010*ms))
+		expectAfter(w, "", readLate(w.Ask("d", "book", "held"), 1990*ms))
+		expectAfter(w, "", core.Withdraw{Session: w.Session("c"), Handle: "held"})
+		expectAfter(w, "served a x; served c x; run d book body", runFinished("a", control.OK, "x"))
 	})
 }
 
-// A try that waited here for longer than the margin, for one that never ran, takes its place.
-func TestATryThatWaitedIsNotReadLate(t *testing.T) {
+// A try that has waited here for longer than the margin, for one that never ran, takes its place.
+func TestWaitingTryIsNotReadLate(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		on(w, "run a book body", w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
+		expectAfter(w, "run a book body", w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
 		w.Expect(2100 * ms)
-		on(w, "invalid a; run b book body", core.PoolUnknown{Command: "spawn", Handle: "a"})
+		expectAfter(w, "invalid a; run b book body", core.PoolUnknown{Command: "spawn", Handle: "a"})
 	})
 }
 
-// A window shorter than a run: repeats join the run for as long as it goes on, and it runs once. Its end is given to the
-// store with life left, for who waits there.
-func TestAWindowShorterThanTheRun(t *testing.T) {
+// With a window shorter than a run, repeats join the run while it continues, and it runs once. Its result is given to
+// the store with time left for those that wait there.
+func TestWindowShorterThanRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
 		site.Control.Classes[1].Window = 100 * ms
 		w := scenario.NewWorld(t, site, true)
 		w.Expect(ms)
-		on(w, "claim k; run a book body", w.Ask("a", "book", "k"), won())
-		w.Expect(2500 * ms) // past window and margin
-		on(w, "", w.Ask("b", "book", "k"), written(w.Ask("c", "book", "k"), 2450*ms))
-		on(w, "finish k true x; served a x; served b x; served c x", finished("a", control.OK, "x"))
+		expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), claimWon())
+		w.Expect(2500 * ms) // past the window and its margin
+		expectAfter(w, "", w.Ask("b", "book", "k"), readLate(w.Ask("c", "book", "k"), 2450*ms))
+		expectAfter(w, "finish k true x; served a x; served b x; served c x", runFinished("a", control.OK, "x"))
 		if life := w.Life("k"); life < 2*time.Second {
-			t.Errorf("its end is kept for %v in the store", life)
+			t.Errorf("the store keeps its result for %v", life)
 		}
-		on(w, "served d x", w.Ask("d", "book", "k"))
+		expectAfter(w, "served d x", w.Ask("d", "book", "k"))
 	})
 }
 
-// late plays f with a shared store, on a server whose keyed class has nearly its deadline for its aim.
-func late(t *testing.T, f func(w *scenario.World)) {
+// playLateAim runs f with a shared store, on a server whose keyed class has an aim close to its deadline.
+func playLateAim(t *testing.T, f func(w *scenario.World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
@@ -115,87 +117,90 @@
 	})
 }
 
-// A try that waits for another server's claim does not run once that may have expired, however long its caller waits: the
-// claim of a server that was killed is then won by who asks, though its run may have had its effect.
-func TestATryDoesNotOutwaitAClaim(t *testing.T) {
-	late(t, func(w *scenario.World) {
-		other := core.Claimed{Key: fleetKey, State: core.ClaimOther}
-		a := written(w.Ask("a", "book", "k"), time.Second) // the try that ran elsewhere is one window and 1 s older than now
+// A try that waits for another server's claim does not run once that claim may have expired, however long its caller
+// waits: the claim of a server that was killed goes to the next that asks, although its run may have had its effect.
+func TestTryDoesNotOutliveAnotherClaim(t *testing.T) {
+	playLateAim(t, func(w *scenario.World) {
+		heldElsewhere := core.Claimed{Key: fleetKey, State: core.ClaimOther}
+		// The try that ran elsewhere is one window and 1 s older than now.
+		a := readLate(w.Ask("a", "book", "k"), time.Second)
 		a.Req.Budget = time.Minute
-		on(w, "claim k", a)
+		expectAfter(w, "claim k", a)
 		for range 68 {
-			w.Send(other)
+			w.Send(heldElsewhere)
 			w.Expect(101*ms, "claim k")
 		}
-		w.Send(other)
+		w.Send(heldElsewhere)
 		w.Expect(200*ms, "claim k")
-		on(w, "refused a; release k", won()) // 8 s from its t0: the claim may have expired just now
+		expectAfter(w, "refused a; release k", claimWon()) // 8 s from its t0: the claim may just have expired
 	})
 }
 
-// A claim that is won long after the store was last heard of, or after the try's t0, may be that of a run whose end the
-// store has forgotten meanwhile: this server stood still. The try is refused and the claim given up; the next one runs.
-func TestAClaimThatIsWonLate(t *testing.T) {
-	for name, x := range map[string]struct {
-		unread, wait time.Duration // until the store's first word
-		others       int           // words that another has it, each 100 ms
-		stood        time.Duration // before the last word
+// A claim that is won long after the store's last answer, or after the try's t0, may be that of a run whose result
+// the store has forgotten meanwhile, because this server was suspended. The try is refused and the claim given up;
+// the next try runs.
+func TestClaimWonLate(t *testing.T) {
+	for name, c := range map[string]struct {
+		unread, wait time.Duration // wait is the time until the store's first answer
+		others       int           // answers that another server has the key, one each 100 ms
+		suspended    time.Duration // how long the server is suspended before the last answer
 		want         string
 	}{
-		"at once":                        {0, 0, 0, 0, "run a book body"},
-		"in time":                        {1500 * ms, 400 * ms, 0, 0, "run a book body"},
-		"late":                           {1500 * ms, 600 * ms, 0, 0, "release k; refused a"},
-		"after another had it":           {0, 100 * ms, 30, 0, "run a book body"},
-		"after it stood still":           {0, 100 * ms, 30, 2100 * ms, "release k; refused a"},
-		"after it stood still for less":  {0, 100 * ms, 30, 1800 * ms, "run a book body"},
-		"its first word, after standing": {0, 2100 * ms, 0, 0, "release k; refused a"},
+		"at once":                          {0, 0, 0, 0, "run a book body"},
+		"in time":                          {1500 * ms, 400 * ms, 0, 0, "run a book body"},
+		"late":                             {1500 * ms, 600 * ms, 0, 0, "release k; refused a"},
+		"after another server had it":      {0, 100 * ms, 30, 0, "run a book body"},
+		"after a suspension":               {0, 100 * ms, 30, 2100 * ms, "release k; refused a"},
+		"after a shorter suspension":       {0, 100 * ms, 30, 1800 * ms, "run a book body"},
+		"first answer, after a suspension": {0, 2100 * ms, 0, 0, "release k; refused a"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			late(t, func(w *scenario.World) {
-				a := written(w.Ask("a", "book", "k"), x.unread)
+			playLateAim(t, func(w *scenario.World) {
+				a := readLate(w.Ask("a", "book", "k"), c.unread)
 				a.Req.Budget = time.Minute
-				on(w, "claim k", a)
-				w.Expect(x.wait)
-				for range x.others {
+				expectAfter(w, "claim k", a)
+				w.Expect(c.wait)
+				for range c.others {
 					w.Send(core.Claimed{Key: fleetKey, State: core.ClaimOther})
 					w.Expect(101*ms, "claim k")
 				}
-				w.Expect(x.stood)
-				on(w, x.want, won())
-				if strings.HasPrefix(x.want, "release") {
-					on(w, "claim k; run b book body", w.Ask("b", "book", "k"), won())
+				w.Expect(c.suspended)
+				expectAfter(w, c.want, claimWon())
+				if strings.HasPrefix(c.want, "release") {
+					expectAfter(w, "claim k; run b book body", w.Ask("b", "book", "k"), claimWon())
 				}
 			})
 		})
 	}
 }
 
-// On a real connection: a repeat that its caller wrote within the window, and that is read once the key is forgotten, is
-// refused as never run, and does not run.
-func TestARepeatThatIsReadLate(t *testing.T) {
+// On a real connection: a repeat that its caller wrote within the window, and that is read after the key is
+// forgotten, is refused as never run, and does not run.
+func TestRepeatReadLate(t *testing.T) {
 	site := scenario.Site()
 	site.Control.Classes[1].Window = 100 * ms
 	w := scenario.NewWorld(t, site, false)
 	w.Serve(ms)
-	l, err := sock.Listen("127.0.0.1:0")
+	listener, err := sock.Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := sock.NewServer(l, 8, &sock.Budget{Peer: 1 << 18, All: 1 << 20}, jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler)).Handle)
-	go s.Serve()
-	defer s.Stop(time.Second)
-	p := scenario.Dial(t, l.Addr().String())
-	t0 := time.Now().Add(-1900 * ms) // it is read 0.2 s before its key is forgotten
+	server := sock.NewServer(listener, 8, &sock.Budget{Peer: 1 << 18, All: 1 << 20},
+		jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler)).Handle)
+	go server.Serve()
+	defer server.Stop(time.Second)
+	peer := scenario.Dial(t, listener.Addr().String())
+	t0 := time.Now().Add(-1900 * ms) // the first try is read 0.2 s before its key is forgotten
 	ask := func(id int, t0 time.Time) {
-		p.Send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"book","params":{"rid":"%016x","t0":%d,"peer":1,"acct":"north","budget":8000,`+
+		peer.Send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":"book","params":{"rid":"%016x","t0":%d,"peer":1,"acct":"north","budget":8000,`+
 			`"mem":24.5,"prio":0.9,"token":"k","bytes":"Ym9keQ=="}}`+"\n", id, id, t0.UnixMilli()))
 	}
 	ask(1, t0)
-	p.Expect(`"id":1,"result"`)
+	peer.Expect(`"id":1,"result"`)
 	time.Sleep(time.Until(t0.Add(2200 * ms)))
 	ask(2, t0.Add(50*ms))
-	p.Expect(`"id":2,"error":{"code":-32001`)
-	if n := w.Runs()["body"]; n != 1 {
-		t.Errorf("it ran %d times", n)
+	peer.Expect(`"id":2,"error":{"code":-32001`)
+	if runs := w.Runs()["body"]; runs != 1 {
+		t.Errorf("the request ran %d times, want 1", runs)
 	}
 }
