--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Only a file that another living process holds is a handoff, whatever its record says.
+// Only a file that another running process holds is a handoff, whatever its record contains.
 func TestSuccessor(t *testing.T) {
 	for _, c := range []struct {
 		found Found
 		pid   int
 		ok    bool
 	}{
-		{Found{Other, []byte("9\n")}, 9, true},   // a newer process lives
-		{Found{Other, []byte(" 9 \n")}, 9, true}, // spaces around it
+		{Found{Other, []byte("9\n")}, 9, true},   // a newer process is running
+		{Found{Other, []byte(" 9 \n")}, 9, true}, // surrounding spaces
 		{Found{Other, Record(9)}, 9, true},
-		{Found{Other, nil}, 0, true},            // its record is spoilt, its lock is not
-		{Found{Other, []byte("x9\n")}, 0, true}, // no process id
-		{Found{Other, []byte("-9\n")}, 0, true}, // no process id
+		{Found{Other, nil}, 0, true},            // its record is corrupt, its lock is valid
+		{Found{Other, []byte("x9\n")}, 0, true}, // not a process id
+		{Found{Other, []byte("-9\n")}, 0, true}, // not a process id
 		{Found{Other, []byte("99999999999999999999")}, 0, true},
 		{Found{Self, []byte("9\n")}, 0, false},
-		{Found{Nobody, []byte("9\n")}, 0, false}, // the newer one is dead, though a process of that id may live
+		{Found{Nobody, []byte("9\n")}, 0, false}, // the newer process has ended, though its id may have been reused
 		{Found{Unknown, []byte("9\n")}, 0, false},
 		{Found{}, 0, false}, // no file
 	} {
@@ -55,26 +55,27 @@
 			t.Fatalf("%d %q: %d %v", holder, file, pid, ok)
 		}
 		if again, _ := (Found{Other, Record(pid)}).Successor(); again != pid {
-			t.Fatalf("%q: %d, recorded anew %d", file, pid, again)
+			t.Fatalf("%q: process id %d, after Record %d", file, pid, again)
 		}
 	})
 }
 
-// The kill is planned for as early as the platform allows it, whatever longer time the settings tell.
-func TestTheEarliestKill(t *testing.T) {
+// The kill is assumed as early as the platform allows it, even if the settings state a longer time.
+func TestEarliest(t *testing.T) {
 	for _, c := range []struct {
-		told      time.Duration
-		deadlines []time.Duration
-		want      time.Duration
+		configured time.Duration
+		deadlines  []time.Duration
+		want       time.Duration
 	}{
 		{4200 * time.Millisecond, []time.Duration{8700 * time.Millisecond, 12 * time.Second}, 3700 * time.Millisecond},
-		{4200 * time.Millisecond, []time.Duration{300 * time.Millisecond, 500 * time.Millisecond}, 1200 * time.Millisecond},
+		{4200 * time.Millisecond, []time.Duration{300 * time.Millisecond, 500 * time.Millisecond},
+			1200 * time.Millisecond},
 		{900 * time.Millisecond, []time.Duration{500 * time.Millisecond}, 900 * time.Millisecond},
 		{4200 * time.Millisecond, []time.Duration{300 * time.Millisecond, 0}, 3700 * time.Millisecond},
 		{4200 * time.Millisecond, nil, 3700 * time.Millisecond},
 	} {
-		if got := Earliest(c.told, c.deadlines); got != c.want {
-			t.Errorf("told %v, deadlines %v: %v, want %v", c.told, c.deadlines, got, c.want)
+		if got := Earliest(c.configured, c.deadlines); got != c.want {
+			t.Errorf("configured %v, deadlines %v: %v, want %v", c.configured, c.deadlines, got, c.want)
 		}
 	}
 }
--- a/internal/handoff/start.go
+++ b/internal/handoff/start.go
@@ -8,86 +8,90 @@
 	"syscall"
 )
 
-// maxRecord bounds what is read of a start file, in bytes.
-const maxRecord = 64
+// maxRecordBytes bounds how much of a start file is read.
+const maxRecordBytes = 64
 
-// StartFile is this process's own start file. Its flock ends with the process, however that ends, or with Close.
+// StartFile is this process's own start file. Its flock is released by Close or when the process ends, in whatever
+// way.
 type StartFile struct {
 	file *os.File
 	path string
 }
 
-// Claim makes this process the newest start at path. The file takes its name whole and locked: whoever looks there
-// sees the one before or this one. A process that cannot claim it has no start file (nil), and its SIGTERM is
-// always the notice to leave.
+// Claim makes this process the newest start at path. The file is renamed into place complete and locked, so an
+// observer sees either the previous file or this one. A process that cannot claim the file has a nil StartFile, and
+// its SIGTERM is always a notice to shut down.
 func Claim(path string) (*StartFile, error) {
-	next := fmt.Sprintf("%s.%d", path, os.Getpid())
-	if err := os.Remove(next); err != nil && !errors.Is(err, os.ErrNotExist) { // of an earlier process of that id
+	temporary := fmt.Sprintf("%s.%d", path, os.Getpid())
+	// Remove what an earlier process with the same id may have left.
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	file, err := os.OpenFile(next, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
 	if err = lock(file, syscall.LOCK_EX|syscall.LOCK_NB); err == nil {
 		if _, err = file.Write(Record(os.Getpid())); err == nil {
-			err = os.Rename(next, path)
+			err = os.Rename(temporary, path)
 		}
 	}
 	if err != nil {
 		file.Close()
-		os.Remove(next)
+		os.Remove(temporary)
 		return nil, err
 	}
 	return &StartFile{file, path}, nil
 }
 
-// Close gives the lock up.
+// Close releases the lock.
 func (s *StartFile) Close() {
 	if s != nil {
 		s.file.Close()
 	}
 }
 
-// Look tells who holds the start file that is there now. err is what a holder of Unknown or Nobody is worth to a log;
-// nil where this process has no start file. It waits for nobody.
+// Look returns the holder of the start file that exists now, without blocking. The error explains a holder of Unknown
+// or Nobody for the log; it is nil if this process has no start file.
 func (s *StartFile) Look() (Found, error) {
 	if s == nil {
 		return Found{}, nil
 	}
-	file, err := os.OpenFile(s.path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // a FIFO in its place is not waited for
+	file, err := os.OpenFile(s.path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // does not block on a FIFO
 	if err != nil {
 		return Found{}, err
 	}
 	defer file.Close()
-	mine, err := s.file.Stat()
+	own, err := s.file.Stat()
 	if err != nil {
 		return Found{}, err
 	}
-	there, err := file.Stat()
+	found, err := file.Stat()
 	if err != nil {
 		return Found{}, err
 	}
-	if os.SameFile(mine, there) {
+	if os.SameFile(own, found) {
 		return Found{Holder: Self}, nil
 	}
-	if !there.Mode().IsRegular() {
-		return Found{}, fmt.Errorf("%s is no regular file", s.path)
+	if !found.Mode().IsRegular() {
+		return Found{}, fmt.Errorf("%s is not a regular file", s.path)
 	}
-	record, err := io.ReadAll(io.LimitReader(file, maxRecord))
+	record, err := io.ReadAll(io.LimitReader(file, maxRecordBytes))
 	if err != nil {
 		return Found{}, err
 	}
-	// Shared: two processes that leave at once do not take each other's look for a holder.
+	// The lock is shared, so that two processes that shut down at once do not take each other's check for a holder.
 	switch err := lock(file, syscall.LOCK_SH|syscall.LOCK_NB); {
 	case errors.Is(err, syscall.EWOULDBLOCK):
 		return Found{Holder: Other, Record: record}, nil
 	case err != nil:
 		return Found{}, err
 	}
-	return Found{Holder: Nobody, Record: record}, fmt.Errorf("process %d, which wrote %s, has ended", recorded(record), s.path)
+	return Found{Holder: Nobody, Record: record}, fmt.Errorf("process %d, which wrote %s, has ended", parsePID(record),
+		s.path)
 }
 
+// lock applies flock to a file and retries it when interrupted.
 func lock(file *os.File, how int) error {
 	for {
 		if err := syscall.Flock(int(file.Fd()), how); !errors.Is(err, syscall.EINTR) {
--- a/internal/handoff/start_test.go
+++ b/internal/handoff/start_test.go
@@ -11,99 +11,101 @@
 	"testing"
 )
 
-// claimant is the environment variable that has this test's binary claim a start file as a process of its own.
-const claimant = "LARCHSCALE_CLAIMS"
+// claimPathVar is the environment variable that makes this test binary claim a start file as a separate process.
+const claimPathVar = "LARCHSCALE_CLAIMS"
 
 func TestMain(m *testing.M) {
-	if path := os.Getenv(claimant); path != "" {
+	if path := os.Getenv(claimPathVar); path != "" {
 		if _, err := Claim(path); err != nil {
 			os.Exit(1)
 		}
 		os.Stdout.WriteString("claimed\n")
-		bufio.NewReader(os.Stdin).ReadByte() // until it is killed, or its parent ends
+		bufio.NewReader(os.Stdin).ReadByte() // until the process is killed, or its parent ends
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// start runs a process that holds the start file, until the test ends or kill is called.
+// start runs a process that holds the start file until the test ends or kill is called.
 func start(t *testing.T, path string) (pid int, kill func()) {
 	t.Helper()
-	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), claimant+"="+path)
-	in, err := c.StdinPipe()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), claimPathVar+"="+path)
+	in, err := cmd.StdinPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	out, err := c.StdoutPipe()
+	out, err := cmd.StdoutPipe()
 	if err == nil {
-		err = c.Start()
+		err = cmd.Start()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	over := false
+	ended := false
 	kill = func() {
-		if !over {
-			over = true
-			c.Process.Kill()
-			c.Wait()
+		if !ended {
+			ended = true
+			cmd.Process.Kill()
+			cmd.Wait()
 			in.Close()
 		}
 	}
 	t.Cleanup(kill)
 	if line, _ := bufio.NewReader(out).ReadString('\n'); line != "claimed\n" {
-		t.Fatalf("the process said %q", line)
+		t.Fatalf("unexpected output of the process: %q", line)
 	}
-	return c.Process.Pid, kill
+	return cmd.Process.Pid, kill
 }
 
-// The newest start is known by its lock: living while its process lives, and dead from then on, though a process of
-// the id in the file may live.
-func TestTheLockTellsWhoLives(t *testing.T) {
+// The holder of the newest start is determined by its lock: it counts as running while its process runs and as ended
+// from then on, even if the process id in the file is in use by another process.
+func TestLockDeterminesHolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName("n"))
 	own, err := Claim(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer own.Close()
-	look := func(when string, want Holder, pid int, logged string) {
+	look := func(when string, want Holder, pid int, wantErr string) {
 		t.Helper()
 		found, err := own.Look()
 		to, _ := found.Successor()
-		if found.Holder != want || to != pid || (err != nil) != (logged != "") || err != nil && !strings.Contains(err.Error(), logged) {
-			t.Errorf("%s: holder %d, to %d, %v; want %d, %d, %q", when, found.Holder, to, err, want, pid, logged)
+		if found.Holder != want || to != pid || (err != nil) != (wantErr != "") || err != nil &&
+			!strings.Contains(err.Error(), wantErr) {
+			t.Errorf("%s: holder %d, successor %d, error %v; want %d, %d, %q", when, found.Holder, to, err, want, pid,
+				wantErr)
 		}
 	}
-	look("alone", Self, 0, "")
+	look("no other process", Self, 0, "")
 	pid, kill := start(t, path)
 	look("after a newer start", Other, pid, "")
 	third, killThird := start(t, path)
-	look("after two", Other, third, "")
+	look("after two newer starts", Other, third, "")
 	killThird()
-	look("the newest has died", Nobody, 0, strconv.Itoa(third))
+	look("after the newest has ended", Nobody, 0, strconv.Itoa(third))
 	kill()
 
-	// The id of the one that died goes to another program: this test's own parent lives, and so does init.
+	// The process id of the ended process is reused: this test's own parent is running, and so is init.
 	for _, pid := range []int{os.Getppid(), 1} {
 		if err := os.WriteFile(path, Record(pid), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		look("a stale file that names a living process", Nobody, 0, strconv.Itoa(pid))
-	}
-	for name, spoil := range map[string]func() error{
-		"empty":       func() error { return os.WriteFile(path, nil, 0o600) },
-		"no id":       func() error { return os.WriteFile(path, []byte("spoilt\n"), 0o600) },
-		"large":       func() error { return os.WriteFile(path, make([]byte, 1<<20), 0o600) },
-		"missing":     func() error { return nil },
-		"a directory": func() error { return os.Mkdir(path, 0o700) },
-		"a FIFO":      func() error { return syscall.Mkfifo(path, 0o600) },
-		"a dead link": func() error { return os.Symlink(path+".none", path) },
+		look("a stale file with the id of a running process", Nobody, 0, strconv.Itoa(pid))
+	}
+	for name, corrupt := range map[string]func() error{
+		"empty":           func() error { return os.WriteFile(path, nil, 0o600) },
+		"no process id":   func() error { return os.WriteFile(path, []byte("corrupt\n"), 0o600) },
+		"large":           func() error { return os.WriteFile(path, make([]byte, 1<<20), 0o600) },
+		"missing":         func() error { return nil },
+		"a directory":     func() error { return os.Mkdir(path, 0o700) },
+		"a FIFO":          func() error { return syscall.Mkfifo(path, 0o600) },
+		"a dangling link": func() error { return os.Symlink(path+".none", path) },
 	} {
 		if err := os.RemoveAll(path); err != nil {
 			t.Fatal(err)
 		}
-		if err := spoil(); err != nil {
+		if err := corrupt(); err != nil {
 			t.Fatal(err)
 		}
 		if found, err := own.Look(); err == nil || found.Holder == Other || found.Holder == Self {
@@ -112,8 +114,8 @@
 	}
 }
 
-// Two processes that leave at once, after the newest has died, do not take each other for a successor.
-func TestALookIsNoHolder(t *testing.T) {
+// After the newest process has ended, two processes that shut down at once do not take each other for a successor.
+func TestLookIsNotAHolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName("n"))
 	own, err := Claim(path)
 	if err != nil {
@@ -126,7 +128,7 @@
 	if err := os.WriteFile(path, Record(1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	other, err := os.Open(path) // the other's look, held at its lock
+	other, err := os.Open(path) // the other process's check, while it holds its lock
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,8 +141,8 @@
 	}
 }
 
-// Without a start file of its own a process hands off to nobody: who holds the file may be an older one.
-func TestAProcessWithoutAStartFile(t *testing.T) {
+// A process without a start file of its own never hands off: the holder of the file may be older.
+func TestProcessWithoutStartFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), FileName("n"))
 	start(t, path)
 	if err := os.Mkdir(path+"."+strconv.Itoa(os.Getpid()), 0o700); err != nil {
@@ -151,7 +153,7 @@
 	}
 	own, err := Claim(path)
 	if err == nil || own != nil {
-		t.Fatalf("claimed: %v, %v", own, err)
+		t.Fatalf("Claim returned %v, %v; want an error", own, err)
 	}
 	if found, err := own.Look(); found.Holder != Unknown || err != nil {
 		t.Errorf("holder %d, %v", found.Holder, err)
