--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings turns the settings of an instance into the controller's configuration, for the
-// simulator's adapter and the real app server alike.
+// Package settings converts the settings of an instance to the controller's configuration, both for the simulator's
+// adapter and for the app server.
 package settings
 
 import (
@@ -13,125 +13,132 @@
 	"larchscale/internal/wire"
 )
 
-// What holds where the settings say nothing.
+// Defaults for settings that are missing.
 const (
-	// of a class, as control.Class has it: due times, claims in a shared store and a handoff's end are counted from it too
-	untoldDeadline = time.Minute
-	// between two decisions: without one an answer would be given at its due time, and so be late by what it takes
-	untoldQuantum = 5 * time.Millisecond
+	// Deadline of a class. Due times, claims in a shared store and the end of a handoff are also computed from it.
+	defaultDeadline = time.Minute
+	// Time between two decisions. If it were 0, an answer that is given at its due time would be late by the time
+	// that the decision takes.
+	defaultQuantum = 5 * time.Millisecond
 )
 
-func usf(n float64) time.Duration { return time.Duration(n * float64(time.Microsecond)) }
+// microseconds converts a number of microseconds to a duration.
+func microseconds(n float64) time.Duration { return time.Duration(n * float64(time.Microsecond)) }
 
-// Config is what s, with the seed of one start, tells a controller.
+// Config returns the controller configuration for the settings s and the random seed of one start.
 func Config(s *wire.Settings, seed uint64) control.Config {
-	f, l, q := &s.FamilyInfo, &s.Limits, &s.Safety
-	c := control.Config{
-		Seed: seed, Servers: s.Servers, Cores: f.Cpus, Callers: f.Upstreams,
-		Cold: f.JustStarted, ColdFrom: q.ColdFrom, ColdFor: usf(q.ColdUs),
-		Memory: f.MemoryKb, RunFactor: f.RunFactor, KeyMemory: f.KeyKb,
-		Crowd: q.FallMultiple, CrowdFor: usf(q.FallUs),
-		CallWindow: usf(f.DepWindowUs), CallLingers: usf(f.LingersUs), CallShare: f.CallsOut, CallsTier: f.Below == "tier",
-		DrainGrace: usf(q.DrainGraceUs), Slack: usf(q.AnswerSlackUs),
-		HeardFor: usf(f.HeardForUs), IdleMax: usf(f.KeepaliveMaxUs), Quantum: cmp.Or(usf(s.QuantumUs), untoldQuantum),
-		HearsGone: f.HangupSeen, DearChecks: f.FullChecks, OverWorth: s.OverShareWorth,
+	family, limits, safety := &s.FamilyInfo, &s.Limits, &s.Safety
+	config := control.Config{
+		Seed: seed, Servers: s.Servers, Cores: family.Cpus, Callers: family.Upstreams,
+		Cold: family.JustStarted, ColdFrom: safety.ColdFrom, ColdFor: microseconds(safety.ColdUs),
+		Memory: family.MemoryKb, RunFactor: family.RunFactor, KeyMemory: family.KeyKb,
+		Crowd: safety.FallMultiple, CrowdFor: microseconds(safety.FallUs),
+		CallWindow: microseconds(family.DepWindowUs), CallLingers: microseconds(family.LingersUs),
+		CallShare: family.CallsOut, CallsTier: family.Below == "tier",
+		DrainGrace: microseconds(safety.DrainGraceUs), Slack: microseconds(safety.AnswerSlackUs),
+		HeardFor: microseconds(family.HeardForUs), IdleMax: microseconds(family.KeepaliveMaxUs),
+		Quantum:   cmp.Or(microseconds(s.QuantumUs), defaultQuantum),
+		HearsGone: family.HangupSeen, DearChecks: family.FullChecks, OverWorth: s.OverShareWorth,
 	}
-	if l.RetryAfter {
-		c.MaxAdvice = usf(l.MaxRetryAfterUs)
+	if limits.RetryAfter {
+		config.MaxAdvice = microseconds(limits.MaxRetryAfterUs)
 	}
-	switch f.Advert {
+	switch family.Advert {
 	case "level":
-		c.Advert = control.AdvertLevel
+		config.Advert = control.AdvertLevel
 	case "credit":
-		c.Advert = control.AdvertCredit
+		config.Advert = control.AdvertCredit
 	case "weight":
-		c.Advert = control.AdvertWeight
+		config.Advert = control.AdvertWeight
 	}
-	switch f.Preemption {
+	switch family.Preemption {
 	case "drop":
-		c.Stopping = control.StopDrops
+		config.Stopping = control.StopDrops
 	case "pause":
-		c.Stopping = control.StopHolds
+		config.Stopping = control.StopHolds
 	}
-	for i, k := range s.RequestClasses {
-		class := control.Class{Aim: usf(k.AimUs), Deadline: cmp.Or(usf(k.GiveUpUs), untoldDeadline), Window: usf(k.MemorySpanUs),
-			Worth: k.Importance, LateWorth: k.LateWorth}
-		switch k.Effect {
+	for i, request := range s.RequestClasses {
+		class := control.Class{Aim: microseconds(request.AimUs),
+			Deadline: cmp.Or(microseconds(request.GiveUpUs),
+				defaultDeadline), Window: microseconds(request.MemorySpanUs),
+			Worth: request.Importance, LateWorth: request.LateWorth}
+		switch request.Effect {
 		case "by_key":
 			class.Effect = control.Keyed
 		case "once":
 			class.Effect = control.Unsafe
 		}
-		if i < len(f.ClassCalls) {
-			class.Calls = f.ClassCalls[i]
+		if i < len(family.ClassCalls) {
+			class.Calls = family.ClassCalls[i]
 		}
-		if i < len(f.ClassSkipWorth) {
-			class.SkipWorth = f.ClassSkipWorth[i]
+		if i < len(family.ClassSkipWorth) {
+			class.SkipWorth = family.ClassSkipWorth[i]
 		}
-		c.Classes = append(c.Classes, class)
+		config.Classes = append(config.Classes, class)
 	}
-	for _, t := range s.Tenants {
-		c.Tenants = append(c.Tenants, control.Tenant{Share: t.Fraction, Quota: t.QuotaPerS})
+	for _, tenant := range s.Tenants {
+		config.Tenants = append(config.Tenants, control.Tenant{Share: tenant.Fraction, Quota: tenant.QuotaPerS})
 	}
-	return c
+	return config
 }
 
-// Check tells what of s cannot be, naming the setting. A window on a class that is not keyed is no fault: the platform
-// sends one for every class.
+// Check returns an error that names the first invalid setting in s. A window on a class that is not keyed is valid:
+// the platform sends one for every class.
 func Check(s *wire.Settings) error {
-	f := &s.FamilyInfo
-	for _, n := range []struct {
+	family := &s.FamilyInfo
+	for _, list := range []struct {
 		key string
 		len int
-	}{{"ClassCalls", len(f.ClassCalls)}, {"ClassSkipWorth", len(f.ClassSkipWorth)}} {
-		if n.len > len(s.RequestClasses) {
-			return fmt.Errorf("settings: FamilyInfo.%s has %d entries for %d classes", n.key, n.len, len(s.RequestClasses))
+	}{{"ClassCalls", len(family.ClassCalls)}, {"ClassSkipWorth", len(family.ClassSkipWorth)}} {
+		if list.len > len(s.RequestClasses) {
+			return fmt.Errorf("settings: FamilyInfo.%s has %d entries for %d classes", list.key, list.len,
+				len(s.RequestClasses))
 		}
 	}
 	names := map[string]bool{}
-	for i, k := range s.RequestClasses {
-		bad := func(what string, value any) error {
-			return fmt.Errorf("settings: RequestClasses[%d] %q: %s is %v", i, k.Name, what, value)
+	for i, class := range s.RequestClasses {
+		invalid := func(setting string, value any) error {
+			return fmt.Errorf("settings: RequestClasses[%d] %q: %s is %v", i, class.Name, setting, value)
 		}
-		switch k.Effect {
+		switch class.Effect {
 		case "repeatable", "once", "":
 		case "by_key":
-			if !(k.MemorySpanUs > 0) { // guards against a write that runs again as soon as it has ended
-				return bad("MemorySpanUs of a by_key class", k.MemorySpanUs)
+			if !(class.MemorySpanUs > 0) { // otherwise a write could run again as soon as it has ended
+				return invalid("MemorySpanUs of a by_key class", class.MemorySpanUs)
 			}
-		default: // guards against a write that is taken for safe
-			return bad("Effect", strconv.Quote(k.Effect))
+		default: // an unknown effect must not be taken for safe
+			return invalid("Effect", strconv.Quote(class.Effect))
 		}
-		if k.Name == "" || names[k.Name] {
-			return bad("Name", "missing, or another class's too")
+		if class.Name == "" || names[class.Name] {
+			return invalid("Name", "missing or used by another class")
 		}
-		names[k.Name] = true
-		calls := i < len(f.ClassCalls) && f.ClassCalls[i]
-		if i < len(f.ClassSkipWorth) && f.ClassSkipWorth[i] > 0 && !calls {
-			return bad("ClassSkipWorth without ClassCalls", f.ClassSkipWorth[i])
+		names[class.Name] = true
+		calls := i < len(family.ClassCalls) && family.ClassCalls[i]
+		if i < len(family.ClassSkipWorth) && family.ClassSkipWorth[i] > 0 && !calls {
+			return invalid("ClassSkipWorth without ClassCalls", family.ClassSkipWorth[i])
 		}
-		if calls && f.Below == "none" {
-			return bad("ClassCalls with Below", "none")
+		if calls && family.Below == "none" {
+			return invalid("ClassCalls with Below", "none")
 		}
 	}
 	return nil
 }
 
-// Gauges names the readings that came in the order of names; what is missing is unknown.
+// Gauges assigns readings to gauges by the names at the same positions; a missing gauge is unknown (NaN).
 func Gauges[F float32 | float64](names []string, values []F) control.Gauges {
-	g := control.Gauges{CoreUse: math.NaN(), OnCores: math.NaN(), Memory: math.NaN(), Conns: math.NaN()}
+	gauges := control.Gauges{CoreUse: math.NaN(), OnCores: math.NaN(), Memory: math.NaN(), Conns: math.NaN()}
 	for i, name := range names[:min(len(names), len(values))] {
-		v := float64(values[i])
+		value := float64(values[i])
 		switch name {
 		case "core_use":
-			g.CoreUse = v
+			gauges.CoreUse = value
 		case "on_cores":
-			g.OnCores = v
+			gauges.OnCores = value
 		case "heap_share":
-			g.Memory = v
+			gauges.Memory = value
 		case "links":
-			g.Conns = v
+			gauges.Conns = value
 		}
 	}
-	return g
+	return gauges
 }
