--- a/internal/kept/flight.go
+++ b/internal/kept/flight.go
@@ -7,255 +7,261 @@
 	"slices"
 )
 
-// Verb is what one who wants a reply is to do.
+// Verb is the action requested of a waiter.
 type Verb uint8
 
-// The verbs.
+// The actions.
 const (
 	Hit       Verb = iota + 1 // the reply is in the answer
-	Wait                      // another asks already; an Answer follows
-	AskHome                   // ask Box until Until, and tell HomeSaid or HomeFailed
-	CallBelow                 // make the call, and tell Got or Failed
-	GiveUp                    // what was waited for failed twice, or it is too late
+	Wait                      // another waiter is fetching the reply already; a further Answer follows
+	AskHome                   // ask server Box until Until, then call HomeSaid or HomeFailed
+	CallBelow                 // make the downstream call and report its end
+	GiveUp                    // two downstream calls failed, or the waiter is out of time
 )
 
-// Answer is one word to one who wants a reply.
+// Answer is an instruction to one waiter.
 type Answer struct {
-	Who   uint64 // as given to Want
+	Who   uint64 // as passed to Want
 	Do    Verb
-	Reply []byte // shared: not to be changed
+	Reply []byte // shared, must not be modified
 	Box   uint16
 	Until int64
 	Why   string
 }
 
-// Word is what a home says of a key.
+// Word is an owner's response for a key.
 type Word struct {
-	Epoch uint64 // of the placement it knows
+	Epoch uint64 // of the placement that the owner has
 	Class string
 	Sum   [32]byte
 	Has   bool
 	Reply []byte
-	Born  int64 // when it was got below
-	Left  int64 // ms that it is still good for
+	Born  int64 // when the downstream service returned the reply
+	Left  int64 // milliseconds until it expires
 }
 
+// waiter is a request that waits for a reply.
 type waiter struct {
 	who uint64
 	due int64
 }
 
-// flight is one key that is being asked for. The first of its waiters is the one who asks.
+// flight is one key whose reply is being fetched. The first waiter is the one that fetches it.
 type flight struct {
-	asking bool // a home; else below
-	box    uint16
-	until  int64
-	failed bool // a call below did, once
-	all    []waiter
+	askingOwner bool // the owner is being asked; otherwise the downstream service is called
+	owner       uint16
+	ownerDue    int64
+	callFailed  bool // one downstream call has failed
+	waiters     []waiter
 }
 
-// Want tells one (who, unique among those who wait) that is due at a time what to do for a key of a kept class. For
-// any other class, or past the bounds, it is to call below for itself: what it then tells Got or Failed is no harm.
+// Want registers a waiter (who, unique among the waiters) with its due time and returns what it is to do for a key of
+// a cached class. For any other class, or beyond the limits, it is to make its own downstream call; reporting its end
+// is harmless.
 func (k *Kept) Want(now int64, key Key, who uint64, due int64) Answer {
-	k.f.Wants++
-	if k.lasts[key.Class] == 0 {
-		k.f.Calls++
-		return Answer{Who: who, Do: CallBelow, Why: "the class is not kept"}
+	k.metrics.Wants++
+	if k.lifetimes[key.Class] == 0 {
+		k.metrics.Calls++
+		return Answer{Who: who, Do: CallBelow, Why: "the class is not cached"}
 	}
 	if e := k.fresh(now, key); e != nil {
-		k.f.Hits++
-		return Answer{Who: who, Do: Hit, Reply: e.reply, Why: "kept here"}
+		k.metrics.Hits++
+		return Answer{Who: who, Do: Hit, Reply: e.reply, Why: "cached here"}
 	}
 	w := waiter{who, due}
-	if f := k.flights[key]; f != nil {
-		if len(f.all) >= MaxWaiters {
-			k.f.Calls++
-			return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d wait for it already", MaxWaiters)}
+	if fetch := k.flights[key]; fetch != nil {
+		if len(fetch.waiters) >= MaxWaiters {
+			k.metrics.Calls++
+			return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d waiters already", MaxWaiters)}
 		}
-		k.f.Joined++
-		f.all = append(f.all, w)
-		return Answer{Who: who, Do: Wait, Why: "it is asked for already"}
+		k.metrics.Joined++
+		fetch.waiters = append(fetch.waiters, w)
+		return Answer{Who: who, Do: Wait, Why: "being fetched already"}
 	}
 	if len(k.flights) >= MaxFlights {
-		k.f.Calls++
-		return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d keys are asked for already", MaxFlights)}
+		k.metrics.Calls++
+		return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d keys are being fetched already", MaxFlights)}
 	}
-	f := &flight{all: []waiter{w}}
-	k.flights[key] = f
-	home := k.homes[Slice(key.Hash())]
-	patience := int64(k.o.AskShare * float64(due-now))
+	fetch := &flight{waiters: []waiter{w}}
+	k.flights[key] = fetch
+	owner := k.owners[Slice(key.Hash())]
+	patience := int64(k.options.AskShare * float64(due-now))
 	switch {
-	case home == k.o.Self || home == Nobody:
-		return k.below(f, "this box is its home")
+	case owner == k.options.Self || owner == Nobody:
+		return k.callDownstream(fetch, "this server is the owner, or there is none")
 	case patience < 1:
-		return k.below(f, "no time to ask its home")
+		return k.callDownstream(fetch, "no time to ask the owner")
 	}
-	k.f.Asks++
-	f.asking, f.box, f.until = true, home, now+patience
-	return Answer{Who: who, Do: AskHome, Box: home, Until: f.until, Why: "its home may have it"}
+	k.metrics.Asks++
+	fetch.askingOwner, fetch.owner, fetch.ownerDue = true, owner, now+patience
+	return Answer{Who: who, Do: AskHome, Box: owner, Until: fetch.ownerDue, Why: "the owner may have it"}
 }
 
-func (k *Kept) below(f *flight, why string) Answer {
-	k.f.Calls++
-	f.asking = false
-	return Answer{Who: f.all[0].who, Do: CallBelow, Why: why}
+// callDownstream makes the first waiter of a flight make the downstream call.
+func (k *Kept) callDownstream(fetch *flight, why string) Answer {
+	k.metrics.Calls++
+	fetch.askingOwner = false
+	return Answer{Who: fetch.waiters[0].who, Do: CallBelow, Why: why}
 }
 
-// Got takes the reply of a call below and answers all that wait for it, the one who called too.
+// Got takes the reply to a downstream call and answers all waiters, including the one that made the call.
 func (k *Kept) Got(now int64, key Key, reply []byte) []Answer {
-	last := k.lasts[key.Class]
-	if last == 0 {
+	lifetime := k.lifetimes[key.Class]
+	if lifetime == 0 {
 		return nil
 	}
-	k.keep(now, key, reply, now, now+last)
-	return k.land(key, Answer{Do: Hit, Reply: reply, Why: "got below"})
+	k.put(now, key, reply, now, now+lifetime)
+	return k.finish(key, Answer{Do: Hit, Reply: reply, Why: "downstream call succeeded"})
 }
 
-// Failed takes the failure of who's call below. It has the failure itself; the next who waits calls in its place. A
-// second failure is all the others' too: a service that is down is not asked once for each.
+// Failed takes the failure of who's downstream call. That waiter knows of the failure itself; the next waiter calls
+// in its place. A second failure ends the wait of all others, so that a service that is down is not called once for
+// each.
 func (k *Kept) Failed(key Key, who uint64) []Answer {
-	f := k.flights[key]
+	fetch := k.flights[key]
 	switch {
-	case f == nil || f.asking || f.all[0].who != who:
+	case fetch == nil || fetch.askingOwner || fetch.waiters[0].who != who:
 		return nil
-	case f.failed:
-		f.all = f.all[1:]
-		return k.land(key, Answer{Do: GiveUp, Why: "two calls below failed"})
+	case fetch.callFailed:
+		fetch.waiters = fetch.waiters[1:]
+		return k.finish(key, Answer{Do: GiveUp, Why: "two downstream calls failed"})
 	}
-	f.failed = true
-	return k.next(key, f, "the call before failed")
+	fetch.callFailed = true
+	return k.nextWaiter(key, fetch, "the previous call failed")
 }
 
-// next drops the one who asks; the one behind it calls below.
-func (k *Kept) next(key Key, f *flight, why string) []Answer {
-	if f.all = f.all[1:]; len(f.all) == 0 {
+// nextWaiter removes the waiter that fetches the reply; the next one makes the downstream call.
+func (k *Kept) nextWaiter(key Key, fetch *flight, why string) []Answer {
+	if fetch.waiters = fetch.waiters[1:]; len(fetch.waiters) == 0 {
 		delete(k.flights, key)
 		return nil
 	}
-	return []Answer{k.below(f, why)}
+	return []Answer{k.callDownstream(fetch, why)}
 }
 
-// land ends a flight with the same answer for all.
-func (k *Kept) land(key Key, a Answer) (out []Answer) {
-	if f := k.flights[key]; f != nil {
+// finish ends a flight with the same answer for all waiters.
+func (k *Kept) finish(key Key, answer Answer) (out []Answer) {
+	if fetch := k.flights[key]; fetch != nil {
 		delete(k.flights, key)
-		for _, w := range f.all {
-			a.Who = w.who
-			out = append(out, a)
+		for _, w := range fetch.waiters {
+			answer.Who = w.who
+			out = append(out, answer)
 		}
 	}
 	return out
 }
 
-// HomeSaid takes a home's word for a key. What is wrong with it (late, stale, empty, a lie) is a call below for the
-// one who asked; Why says what it was.
-func (k *Kept) HomeSaid(now int64, key Key, box uint16, w Word) []Answer {
-	f := k.flights[key]
-	if f == nil || !f.asking || f.box != box {
-		return nil // late: the call below is on its way, or made
+// HomeSaid takes an owner's response for a key. If anything is wrong with it (late, stale, empty, false), the waiter
+// that asked makes the downstream call; Why names the fault.
+func (k *Kept) HomeSaid(now int64, key Key, server uint16, response Word) []Answer {
+	fetch := k.flights[key]
+	if fetch == nil || !fetch.askingOwner || fetch.owner != server {
+		return nil // late: the downstream call has been started or has ended
 	}
-	last := k.lasts[key.Class]
-	why := ""
+	lifetime := k.lifetimes[key.Class]
+	fault := ""
 	switch {
-	case now >= f.until:
-		why = "late"
-	case w.Epoch < k.epoch:
-		why = fmt.Sprintf("of epoch %d, now %d", w.Epoch, k.epoch)
-	case w.Class != key.Class:
-		why = "of another class"
-	case w.Sum != key.Sum:
-		why = "for another call"
-	case !w.Has:
-		why = "empty"
-	case len(w.Reply) > k.o.MaxReply:
-		why = fmt.Sprintf("of %d bytes", len(w.Reply))
-	case w.Left <= 0 || w.Left > last || w.Born > now+skew || w.Born+last <= now:
-		why = "expired, or good for longer than its class"
+	case now >= fetch.ownerDue:
+		fault = "late"
+	case response.Epoch < k.epoch:
+		fault = fmt.Sprintf("of epoch %d, now %d", response.Epoch, k.epoch)
+	case response.Class != key.Class:
+		fault = "of another class"
+	case response.Sum != key.Sum:
+		fault = "for another call"
+	case !response.Has:
+		fault = "empty"
+	case len(response.Reply) > k.options.MaxReply:
+		fault = fmt.Sprintf("of %d bytes", len(response.Reply))
+	case response.Left <= 0 || response.Left > lifetime || response.Born > now+maxClockSkewMillis ||
+		response.Born+lifetime <= now:
+		fault = "expired, or valid for longer than its class"
 	}
-	if why != "" {
-		k.f.HomeBad++
-		return []Answer{k.below(f, "its home's word is "+why)}
+	if fault != "" {
+		k.metrics.HomeBad++
+		return []Answer{k.callDownstream(fetch, "the response of the owner is "+fault)}
 	}
-	k.f.HomeHits++
-	k.keep(now, key, w.Reply, w.Born, min(now+w.Left, w.Born+last))
-	return k.land(key, Answer{Do: Hit, Box: box, Reply: w.Reply, Why: "its home had it"})
+	k.metrics.HomeHits++
+	k.put(now, key, response.Reply, response.Born, min(now+response.Left, response.Born+lifetime))
+	return k.finish(key, Answer{Do: Hit, Box: server, Reply: response.Reply, Why: "cached at the owner"})
 }
 
-// HomeFailed tells that a home could not be asked.
-func (k *Kept) HomeFailed(key Key, box uint16) []Answer {
-	if f := k.flights[key]; f != nil && f.asking && f.box == box {
-		k.f.HomeBad++
-		return []Answer{k.below(f, "its home was not reached")}
+// HomeFailed reports that an owner could not be asked.
+func (k *Kept) HomeFailed(key Key, server uint16) []Answer {
+	if fetch := k.flights[key]; fetch != nil && fetch.askingOwner && fetch.owner == server {
+		k.metrics.HomeBad++
+		return []Answer{k.callDownstream(fetch, "the owner was not reached")}
 	}
 	return nil
 }
 
-// Leave takes one out who no longer wants a key. If it was the one who asked, the next calls below.
+// Leave removes a waiter that no longer wants the key. If it was the one that fetches the reply, the next one makes
+// the downstream call.
 func (k *Kept) Leave(key Key, who uint64) []Answer {
-	f := k.flights[key]
-	if f == nil {
+	fetch := k.flights[key]
+	if fetch == nil {
 		return nil
 	}
-	for i, w := range f.all {
+	for i, w := range fetch.waiters {
 		switch {
 		case w.who != who:
 		case i == 0:
-			return k.next(key, f, "the one who asked left")
+			return k.nextWaiter(key, fetch, "the fetching waiter left")
 		default:
-			f.all = append(f.all[:i:i], f.all[i+1:]...)
+			fetch.waiters = append(fetch.waiters[:i:i], fetch.waiters[i+1:]...)
 			return nil
 		}
 	}
 	return nil
 }
 
-// Due ends what has waited for too long: homes that have not answered cost a call below, and who is past its own due
-// time is told so. It is to be called no later than Next says.
+// Due handles expired waits: an owner that has not answered is replaced by a downstream call, and waiters past their
+// due time are told to give up. It must be called no later than the next wait expires.
 func (k *Kept) Due(now int64) (out []Answer) {
-	for key, f := range k.flights {
-		keep := f.all[:0:0]
-		for _, w := range f.all {
+	for key, fetch := range k.flights {
+		remaining := fetch.waiters[:0:0]
+		for _, w := range fetch.waiters {
 			if now < w.due {
-				keep = append(keep, w)
+				remaining = append(remaining, w)
 				continue
 			}
 			out = append(out, Answer{Who: w.who, Do: GiveUp, Why: "out of time"})
 		}
-		led := f.all[0]
-		switch f.all = keep; {
-		case len(keep) == 0:
+		leader := fetch.waiters[0]
+		switch fetch.waiters = remaining; {
+		case len(remaining) == 0:
 			delete(k.flights, key)
-		case keep[0] != led:
-			out = append(out, k.below(f, "the one who asked ran out of time"))
-		case f.asking && now >= f.until:
-			k.f.HomeBad++
-			out = append(out, k.below(f, "its home is late"))
+		case remaining[0] != leader:
+			out = append(out, k.callDownstream(fetch, "the fetching waiter ran out of time"))
+		case fetch.askingOwner && now >= fetch.ownerDue:
+			k.metrics.HomeBad++
+			out = append(out, k.callDownstream(fetch, "the owner is late"))
 		}
 	}
-	slices.SortFunc(out, func(a, b Answer) int { return cmp.Compare(a.Who, b.Who) }) // flights come in any order
+	slices.SortFunc(out, func(a, b Answer) int { return cmp.Compare(a.Who, b.Who) }) // map iteration order is random
 	return out
 }
 
-// Next gives the earliest time at which Due has something to do; math.MaxInt64 = never as things stand.
+// Next returns the earliest time at which a wait expires; math.MaxInt64 = never in the current state.
 func (k *Kept) Next() int64 {
-	at := int64(math.MaxInt64)
-	for _, f := range k.flights {
-		if f.asking {
-			at = min(at, f.until)
+	earliest := int64(math.MaxInt64)
+	for _, fetch := range k.flights {
+		if fetch.askingOwner {
+			earliest = min(earliest, fetch.ownerDue)
 		}
-		for _, w := range f.all {
-			at = min(at, w.due)
+		for _, w := range fetch.waiters {
+			earliest = min(earliest, w.due)
 		}
 	}
-	return at
+	return earliest
 }
 
-// Serve gives another box what is kept of a key: only what has not expired, with the time it is still good for.
+// Serve returns what is cached for a key, for another server: only an unexpired reply, with its remaining lifetime.
 func (k *Kept) Serve(now int64, key Key) Word {
-	w := Word{Epoch: k.epoch, Class: key.Class, Sum: key.Sum}
+	response := Word{Epoch: k.epoch, Class: key.Class, Sum: key.Sum}
 	if e := k.fresh(now, key); e != nil {
-		k.f.Served++
-		w.Has, w.Reply, w.Born, w.Left = true, e.reply, e.born, e.until-now
+		k.metrics.Served++
+		response.Has, response.Reply, response.Born, response.Left = true, e.reply, e.fetched, e.expires-now
 	}
-	return w
+	return response
 }
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -1,7 +1,8 @@
-// Package kept decides which replies of calls below a box keeps, and what one who wants such a reply is to do: take
-// the kept one, wait for the one who asks already, ask the home of its slice, or make the call. It does no I/O and
-// reads no clock: times are arguments, in Unix milliseconds of the box's own clock. Nothing another box says can turn
-// into a wrong answer: what is wrong about a home's word costs a call below.
+// Package kept decides which replies of downstream calls a server caches, and what a request that needs such a reply
+// does: take the cached reply, wait for the request that is fetching it already, ask the owner of the key's shard, or
+// make the downstream call. It does no I/O and reads no clock: times are arguments, in Unix milliseconds of the
+// server's own clock. Nothing that another server sends can cause a wrong answer: a faulty response of an owner only
+// costs one downstream call.
 package kept
 
 import (
@@ -17,188 +18,194 @@
 	"larchscale/control"
 )
 
-// Bounds.
+// Limits and constants.
 const (
-	Slices     = 1024 // of the hash over keys
-	Nobody     = 0xFFFF
-	MaxClasses = 8
-	MaxFlights = 4096 // keys asked for at a time; past it one calls below for itself
-	MaxWaiters = 1024 // at one key; past it likewise
-	Overhead   = 256  // bytes booked for an entry beside its reply
-	skew       = 2000 // ms that two boxes' clocks may differ by
+	Slices             = 1024 // shards of the key hash
+	Nobody             = 0xFFFF
+	MaxClasses         = 8
+	MaxFlights         = 4096 // keys being fetched at a time; beyond this, each request makes its own call
+	MaxWaiters         = 1024 // per key; beyond this likewise
+	Overhead           = 256  // bytes accounted for an entry in addition to its reply
+	maxClockSkewMillis = 2000 // milliseconds by which the clocks of two servers may differ
 )
 
-// Errors of New and Place.
+// The errors of this package.
 var (
-	ErrSettings = errors.New("kept replies")
-	ErrEpoch    = errors.New("an older epoch")
+	ErrSettings = errors.New("reply cache")
+	ErrEpoch    = errors.New("older epoch")
 )
 
-// Key names what is wanted: two bodies of a class with one digest are the same call.
+// Key identifies a downstream call: two bodies of a class with the same digest are the same call.
 type Key struct {
 	Class string
-	Sum   [sha256.Size]byte // over the class and the body
+	Sum   [sha256.Size]byte // of the class and the body
 }
 
-// KeyOf gives the key of a call.
+// KeyOf returns the key of a call.
 func KeyOf(class string, body []byte) Key {
-	h := sha256.New()
-	h.Write([]byte(class))
-	h.Write([]byte{0})
-	h.Write(body)
-	k := Key{Class: class}
-	h.Sum(k.Sum[:0])
-	return k
+	hash := sha256.New()
+	hash.Write([]byte(class))
+	hash.Write([]byte{0})
+	hash.Write(body)
+	key := Key{Class: class}
+	hash.Sum(key.Sum[:0])
+	return key
 }
 
-// Hash is the hash that slices and samples are drawn by.
+// Hash returns the hash that determines the shard and the sampling of a key.
 func (k Key) Hash() uint64 { return xxhash.Sum64(k.Sum[:]) }
 
-// Slice gives the slice of a hash.
+// Slice returns the shard of a hash.
 func Slice(hash uint64) int { return int(hash % Slices) }
 
-// Class is one whose replies are kept.
+// Class is a class whose replies are cached.
 type Class struct {
 	Name   string
-	For    int64 // ms that a reply is kept from when it was got below
+	For    int64 // milliseconds that a reply is cached, from when the downstream service returned it
 	Effect control.Effect
 }
 
-// Options of a box. Classes come from the operator's file, their effect from the settings.
+// Options configure the cache of a server. The classes come from the operator's file, their effect from the settings.
 type Options struct {
-	Self     uint16  // this box in placements
-	Bytes    int64   // of all that is kept, Overhead included
-	MaxReply int     // bytes of one reply; a larger one is handed on and not kept
-	AskShare float64 // of the time left that a home may take to answer
+	Self     uint16  // this server's number in placements
+	Bytes    int64   // memory for all cached replies, including the overhead of each
+	MaxReply int     // bytes of one reply; a larger one is passed on and not cached
+	AskShare float64 // share of the remaining time that an owner may take to answer
 	Classes  []Class
 }
 
-// entry is one reply that is kept.
+// entry is one cached reply.
 type entry struct {
-	reply []byte
-	born  int64 // when it was got below, by the clock of who got it
-	until int64
+	reply   []byte
+	fetched int64 // when the downstream service returned it, by the clock of the server that made the call
+	expires int64
 }
 
 func (e *entry) cost() int64 { return int64(len(e.reply)) + Overhead }
 
-// Kept is what one box keeps, and who wants what. Make it with New.
+// Kept is the reply cache of one server, with the waiters for replies. New creates one.
 type Kept struct {
-	o       Options
-	lasts   map[string]int64
-	lru     *simplelru.LRU[Key, *entry]
-	used    int64
-	epoch   uint64
-	homes   [Slices]uint16
-	flights map[Key]*flight
-	f       Figures
+	options   Options
+	lifetimes map[string]int64
+	lru       *simplelru.LRU[Key, *entry]
+	usedBytes int64
+	epoch     uint64
+	owners    [Slices]uint16
+	flights   map[Key]*flight
+	metrics   Figures
 }
 
-// Figures count since the start. Wants = Hits + Joined + Asks + Calls at first word; a home that failed adds to Calls.
+// Figures are counters since the start. Each lookup counts once as a hit, joined, asked or call,
+// by its first answer; a failed owner adds to the calls.
 type Figures struct {
 	Wants, Hits, Joined, Asks, Calls uint64
-	HomeHits, HomeBad                uint64 // replies of homes taken, and those that were late, stale, empty or lies
-	Served                           uint64 // replies given to other boxes
+	HomeHits, HomeBad                uint64 // replies of owners that were used, and faulty ones
+	Served                           uint64 // replies given to other servers
 }
 
-// New checks the options and makes an empty store. A class that writes is an error that names it.
+// New checks the options and returns an empty cache. A class that is not safe is an error that names the class.
 func New(o Options) (*Kept, error) {
-	lasts := map[string]int64{}
+	lifetimes := map[string]int64{}
 	for _, c := range o.Classes {
 		switch {
 		case c.Effect != control.Safe:
-			return nil, fmt.Errorf("%w: class %q writes: its replies cannot be kept", ErrSettings, c.Name)
+			return nil, fmt.Errorf("%w: class %q writes: its replies cannot be cached", ErrSettings, c.Name)
 		case c.For <= 0:
-			return nil, fmt.Errorf("%w: class %q for %d ms: over 0", ErrSettings, c.Name, c.For)
-		case lasts[c.Name] > 0:
+			return nil, fmt.Errorf("%w: class %q for %d ms: must be above 0", ErrSettings, c.Name, c.For)
+		case lifetimes[c.Name] > 0:
 			return nil, fmt.Errorf("%w: class %q twice", ErrSettings, c.Name)
 		}
-		lasts[c.Name] = c.For
+		lifetimes[c.Name] = c.For
 	}
 	switch {
-	case len(lasts) > MaxClasses:
-		return nil, fmt.Errorf("%w: %d classes, %d at most", ErrSettings, len(lasts), MaxClasses)
+	case len(lifetimes) > MaxClasses:
+		return nil, fmt.Errorf("%w: %d classes, at most %d are allowed", ErrSettings, len(lifetimes), MaxClasses)
 	case o.Bytes < Overhead || o.MaxReply < 1 || int64(o.MaxReply)+Overhead > o.Bytes:
 		return nil, fmt.Errorf("%w: %d bytes for replies of up to %d", ErrSettings, o.Bytes, o.MaxReply)
 	case !(o.AskShare > 0 && o.AskShare < 1):
-		return nil, fmt.Errorf("%w: a share of %v of the time for the home, between 0 and 1", ErrSettings, o.AskShare)
+		return nil, fmt.Errorf("%w: a share of %v of the time for the owner: must be between 0 and 1", ErrSettings,
+			o.AskShare)
 	}
-	k := &Kept{o: o, lasts: lasts, flights: map[Key]*flight{}}
-	for i := range k.homes {
-		k.homes[i] = Nobody
+	k := &Kept{options: o, lifetimes: lifetimes, flights: map[Key]*flight{}}
+	for i := range k.owners {
+		k.owners[i] = Nobody
 	}
 	var err error
-	k.lru, err = simplelru.NewLRU(1<<30, func(_ Key, e *entry) { k.used -= e.cost() }) // the bytes bound it
+	// The cache is limited by bytes, not by entries.
+	k.lru, err = simplelru.NewLRU(1<<30, func(_ Key, e *entry) { k.usedBytes -= e.cost() })
 	return k, err
 }
 
-// Place takes the homes of all slices as agreed under an epoch. Nobody = the slice has no home. What is asked of a
-// home already goes on.
+// Place sets the owners of all shards as agreed in an epoch. A shard may have no owner. Requests to previous
+// owners continue.
 func (k *Kept) Place(epoch uint64, homes []uint16) error {
 	if epoch < k.epoch {
 		return fmt.Errorf("placement of epoch %d after %d: %w", epoch, k.epoch, ErrEpoch)
 	}
 	if len(homes) != Slices {
-		return fmt.Errorf("placement of %d slices, %d wanted: %w", len(homes), Slices, ErrSettings)
+		return fmt.Errorf("placement of %d shards, want %d: %w", len(homes), Slices, ErrSettings)
 	}
 	k.epoch = epoch
-	copy(k.homes[:], homes)
+	copy(k.owners[:], homes)
 	return nil
 }
 
-// Resize changes the bytes kept; the least recently wanted go.
+// Resize changes the memory limit; the least recently used replies are dropped.
 func (k *Kept) Resize(bytes int64) {
-	k.o.Bytes = max(bytes, int64(k.o.MaxReply)+Overhead)
-	k.shrink()
+	k.options.Bytes = max(bytes, int64(k.options.MaxReply)+Overhead)
+	k.evict()
 }
 
-// Clear forgets all replies, as a new process has none. Who waits goes on waiting.
+// Clear drops all replies, as after a restart. Waiters go on waiting.
 func (k *Kept) Clear() { k.lru.Purge() }
 
-// Bytes gives what is kept, Overhead included, and Figures the counts.
-func (k *Kept) Bytes() int64     { return k.used }
-func (k *Kept) Figures() Figures { return k.f }
+// Bytes returns the memory used, including the overhead of each entry.
+func (k *Kept) Bytes() int64 { return k.usedBytes }
 
-func (k *Kept) shrink() {
-	for k.used > k.o.Bytes {
+// Figures returns the current counters.
+func (k *Kept) Figures() Figures { return k.metrics }
+
+// evict drops the least recently used replies until the memory limit holds.
+func (k *Kept) evict() {
+	for k.usedBytes > k.options.Bytes {
 		k.lru.RemoveOldest()
 	}
 }
 
-// keep books a reply as the newest. It is dropped if it is too large or over already.
-func (k *Kept) keep(now int64, key Key, reply []byte, born, until int64) {
-	if len(reply) > k.o.MaxReply || until <= now {
+// put stores a reply as the most recently used one. A reply that is too large or already expired is not stored.
+func (k *Kept) put(now int64, key Key, reply []byte, born, until int64) {
+	if len(reply) > k.options.MaxReply || until <= now {
 		return
 	}
 	k.lru.Remove(key)
 	e := &entry{slices.Clone(reply), born, until}
-	k.used += e.cost()
+	k.usedBytes += e.cost()
 	k.lru.Add(Key{strings.Clone(key.Class), key.Sum}, e)
-	k.shrink()
+	k.evict()
 }
 
-// fresh gives the unexpired reply of a key and marks it as wanted. One that has expired stays where it is until the
-// next reply takes its place or it is the least recently wanted: the place that it takes is foretold with the rest.
+// fresh returns the unexpired reply of a key and marks it as used. An expired reply stays until it is replaced or is
+// the least recently used: memory predictions count it like any other.
 func (k *Kept) fresh(now int64, key Key) *entry {
-	if e, ok := k.lru.Get(key); ok && now < e.until && e.born <= now+skew {
+	if e, ok := k.lru.Get(key); ok && now < e.expires && e.fetched <= now+maxClockSkewMillis {
 		return e
 	}
 	return nil
 }
 
-// Clone gives one in the same state that goes its own way. Replies are shared, as they never change.
+// Clone returns an independent copy with the same state. Replies are shared, since they are immutable.
 func (k *Kept) Clone() *Kept {
-	out := *k
-	out.lru, _ = simplelru.NewLRU(1<<30, func(_ Key, e *entry) { out.used -= e.cost() })
+	clone := *k
+	clone.lru, _ = simplelru.NewLRU(1<<30, func(_ Key, e *entry) { clone.usedBytes -= e.cost() })
 	for _, key := range k.lru.Keys() { // the oldest first
 		e, _ := k.lru.Peek(key)
-		out.lru.Add(key, e)
+		clone.lru.Add(key, e)
 	}
-	out.flights = make(map[Key]*flight, len(k.flights))
+	clone.flights = make(map[Key]*flight, len(k.flights))
 	for key, f := range k.flights {
-		g := *f
-		g.all = slices.Clone(f.all)
-		out.flights[key] = &g
+		copied := *f
+		copied.waiters = slices.Clone(f.waiters)
+		clone.flights[key] = &copied
 	}
-	return &out
+	return &clone
 }
