--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -8,8 +8,8 @@
 // publishInterval bounds the age of the published metrics: a change becomes visible within this time.
 const publishInterval = 100 * time.Millisecond
 
-// Figures are the metrics of one process since its start, by class in the order of the configuration. The loop
-// publishes a copy; readers on other goroutines get that copy and never access the loop's own counters.
+// Figures are the counters and gauges of one process since its start, by class in the order of the configuration.
+// The loop publishes a copy; readers on other goroutines get that copy and never access the loop's own counters.
 type Figures struct {
 	OK     []uint64 // served
 	Shed   []uint64 // refused, never ran
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -17,7 +17,7 @@
 
 const window = 20 * time.Second // of the keyed class of scenario.Site
 
-// whyReadLate returns a request whose t0 is unread in the past when it is sent; a negative unread means the future.
+// readLate returns a request whose t0 is unread in the past when it is sent; a negative unread means the future.
 func readLate(request core.Arrive, unread time.Duration) core.Arrive {
 	request.Req.Arrived = time.Now().Add(-unread)
 	return request
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -73,7 +73,7 @@
 	return min(longest, maxCountedDeadline) + killMargin
 }
 
-// Earliest returns how soon after a SIGTERM the kill may come: the configured time, or the time of Kill if that is
+// Earliest returns how soon after a SIGTERM the kill may come: the configured time, or the platform's rule if that is
 // sooner. A deadline of 0 means unknown, and is counted as maxCountedDeadline.
 func Earliest(configured time.Duration, deadlines []time.Duration) time.Duration {
 	if len(deadlines) == 0 || slices.Contains(deadlines, 0) {
--- a/internal/kept/flight.go
+++ b/internal/kept/flight.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Verb is the action requested of a waiter.
+// Verb is what a waiter is asked to do.
 type Verb uint8
 
 // The actions.
@@ -216,7 +216,7 @@
 }
 
 // Due handles expired waits: an owner that has not answered is replaced by a downstream call, and waiters past their
-// due time are told to give up. It must be called no later than the next wait expires.
+// due time are told to give up. It must be called by the time the next wait expires.
 func (k *Kept) Due(now int64) (out []Answer) {
 	for key, fetch := range k.flights {
 		remaining := fetch.waiters[:0:0]
--- a/internal/kept/kept.go
+++ b/internal/kept/kept.go
@@ -20,7 +20,7 @@
 
 // Limits and constants.
 const (
-	Slices             = 1024 // shards of the key hash
+	Slices             = 1024 // number of shards of the key hash
 	Nobody             = 0xFFFF
 	MaxClasses         = 8
 	MaxFlights         = 4096 // keys being fetched at a time; beyond this, each request makes its own call
@@ -95,8 +95,8 @@
 	metrics   Figures
 }
 
-// Figures are counters since the start. Each lookup counts once as a hit, joined, asked or call,
-// by its first answer; a failed owner adds to the calls.
+// Figures are totals since the start. Each lookup counts once as a hit, joined, asked or call, by its first answer; a
+// failed owner adds to the calls.
 type Figures struct {
 	Wants, Hits, Joined, Asks, Calls uint64
 	HomeHits, HomeBad                uint64 // replies of owners that were used, and faulty ones
@@ -162,7 +162,7 @@
 // Bytes returns the memory used, including the overhead of each entry.
 func (k *Kept) Bytes() int64 { return k.usedBytes }
 
-// Figures returns the current counters.
+// Figures returns the current totals.
 func (k *Kept) Figures() Figures { return k.metrics }
 
 // evict drops the least recently used replies until the memory limit holds.
