--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -14,110 +14,110 @@
 	"larchscale/internal/scenario"
 )
 
-// Pairs of events that cross on the link to the worker pool, each in an order that the test forces.
+// These tests force the order of two concurrent events on the link to the worker pool.
 
-// kept is a link that is kept up to a stand-in worker pool.
-type kept struct {
+// maintainedLink is a link that Keep maintains to a stand-in worker pool.
+type maintainedLink struct {
 	*pool.Link
-	t      *testing.T
-	stand  *scenario.Stand
-	events chan core.Event
+	t        *testing.T
+	listener *scenario.Stand
+	events   chan core.Event
 }
 
-func keep(t *testing.T) *kept {
-	stand, events := scenario.Listen(t), make(chan core.Event, 64)
-	k := &kept{pool.New(stand.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler)), t, stand, events}
-	ctx, end := context.WithCancel(context.Background())
+func maintain(t *testing.T) *maintainedLink {
+	listener, events := scenario.Listen(t), make(chan core.Event, 64)
+	k := &maintainedLink{pool.New(listener.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler)), t, listener, events}
+	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { k.Keep(ctx); close(done) }()
-	t.Cleanup(func() { end(); <-done })
+	t.Cleanup(func() { stop(); <-done })
 	return k
 }
 
-// wait takes what comes next.
-func wait[T any](t *testing.T, from <-chan T) (x T) {
+// receive returns the next value of a channel and fails the test if none comes within 10 s.
+func receive[T any](t *testing.T, from <-chan T) (x T) {
 	t.Helper()
 	select {
 	case x = <-from:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing comes")
+		t.Fatal("nothing received within 10 s")
 	}
 	return x
 }
 
-func (k *kept) expect(want ...core.Event) {
+func (k *maintainedLink) expect(want ...core.Event) {
 	k.t.Helper()
 	for _, w := range want {
-		if diff := cmp.Diff(w, wait(k.t, k.events)); diff != "" {
+		if diff := cmp.Diff(w, receive(k.t, k.events)); diff != "" {
 			k.t.Error(diff)
 		}
 	}
 }
 
-// bind takes the next link, which has to bind from a notice, of a pool that began some time ago.
-func (k *kept) bind(cursor int, age time.Duration) *scenario.Peer {
+// bind accepts the next connection, which must bind from cursor, as a pool that started age ago.
+func (k *maintainedLink) bind(cursor int, age time.Duration) *scenario.Peer {
 	k.t.Helper()
-	p := k.stand.Accept()
+	p := k.listener.Accept()
 	p.Expect(fmt.Sprintf(`^{"event":"bind","cursor":%d}$`, cursor))
 	p.Send(fmt.Sprintf(`{"event":"bound","fate":"hot","lasted":%d}`, age.Milliseconds()), "\n")
 	k.expect(core.PoolBound{Age: age})
 	return p
 }
 
-func ended(cursor int, handle string) string {
+func finishedLine(cursor int, handle string) string {
 	return fmt.Sprintf(`{"event":"finished","cursor":%d,"handle":%q,"fate":"complete","lasted":2,"arg":""}`+"\n", cursor, handle)
 }
 
-func finished(handle string) core.Event {
+func finishedEvent(handle string) core.Event {
 	return core.PoolFinished{Handle: handle, Took: 2 * time.Millisecond, Body: []byte{}}
 }
 
-// A pool that began after the link before it was bound is another one. Its notices count whether it numbers them from 1
-// or goes on, and from the first of them on a number tells again what came already.
-func TestAPoolThatBeganAnewNumbersItsNoticesFromOneOrGoesOn(t *testing.T) {
+// A pool that started after the previous connection was bound is a different pool. Its notices are accepted whether it
+// numbers them from 1 or continues the old numbers; after its first notice, repeated numbers are dropped as duplicates.
+func TestRestartedPoolNumbersNoticesFromOneOrContinues(t *testing.T) {
 	for _, first := range []int{1, 4, 40} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
-			k := keep(t)
+			k := maintain(t)
 			p := k.bind(0, time.Hour)
-			p.Send(ended(1, "a"), ended(2, "b"), ended(3, "c"))
-			k.expect(finished("a"), finished("b"), finished("c"))
+			p.Send(finishedLine(1, "a"), finishedLine(2, "b"), finishedLine(3, "c"))
+			k.expect(finishedEvent("a"), finishedEvent("b"), finishedEvent("c"))
 			p.Close()
 			k.expect(core.PoolLost{})
 			p = k.bind(3, 0)
-			p.Send(ended(first, "d"), ended(first, "d"), ended(first+1, "e"))
-			k.expect(finished("d"), finished("e"))
+			p.Send(finishedLine(first, "d"), finishedLine(first, "d"), finishedLine(first+1, "e"))
+			k.expect(finishedEvent("d"), finishedEvent("e"))
 			p.Close()
 			k.expect(core.PoolLost{})
-			k.bind(first+1, time.Second).Send(ended(first, "d"), ended(first+1, "e"), ended(first+2, "f"))
-			k.expect(finished("f"))
+			k.bind(first+1, time.Second).Send(finishedLine(first, "d"), finishedLine(first+1, "e"), finishedLine(first+2, "f"))
+			k.expect(finishedEvent("f"))
 		})
 	}
 }
 
-// A link is moved, and moved back, while its pool has not said that it is bound: the last address is bound, and the end of
-// each link that was there is told.
-func TestAMoveFindsALinkThatIsNotBound(t *testing.T) {
-	k, next := keep(t), scenario.Listen(t)
-	p := k.stand.Accept()
+// Moves a link away and back while the pool has not confirmed the bind: the link binds to the last address, and
+// PoolLost is reported for each connection that was open.
+func TestMoveBeforeLinkIsBound(t *testing.T) {
+	k, next := maintain(t), scenario.Listen(t)
+	p := k.listener.Accept()
 	p.Expect(`"bind","cursor":0`)
 	k.Move(next.Addr)
 	k.expect(core.PoolLost{})
 	q := next.Accept()
 	q.Expect(`"bind","cursor":0`)
-	p.Send(`{"event":"bound","fate":"hot","lasted":1}`, "\n") // too late
-	k.Move(k.stand.Addr)
+	p.Send(`{"event":"bound","fate":"hot","lasted":1}`, "\n") // too late: the link has moved
+	k.Move(k.listener.Addr)
 	k.expect(core.PoolLost{})
 	k.bind(0, time.Hour)
 }
 
-// A link that is accepted, and on which nobody says that it is bound, is given up for a new one; one that was bound is not,
-// however long nothing comes.
-func TestALinkThatIsNeverBound(t *testing.T) {
-	k := keep(t)
-	k.stand.Accept().Expect(`"bind","cursor":0`)
+// A connection that is accepted but never confirmed as bound is replaced by a new one. A bound connection is kept,
+// however long nothing comes on it.
+func TestLinkThatIsNeverBoundIsReplaced(t *testing.T) {
+	k := maintain(t)
+	k.listener.Accept().Expect(`"bind","cursor":0`)
 	k.expect(core.PoolLost{})
 	p := k.bind(0, time.Hour)
-	time.Sleep(1200 * time.Millisecond) // past the time for the first word
-	p.Send(ended(1, "a"))
-	k.expect(finished("a"))
+	time.Sleep(1200 * time.Millisecond) // past minFirstNoticeWait
+	p.Send(finishedLine(1, "a"))
+	k.expect(finishedEvent("a"))
 }
--- a/internal/pool/heir.go
+++ b/internal/pool/heir.go
@@ -12,63 +12,63 @@
 	"larchscale/internal/sock"
 )
 
-// inHand is how many runs that have shown nothing of themselves an heir asks for at a time.
-const inHand = 16
+// maxPendingSpawns bounds the runs that a successor has requested again and that have not finished.
+const maxPendingSpawns = 16
 
-// ErrGap is a worker pool that no longer has all notices since the cursor: of a run that it does not tell of, nothing
-// is known.
+// ErrGap reports that the worker pool no longer has every notice since the cursor, so that nothing is known about a run
+// without a notice.
 var ErrGap = errors.New("notices are missing")
 
-// Left is a run that a lost process may have asked its worker pool for.
+// Left is a run that a failed process may have requested from its worker pool.
 type Left struct {
 	Handle, Class string
 	Body          []byte
-	Quiet         bool // another pool may have run it: it is listened for, and never asked for
+	Quiet         bool // another pool may have run it: its end is reported, but it is not requested again
 }
 
-// Came is what an heir heard of a run: its end, or a call that it waits for.
+// Came is an event of a run that a successor has taken over: its end, or a call whose reply it waits for.
 type Came struct {
 	Handle string
-	Call   bool // it came to wait, just now, for the reply to a call with Body, to be given by Reply
-	OK     bool // it ended well, with Body for its result
-	Body   []byte
+	Call   bool   // the run waits for the reply to a call, to be sent by Heir.Reply
+	OK     bool   // the run completed
+	Body   []byte // of the call, or the result of a completed run
 }
 
-// Heir is bound to the worker pool of a lost process in its place: what that process had open is closed by it. It
-// reads how runs ended, and asks again for those that have shown nothing. A pool runs a handle once, however often it
-// is asked, so each ran once in the end, whether the lost process had asked for it or not.
+// Heir is a successor's connection to the worker pool of a failed process, on which it finishes that process's open
+// runs. It reads how runs ended and requests those again of which there is no notice. A pool runs a handle only once,
+// however often it is requested, so each run happens exactly once whether or not the failed process had requested it.
 type Heir struct {
-	outbound *sock.WriteQueue
-	left     []Left // not asked for yet
-	mu       sync.Mutex
-	open     map[string]bool // asked for, and not ended
-	done     map[string]bool // ended before they were asked for
+	outbound  *sock.WriteQueue
+	left      []Left // not requested yet
+	mu        sync.Mutex
+	requested map[string]bool // requested and not finished
+	finished  map[string]bool // finished, perhaps before they were requested
 }
 
-// Inherit binds to the pool at addr, from the last notice that the lost process is known to have read, and tells of
-// its runs until ctx ends, the link breaks or all have ended (nil). Told again on a later link it tells of the same
-// ends again.
-func Inherit(ctx context.Context, addr string, cursor uint64, left []Left, begun func(*Heir), told func(Came)) error {
-	d := net.Dialer{Timeout: dialTimeout}
-	conn, err := d.DialContext(ctx, "tcp", addr)
+// Inherit binds to the pool at addr, from the last notice that the failed process is known to have read. It passes the
+// connection to bound and the events of the runs in left to onEvent, until all of them have finished (nil), ctx ends or
+// the connection breaks. Called again after a break it reports the same ends again.
+func Inherit(ctx context.Context, addr string, cursor uint64, left []Left, bound func(*Heir), onEvent func(Came)) error {
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
-	h := &Heir{outbound: sock.NewWriteQueue(conn), left: left, open: map[string]bool{}, done: map[string]bool{}}
+	h := &Heir{outbound: sock.NewWriteQueue(conn), left: left, requested: map[string]bool{}, finished: map[string]bool{}}
 	defer h.outbound.Kill()
 	defer context.AfterFunc(ctx, h.outbound.Kill)()
-	// A cursor of 0 is a process that has just started: its pool would forget what it has to tell.
+	// A cursor of 0 announces a process that has just started, for which the pool would discard its notices.
 	cursor = max(cursor, 1)
 	h.outbound.Send([]byte(`{"event":"bind","cursor":` + strconv.FormatUint(cursor, 10) + "}\n"))
-	h.outbound.Send([]byte(`{"event":"poll","ticket":"` + replayed + "\"}\n"))
-	begun(h)
-	mine := map[string]bool{}
+	h.outbound.Send([]byte(`{"event":"poll","ticket":"` + catchUpTicket + "\"}\n"))
+	bound(h)
+	pending := map[string]bool{}
 	for _, l := range left {
-		mine[l.Handle] = true
+		pending[l.Handle] = true
 	}
-	ended, caught := 0, false
+	finished, caughtUp := 0, false
 	in := bufio.NewReaderSize(conn, maxLine)
-	for ended < len(left) {
+	for finished < len(left) {
 		line, err := sock.Line(in)
 		if err != nil {
 			return err
@@ -79,54 +79,54 @@
 		}
 		if n.cursor > 0 {
 			if n.cursor > cursor+1 {
-				return fmt.Errorf("after notice %d came %d: %w", cursor, n.cursor, ErrGap)
+				return fmt.Errorf("notice %d is followed by notice %d: %w", cursor, n.cursor, ErrGap)
 			}
 			cursor = max(cursor, n.cursor)
 		}
 		switch {
-		case n.event == "polled" && n.ticket == replayed: // all that was missed is read
-			caught = true
-			h.ask()
-		case !mine[n.handle]:
-		case n.event == "blocked" && caught: // the lost process may have made one of before, and had its reply
-			told(Came{Handle: n.handle, Call: true, Body: n.body})
+		case n.event == "polled" && n.ticket == catchUpTicket: // all missed notices have been read
+			caughtUp = true
+			h.spawnNext()
+		case !pending[n.handle]:
+		case n.event == "blocked" && caughtUp: // the failed process may already have answered an earlier call
+			onEvent(Came{Handle: n.handle, Call: true, Body: n.body})
 		case n.event == "finished":
-			delete(mine, n.handle)
-			ended++
-			told(Came{Handle: n.handle, OK: n.fate == "complete", Body: n.body})
-			h.end(n.handle)
+			delete(pending, n.handle)
+			finished++
+			onEvent(Came{Handle: n.handle, OK: n.fate == "complete", Body: n.body})
+			h.finish(n.handle)
 		}
 	}
 	return nil
 }
 
-// replayed is the ticket of the poll whose answer follows all notices that were missed.
-const replayed = "heir"
+// catchUpTicket is the ticket of the poll whose answer follows all missed notices.
+const catchUpTicket = "heir"
 
-// end notes that a run is over, and asks for the next.
-func (h *Heir) end(handle string) {
+// finish records that a run has finished and requests the next.
+func (h *Heir) finish(handle string) {
 	h.mu.Lock()
-	was := h.open[handle]
-	delete(h.open, handle)
-	h.done[handle] = true
+	wasRequested := h.requested[handle]
+	delete(h.requested, handle)
+	h.finished[handle] = true
 	h.mu.Unlock()
-	if was {
-		h.ask()
+	if wasRequested {
+		h.spawnNext()
 	}
 }
 
-// ask has runs begin that have shown nothing, as many as may be in hand.
-func (h *Heir) ask() {
+// spawnNext requests the runs that have neither finished nor been requested, up to maxPendingSpawns at a time.
+func (h *Heir) spawnNext() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(h.left) > 0 && len(h.open) < inHand {
+	for len(h.left) > 0 && len(h.requested) < maxPendingSpawns {
 		l := h.left[0]
-		if h.left = h.left[1:]; !l.Quiet && !h.done[l.Handle] {
-			h.open[l.Handle] = true
+		if h.left = h.left[1:]; !l.Quiet && !h.finished[l.Handle] {
+			h.requested[l.Handle] = true
 			h.outbound.Send(spawn(l.Handle, l.Class, l.Body)...)
 		}
 	}
 }
 
-// Reply gives a run the reply that it waits for. It is safe from any goroutine.
+// Reply sends a run the reply it waits for. It is safe for concurrent use.
 func (h *Heir) Reply(handle string, body []byte) { h.outbound.Send(supply(handle, body)...) }
--- a/internal/pool/heir_test.go
+++ b/internal/pool/heir_test.go
@@ -11,81 +11,80 @@
 	"testing"
 )
 
-// A pool that has an end, a run that goes on and one that it was never asked for: each end is told once, the first as
-// it was, a call of before is not made again, and one that
-// another pool may have run is not asked for.
-func TestAnHeirReadsWhatEndedAndHasTheRestRunOnce(t *testing.T) {
-	for name, x := range map[string]struct {
-		replay string // notices of before the bind
+// The pool has one finished run, one running and one it was never asked for. The successor reports each end once, does
+// not repeat a call that the run made before, and does not request a run that another pool may have run.
+func TestSuccessorReadsFinishedRunsAndRunsTheRestOnce(t *testing.T) {
+	for name, tc := range map[string]struct {
+		replay string // notices from before the bind
 		want   string
 		err    error
 	}{
-		"all there":    {`{"cursor":8,"event":"finished","handle":"a","fate":"complete","arg":"cmE="}|{"cursor":9,"event":"blocked","handle":"b","arg":"Y2FsbA=="}`, "[a true ra b true rb call c cc c false  q true rq]", nil},
-		"one is gone":  {`{"cursor":9,"event":"finished","handle":"a","fate":"complete","arg":"cmE="}`, "[]", ErrGap},
-		"not a notice": {`nonsense`, "[]", errNotice},
+		"complete":  {`{"cursor":8,"event":"finished","handle":"a","fate":"complete","arg":"cmE="}|{"cursor":9,"event":"blocked","handle":"b","arg":"Y2FsbA=="}`, "[a true ra b true rb call c cc c false  q true rq]", nil},
+		"missing":   {`{"cursor":9,"event":"finished","handle":"a","fate":"complete","arg":"cmE="}`, "[]", ErrGap},
+		"malformed": {`nonsense`, "[]", errNotice},
 	} {
 		t.Run(name, func(t *testing.T) {
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer l.Close()
-			asked := make(chan string, 16)
+			defer listener.Close()
+			sent := make(chan string, 16)
 			go func() {
-				defer close(asked)
-				c, err := l.Accept()
+				defer close(sent)
+				conn, err := listener.Accept()
 				if err != nil {
 					return
 				}
-				defer c.Close()
-				in := bufio.NewScanner(c)
+				defer conn.Close()
+				in := bufio.NewScanner(conn)
 				next := 10
-				say := func(f string, a ...any) { fmt.Fprintf(c, f+"\n", a...) }
+				send := func(f string, a ...any) { fmt.Fprintf(conn, f+"\n", a...) }
 				for in.Scan() {
 					line := in.Text()
-					asked <- line
+					sent <- line
 					switch {
 					case strings.Contains(line, `"bind"`):
-						for _, n := range strings.Split(x.replay, "|") {
-							say("%s", n)
+						for _, n := range strings.Split(tc.replay, "|") {
+							send("%s", n)
 						}
 					case strings.Contains(line, `"poll"`):
-						say(`{"event":"polled","ticket":"heir","figures":[]}`)
+						send(`{"event":"polled","ticket":"heir","figures":[]}`)
 					case strings.Contains(line, `"spawn","handle":"b"`):
-						say(`{"cursor":%d,"event":"finished","handle":"b","fate":"complete","arg":"cmI="}`, next)
+						send(`{"cursor":%d,"event":"finished","handle":"b","fate":"complete","arg":"cmI="}`, next)
 						next++
 					case strings.Contains(line, `"spawn","handle":"c"`):
-						say(`{"cursor":%d,"event":"blocked","handle":"c","arg":"Y2M="}`, next)
+						send(`{"cursor":%d,"event":"blocked","handle":"c","arg":"Y2M="}`, next)
 						next++
 					case strings.Contains(line, `"supply","handle":"c"`):
-						say(`{"cursor":%d,"event":"finished","handle":"c","fate":"cancelled","arg":""}`, next)
-						say(`{"cursor":%d,"event":"finished","handle":"q","fate":"complete","arg":"cnE="}`, next+1)
+						send(`{"cursor":%d,"event":"finished","handle":"c","fate":"cancelled","arg":""}`, next)
+						send(`{"cursor":%d,"event":"finished","handle":"q","fate":"complete","arg":"cnE="}`, next+1)
 						next++
 					}
 				}
 			}()
-			var heir *Heir
-			told := []string{}
-			err = Inherit(context.Background(), l.Addr().String(), 7, []Left{{Handle: "a", Class: "book"}, {Handle: "q", Class: "book", Quiet: true}, {Handle: "b", Class: "book"}, {Handle: "c", Class: "book"}},
-				func(h *Heir) { heir = h }, func(c Came) {
-					if c.Call {
-						told = append(told, "call", c.Handle, string(c.Body))
-						heir.Reply(c.Handle, []byte("taxi"))
+			var successor *Heir
+			events := []string{}
+			err = Inherit(context.Background(), listener.Addr().String(), 7, []Left{{Handle: "a", Class: "book"}, {Handle: "q", Class: "book", Quiet: true}, {Handle: "b", Class: "book"}, {Handle: "c", Class: "book"}},
+				func(h *Heir) { successor = h }, func(e Came) {
+					if e.Call {
+						events = append(events, "call", e.Handle, string(e.Body))
+						successor.Reply(e.Handle, []byte("taxi"))
 						return
 					}
-					told = append(told, c.Handle, fmt.Sprint(c.OK), string(c.Body))
+					events = append(events, e.Handle, fmt.Sprint(e.OK), string(e.Body))
 				})
-			if !errors.Is(err, x.err) || fmt.Sprint(told) != x.want {
-				t.Errorf("%v, %v", told, err)
+			if !errors.Is(err, tc.err) || fmt.Sprint(events) != tc.want {
+				t.Errorf("events %v, error %v", events, err)
 			}
 			var lines []string
-			for line := range asked {
+			for line := range sent {
 				lines = append(lines, line)
 			}
-			if !strings.Contains(lines[0], `"cursor":7`) || slices.ContainsFunc(lines, func(l string) bool {
-				return strings.Contains(l, `"spawn","handle":"a"`) || strings.Contains(l, `"spawn","handle":"q"`)
+			if !strings.Contains(lines[0], `"cursor":7`) || slices.ContainsFunc(lines, func(line string) bool {
+				return strings.Contains(line, `"spawn","handle":"a"`) || strings.Contains(line, `"spawn","handle":"q"`)
 			}) {
-				t.Errorf("it asked %v", lines)
+				t.Errorf("the successor sent %v", lines)
 			}
 		})
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,4 +1,5 @@
-// Package pool is the link to the worker pool.
+// Package pool maintains the connection to the worker pool: it sends commands, reads notices and reconnects after a
+// break.
 package pool
 
 import (
@@ -25,39 +26,40 @@
 const (
 	maxLine     = 64 << 10
 	dialTimeout = time.Second
-	steady      = 100 * time.Millisecond // a link that lasted so long worked
-	// A link on which the pool says nothing at all is given up after firstWord, and after twice that each time up to
-	// lastWord: a pool that is slow to speak is waited for.
-	firstWord = time.Second
-	lastWord  = 16 * time.Second
+	// minHealthyLink is how long a link must last to be reestablished without a backoff.
+	minHealthyLink = 100 * time.Millisecond
+	// A link on which the pool sends nothing at all is given up after minFirstNoticeWait. The wait doubles each time
+	// up to maxFirstNoticeWait, so that a pool that is slow to answer is waited for.
+	minFirstNoticeWait = time.Second
+	maxFirstNoticeWait = 16 * time.Second
 )
 
-// Link keeps one connection to the worker pool open. Commands given while there is none are lost: the core
-// sends again what matters once the link is back.
+// Link keeps one connection to the worker pool open. Commands sent while it is down are dropped: the core repeats
+// those that matter once the link is back.
 type Link struct {
-	sink  func(core.Event)
-	log   *slog.Logger
-	moved chan struct{}
-	read  atomic.Uint64 // number of the last notice that was read; Keep's goroutine writes it
+	sink     func(core.Event)
+	log      *slog.Logger
+	moved    chan struct{}
+	lastRead atomic.Uint64 // number of the last notice read; written only by the goroutine that runs Keep
 
-	// Keep's goroutine alone has these.
-	dialed time.Time // when the connection of this link was made
-	bound  time.Time // when that of the last link was made on which the pool spoke: it had begun by then
-	anew   bool      // the pool began since, and may number its notices from 1
+	// Only the goroutine that runs Keep uses these.
+	dialed    time.Time // when the current connection was made
+	bound     time.Time // when the last connection on which the pool answered was made; the pool was running by then
+	restarted bool      // the pool has restarted since and may number its notices from 1
 
 	mu       sync.Mutex
 	addr     string
-	outbound *sock.WriteQueue // nil = no link
+	outbound *sock.WriteQueue // nil while the link is down
 
-	supplied map[string]bool // handles of runs that were given a reply on this link and have told nothing since
+	supplied map[string]bool // handles of runs that got a reply on this link and have sent no notice since
 }
 
-// New makes a link that tells sink what comes.
+// New returns a link that passes the notices of the worker pool to sink. Keep connects it.
 func New(addr string, sink func(core.Event), log *slog.Logger) *Link {
 	return &Link{addr: addr, sink: sink, log: log, moved: make(chan struct{}, 1)}
 }
 
-// Move ends the link and makes the next one to another address, at once.
+// Move closes the current connection and reconnects to another address at once.
 func (l *Link) Move(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,50 +76,51 @@
 	}
 }
 
-// Keep keeps the link up until ctx ends. The first try after a link that worked is made at once: while
-// there is none, runs go on that nobody hears of.
+// Keep keeps the link up until ctx ends. It reconnects without a delay after a link that worked, because runs finish
+// unnoticed while the link is down.
 func (l *Link) Keep(ctx context.Context) {
-	var wait sock.Backoff
-	silence := firstWord
+	var backoff sock.Backoff
+	firstNoticeWait := minFirstNoticeWait
 	for ctx.Err() == nil {
-		up := time.Now()
-		bound, err := l.once(ctx, silence)
+		started := time.Now()
+		bound, err := l.serveConn(ctx, firstNoticeWait)
 		if ctx.Err() != nil {
 			return
 		}
 		select {
 		case <-l.moved:
-			wait.Reset()
-			silence = firstWord
+			backoff.Reset()
+			firstNoticeWait = minFirstNoticeWait
 			continue
 		default:
 		}
 		if bound {
-			silence = firstWord
+			firstNoticeWait = minFirstNoticeWait
 		} else if errors.Is(err, os.ErrDeadlineExceeded) {
-			silence = min(2*silence, lastWord)
+			firstNoticeWait = min(2*firstNoticeWait, maxFirstNoticeWait)
 		}
 		l.log.Warn("link down", "to", "pool", "err", err)
-		if bound && time.Since(up) > steady && !errors.Is(err, errNotice) {
-			wait.Reset()
+		if bound && time.Since(started) > minHealthyLink && !errors.Is(err, errNotice) {
+			backoff.Reset()
 			continue
 		}
 		select {
 		case <-ctx.Done():
 		case <-l.moved:
-			wait.Reset()
-		case <-time.After(wait.Next()):
+			backoff.Reset()
+		case <-time.After(backoff.Next()):
 		}
 	}
 }
 
-// once is the life of one connection, on which the worker pool speaks within silence; bound = it did.
-func (l *Link) once(ctx context.Context, silence time.Duration) (bound bool, err error) {
+// serveConn opens a connection and reads it until it fails. It fails if the worker pool sends no notice within
+// firstNoticeWait; bound reports whether the pool sent one.
+func (l *Link) serveConn(ctx context.Context, firstNoticeWait time.Duration) (bound bool, err error) {
 	l.mu.Lock()
 	addr := l.addr
 	l.mu.Unlock()
-	d := net.Dialer{Timeout: dialTimeout}
-	conn, err := d.DialContext(ctx, "tcp", addr)
+	dialer := net.Dialer{Timeout: dialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return false, err
 	}
@@ -125,7 +128,7 @@
 	outbound := sock.NewWriteQueue(conn)
 	defer outbound.Kill()
 	defer context.AfterFunc(ctx, outbound.Kill)()
-	if !l.begin(outbound, addr) {
+	if !l.bind(outbound, addr) {
 		return false, errMoved
 	}
 	defer func() {
@@ -134,14 +137,14 @@
 		l.mu.Unlock()
 		l.sink(core.PoolLost{})
 	}()
-	conn.SetReadDeadline(time.Now().Add(silence))
+	conn.SetReadDeadline(time.Now().Add(firstNoticeWait))
 	in := bufio.NewReaderSize(conn, maxLine)
 	for {
 		line, err := sock.Line(in)
 		if err != nil {
 			return bound, err
 		}
-		if err := l.notice(line); err != nil {
+		if err := l.handle(line); err != nil {
 			return bound, err
 		}
 		if !bound {
@@ -151,15 +154,15 @@
 	}
 }
 
-// begin makes outbound the link, with its bind as the first line; false = it goes to an address that was left
-// meanwhile, and nothing was sent. Whoever sees the bind can rely on a Move to end the link.
-func (l *Link) begin(outbound *sock.WriteQueue, addr string) bool {
+// bind makes outbound the current connection and sends the bind as its first line. It returns false, and sends
+// nothing, if Move has changed the address meanwhile. After the bind has been sent a Move closes the connection.
+func (l *Link) bind(outbound *sock.WriteQueue, addr string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if addr != l.addr {
 		return false
 	}
-	outbound.Send([]byte(`{"event":"bind","cursor":` + strconv.FormatUint(l.read.Load(), 10) + "}\n"))
+	outbound.Send([]byte(`{"event":"bind","cursor":` + strconv.FormatUint(l.lastRead.Load(), 10) + "}\n"))
 	l.outbound, l.supplied = outbound, map[string]bool{}
 	return true
 }
@@ -174,19 +177,19 @@
 
 var (
 	errNotice = errors.New("malformed notice")
-	errMoved  = errors.New("the address was left")
+	errMoved  = errors.New("the address has changed")
 )
 
-// notice is one line of the worker pool.
+// notice is one decoded line from the worker pool.
 type notice struct {
 	event, handle, fate, ticket string
 	cursor                      uint64
 	lasted                      time.Duration
 	figures                     []float64
-	body                        []byte // finished, blocked
+	body                        []byte // of finished and blocked
 }
 
-// parse reads one line of the worker pool.
+// parse decodes one line from the worker pool.
 func parse(line []byte) (n notice, err error) {
 	if !gjson.ValidBytes(line) {
 		return n, fmt.Errorf("%w: not JSON", errNotice)
@@ -223,18 +226,19 @@
 	return n, nil
 }
 
-// notice takes one line of the worker pool. One that cannot be read is asked for again.
-func (l *Link) notice(line []byte) error {
+// handle processes one line from the worker pool. An error closes the connection, and the next bind asks for the notice
+// again.
+func (l *Link) handle(line []byte) error {
 	n, err := parse(line)
 	if err != nil {
 		return err
 	}
 	if n.cursor > 0 {
-		if n.cursor <= l.read.Load() && !(l.anew && n.cursor == 1) { // it came already, on this link or an earlier one
+		if n.cursor <= l.lastRead.Load() && !(l.restarted && n.cursor == 1) { // already read
 			return nil
 		}
-		l.anew = false
-		defer l.read.Store(n.cursor)
+		l.restarted = false
+		defer l.lastRead.Store(n.cursor)
 	}
 	if n.event == "blocked" || n.event == "finished" {
 		l.mu.Lock()
@@ -243,8 +247,8 @@
 	}
 	switch n.event {
 	case "bound":
-		// Guards against notices of a pool that numbers them anew, taken for those that came already.
-		l.anew = l.anew || time.Now().Add(-n.lasted).After(l.bound)
+		// Prevents the notices of a restarted pool, which numbers them from 1, from being dropped as duplicates.
+		l.restarted = l.restarted || time.Now().Add(-n.lasted).After(l.bound)
 		l.bound = l.dialed
 		l.sink(core.PoolBound{Cold: n.fate == "chilly", Age: n.lasted})
 	case "polled":
@@ -254,7 +258,7 @@
 	case "blocked":
 		l.sink(core.PoolBlocked{Handle: n.handle, Notice: n.cursor, Body: n.body})
 	case "finished":
-		l.sink(core.PoolFinished{Handle: n.handle, End: end(n.fate), Took: n.lasted, Body: n.body})
+		l.sink(core.PoolFinished{Handle: n.handle, End: outcomeOf(n.fate), Took: n.lasted, Body: n.body})
 	case "unknown":
 		l.log.Warn("command not carried out", "command", n.fate, "handle", n.handle)
 		l.sink(core.PoolUnknown{Command: n.fate, Handle: n.handle})
@@ -262,7 +266,8 @@
 	return nil
 }
 
-func end(fate string) control.Outcome {
+// outcomeOf returns the outcome that a finished notice reports as its fate.
+func outcomeOf(fate string) control.Outcome {
 	switch fate {
 	case "complete":
 		return control.OK
@@ -274,31 +279,33 @@
 	return control.Errored
 }
 
+// command returns the opening of a command line; the caller appends the further fields and the closing brace.
 func command(event, handle string) []byte {
 	return []byte(`{"event":"` + event + `","handle":"` + handle + `"`)
 }
 
+// arg returns the arg field, body in base64, and the end of the command line.
 func arg(body []byte) []byte {
 	out := append(make([]byte, 0, base64.StdEncoding.EncodedLen(len(body))+16), `,"arg":"`...)
 	return append(base64.StdEncoding.AppendEncode(out, body), '"', '}', '\n')
 }
 
-// Cursor is the number of the last notice that was read. It is safe from any goroutine.
-func (l *Link) Cursor() uint64 { return l.read.Load() }
+// Cursor returns the number of the last notice read. It is safe for concurrent use.
+func (l *Link) Cursor() uint64 { return l.lastRead.Load() }
 
-// Run starts a request.
+// Run starts a run of a request of class with body under handle.
 func (l *Link) Run(handle, class string, body []byte) { l.send(spawn(handle, class, body)...) }
 
 func spawn(handle, class string, body []byte) [][]byte {
 	return [][]byte{command("spawn", handle), []byte(`,"entry":` + strconv.Quote(class)), arg(body)}
 }
 
-// Stop stops a run.
+// Stop asks the pool to stop a run.
 func (l *Link) Stop(handle string) { l.send(command("suspend", handle), []byte("}\n")) }
 
-// Supply gives a run the reply that it waits for, once on each link: a copy does nothing. Guards against a reply that goes
-// out on a new link before the core has heard of the end of the one before, and that it has sent again for that: the run
-// would take the copy for the reply to its next call.
+// Supply sends a run the reply it waits for, at most once on each connection. The core repeats a reply when it learns
+// that a connection has closed; if the reply has already gone out on the next connection, the run would take the copy
+// for the reply to its next call.
 func (l *Link) Supply(handle string, body []byte) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -312,17 +319,17 @@
 	return [][]byte{command("supply", handle), arg(body)}
 }
 
-// Pass has a run go on without the call that a notice asked for.
+// Pass has a run continue without the call that a blocked notice asked for.
 func (l *Link) Pass(handle string, notice uint64) {
 	l.send(command("pass", handle), []byte(`,"cursor":`+strconv.FormatUint(notice, 10)+"}\n"))
 }
 
-// Verify asks for the work of a deep health check.
+// Verify requests a deep health check, answered with a verified notice under ticket.
 func (l *Link) Verify(ticket string) {
 	l.send([]byte(`{"event":"verify","ticket":"` + ticket + "\"}\n"))
 }
 
-// Poll asks for the gauges.
+// Poll requests the gauges, answered with a polled notice under ticket.
 func (l *Link) Poll(ticket string) {
 	l.send([]byte(`{"event":"poll","ticket":"` + ticket + "\"}\n"))
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,13 +13,13 @@
 	"larchscale/internal/scenario"
 )
 
-// A link binds from the last notice it read, passes commands and notices on unchanged, and comes back after
-// a break; a notice that came twice counts once.
-func TestALinkBindsAndResumes(t *testing.T) {
-	stand := scenario.Listen(t)
+// A link binds from the last notice it read, passes commands and notices on unchanged, and reconnects after a break; a
+// notice received twice is reported once.
+func TestLinkBindsAndResumes(t *testing.T) {
+	listener := scenario.Listen(t)
 	events := make(chan core.Event, 16)
-	l := pool.New(stand.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
-	ctx, end := context.WithCancel(t.Context())
+	l := pool.New(listener.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
+	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { l.Keep(ctx); close(done) }()
 	expect := func(want ...core.Event) {
@@ -30,7 +30,7 @@
 			}
 		}
 	}
-	p := stand.Accept()
+	p := listener.Accept()
 	p.Expect(`^{"event":"bind","cursor":0}$`)
 	p.Send(`{"event":"bound","fate":"chilly","lasted":250}`, "\n")
 	expect(core.PoolBound{Cold: true, Age: 250e6})
@@ -52,27 +52,27 @@
 	expect(core.PoolBlocked{Handle: "a", Notice: 1, Body: []byte{0, 255, '"'}}, core.PoolPolled{Ticket: "7", Figures: []float64{0.5, 3}},
 		core.PoolVerified{Ticket: "v1", OK: true}, core.PoolVerified{Ticket: "v2"},
 		core.PoolUnknown{Command: "spawn", Handle: "x"})
-	p.Send(`{"event":"finished","cursor":3,`) // a notice in pieces that breaks off: it comes again
+	p.Send(`{"event":"finished","cursor":3,`) // a notice cut off by a break is sent again
 	p.Close()
 	expect(core.PoolLost{})
-	p = stand.Accept()
+	p = listener.Accept()
 	p.Expect(`^{"event":"bind","cursor":2}$`)
 	p.Send(`{"event":"bound","fate":"hot","lasted":1}`, "\n", `{"event":"blocked","cursor":2,"handle":"a","arg":""}`, "\n")
 	expect(core.PoolBound{Age: 1e6})
 	for i, fate := range []string{"complete", "error", "cancelled", "unknown"} {
 		p.Send(`{"event":"finished","cursor":`, string(rune('3'+i)), `,"handle":"a","fate":"`, fate, `","lasted":2,"arg":""}`, "\n")
 	}
-	for _, how := range []control.Outcome{control.OK, control.Errored, control.Stopped, control.Moot} {
-		expect(core.PoolFinished{Handle: "a", End: how, Took: 2e6, Body: []byte{}})
+	for _, outcome := range []control.Outcome{control.OK, control.Errored, control.Stopped, control.Moot} {
+		expect(core.PoolFinished{Handle: "a", End: outcome, Took: 2e6, Body: []byte{}})
 	}
-	p.Send("no notice\n") // what cannot be read ends the link
+	p.Send("no notice\n") // a malformed notice closes the connection
 	expect(core.PoolLost{})
-	p = stand.Accept()
+	p = listener.Accept()
 	p.Expect(`^{"event":"bind","cursor":6}$`)
 	next := scenario.Listen(t)
 	l.Move(next.Addr)
 	expect(core.PoolLost{})
-	next.Accept().Expect(`^{"event":"bind","cursor":6}$`) // the numbers go on
-	end()
+	next.Accept().Expect(`^{"event":"bind","cursor":6}$`) // the cursor continues at the new address
+	stop()
 	<-done
 }
--- a/internal/pool/run_test.go
+++ b/internal/pool/run_test.go
@@ -13,90 +13,91 @@
 	"larchscale/internal/scenario"
 )
 
-// box is a core and its link to a stand-in worker pool. What it answers and calls comes as lines.
-type box struct {
+// testServer is a core and its link to a stand-in worker pool. It records its answers and calls as lines.
+type testServer struct {
 	*core.Core
 	*pool.Link
-	t     *testing.T
-	stand *scenario.Stand
-	said  chan string
-	stall chan bool // the loop stands still in the answer to a request of that name until told to go on
+	t        *testing.T
+	listener *scenario.Stand
+	lines    chan string
+	stall    chan bool // the answer to the request "stall" blocks the core loop until a value is sent
 }
 
-type told struct {
-	*box
+// recordedReply records the answer to the request with handle.
+type recordedReply struct {
+	*testServer
 	handle string
 }
 
-func (b *box) Drain(time.Duration)            {}
-func (b *box) Close(uint64, core.CloseReason) {}
-func (b *box) Report(bool)                    {}
-func (b *box) Silence()                       {}
-func (b *box) Abandon(string)                 {}
-func (b *box) Call(h string, _ uint64, _ string, _ uint64, _ time.Duration, _ bool, _ []byte) {
-	b.said <- "call " + h
+func (s *testServer) Drain(time.Duration)            {}
+func (s *testServer) Close(uint64, core.CloseReason) {}
+func (s *testServer) Report(bool)                    {}
+func (s *testServer) Silence()                       {}
+func (s *testServer) Abandon(string)                 {}
+func (s *testServer) Call(h string, _ uint64, _ string, _ uint64, _ time.Duration, _ bool, _ []byte) {
+	s.lines <- "call " + h
 }
-func (r told) Answer(a core.Answer) {
-	word := map[core.Kind]string{core.Served: "served ", core.Failed: "failed ", core.TimedOut: "out of time ", core.Refused: "refused "}[a.Kind]
-	r.said <- word + r.handle
+func (r recordedReply) Answer(a core.Answer) {
+	prefix := map[core.Kind]string{core.Served: "served ", core.Failed: "failed ", core.TimedOut: "out of time ", core.Refused: "refused "}[a.Kind]
+	r.lines <- prefix + r.handle
 	if r.handle == "stall" {
 		r.stall <- true
 		<-r.stall
 	}
 }
 
-// start gives a box whose pool is bound.
-func start(t *testing.T) (*box, *scenario.Peer) {
+// start returns a server whose pool is bound, and the pool's end of the connection.
+func start(t *testing.T) (*testServer, *scenario.Peer) {
 	site, log := scenario.Site(), slog.New(slog.DiscardHandler)
-	b := &box{Core: core.New(site, log), t: t, stand: scenario.Listen(t), said: make(chan string, 64), stall: make(chan bool)}
-	b.Link = pool.New(b.stand.Addr, b.Core.Send, log)
-	b.Attach(b.Link, b, b, nil)
-	ctx, end := context.WithCancel(context.Background())
+	s := &testServer{Core: core.New(site, log), t: t, listener: scenario.Listen(t), lines: make(chan string, 64), stall: make(chan bool)}
+	s.Link = pool.New(s.listener.Addr, s.Core.Send, log)
+	s.Attach(s.Link, s, s, nil)
+	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan bool, 2)
-	go func() { b.Core.Run(ctx); done <- true }()
-	go func() { b.Link.Keep(ctx); done <- true }()
-	t.Cleanup(func() { end(); <-done; <-done })
-	b.Core.Send(core.Opened{Session: b})
-	p := b.bind(0)
+	go func() { s.Core.Run(ctx); done <- true }()
+	go func() { s.Link.Keep(ctx); done <- true }()
+	t.Cleanup(func() { stop(); <-done; <-done })
+	s.Core.Send(core.Opened{Session: s})
+	p := s.bind(0)
 	p.Send(`{"event":"chatter","cursor":1}`, "\n")
-	b.poll(p)
-	return b, p
+	s.poll(p)
+	return s, p
 }
 
-// bind takes the next link and is one pool throughout.
-func (b *box) bind(cursor int) *scenario.Peer {
-	b.t.Helper()
-	p := b.stand.Accept()
+// bind accepts the next connection, always as the same pool.
+func (s *testServer) bind(cursor int) *scenario.Peer {
+	s.t.Helper()
+	p := s.listener.Accept()
 	p.Expect(`"bind","cursor":` + string(rune('0'+cursor)) + `}`)
 	p.Send(`{"event":"bound","fate":"hot","lasted":3600000}`, "\n")
 	return p
 }
 
-// poll answers the next question: all that was sent before the answer has come to the core.
-func (b *box) poll(p *scenario.Peer) {
-	b.t.Helper()
+// poll answers the next poll; everything sent before the answer has then reached the core.
+func (s *testServer) poll(p *scenario.Peer) {
+	s.t.Helper()
 	p.Send(`{"event":"polled","ticket":"`, p.Expect(`"poll","ticket":"(\w+)"`)[1], `","figures":[0.1,0]}`, "\n")
 }
 
-// ask sends a request of which the box reads the run.
-func (b *box) ask(handle, class, token string, budget time.Duration) {
-	b.Core.Send(core.Arrive{Session: b, Reply: told{b, handle}, Req: core.Incoming{Handle: handle, Class: map[string]int{"quote": 0, "book": 1}[class],
+// ask delivers a request to the core.
+func (s *testServer) ask(handle, class, token string, budget time.Duration) {
+	s.Core.Send(core.Arrive{Session: s, Reply: recordedReply{s, handle}, Req: core.Incoming{Handle: handle, Class: map[string]int{"quote": 0, "book": 1}[class],
 		Arrived: time.Now(), Budget: budget, Rank: 0.9, Memory: 10, Token: token, Body: []byte("body")}})
 }
 
-func (b *box) expect(want ...string) {
-	b.t.Helper()
+func (s *testServer) expect(want ...string) {
+	s.t.Helper()
 	for _, w := range want {
-		if got := wait(b.t, b.said); got != w {
-			b.t.Errorf("%q, expected %q", got, w)
+		if got := receive(s.t, s.lines); got != w {
+			s.t.Errorf("%q, expected %q", got, w)
 		}
 	}
 }
 
-// resync takes a link after a break, up to the question that follows all notices missed, which are sent before its answer.
-func (b *box) resync(cursor int, missed ...string) *scenario.Peer {
-	b.t.Helper()
-	p := b.bind(cursor)
+// resync accepts the next connection after a break, sends the missed notices and answers the poll that follows them.
+func (s *testServer) resync(cursor int, missed ...string) *scenario.Peer {
+	s.t.Helper()
+	p := s.bind(cursor)
 	ticket := p.Expect(`"poll","ticket":"(r\d+)"`)[1]
 	for _, m := range missed {
 		p.Send(m)
@@ -105,122 +106,124 @@
 	return p
 }
 
-func done(cursor, handle string) string {
+// finishedNotice is the notice that a run completed.
+func finishedNotice(cursor, handle string) string {
 	return `{"event":"finished","cursor":` + cursor + `,"handle":"` + handle + `","fate":"complete","lasted":2,"arg":""}` + "\n"
 }
 
-// A link ends with what the pool never read, or with notices that the box never read: each run is asked for until it has
-// shown itself, and ends once, however often its end is told.
-func TestALinkEndsWithARunOnIt(t *testing.T) {
+// A connection breaks with commands that the pool never read, or notices that the server never read. A run is requested
+// until the pool has sent a notice of it, and it finishes once, however often its end is reported.
+func TestLinkBreaksWithOpenRun(t *testing.T) {
 	spawn := `"spawn","handle":"a"`
-	t.Run("asked for and not read", func(t *testing.T) {
-		b, p := start(t)
-		b.ask("a", "book", "k", 4*time.Second)
-		p.Expect(spawn) // it left; whether the pool took it nobody can tell
+	t.Run("request not read", func(t *testing.T) {
+		s, p := start(t)
+		s.ask("a", "book", "k", 4*time.Second)
+		p.Expect(spawn) // sent, but it is unknown whether the pool read it
 		p.Close()
-		p = b.resync(1)
+		p = s.resync(1)
 		p.Expect(spawn)
-		p.Send(done("2", "a"), done("2", "a"), done("3", "a"))
-		b.expect("served a")
-		b.ask("b", "book", "k", 4*time.Second)
-		b.expect("served b")
+		p.Send(finishedNotice("2", "a"), finishedNotice("2", "a"), finishedNotice("3", "a"))
+		s.expect("served a")
+		s.ask("b", "book", "k", 4*time.Second)
+		s.expect("served b")
 	})
-	t.Run("ended meanwhile, told on two links", func(t *testing.T) {
-		b, p := start(t)
-		b.ask("a", "book", "k", 4*time.Second)
+	t.Run("end reported on two connections", func(t *testing.T) {
+		s, p := start(t)
+		s.ask("a", "book", "k", 4*time.Second)
 		p.Expect(spawn)
-		p.Send(strings.TrimSuffix(done("2", "a"), "}\n")) // it breaks off
+		p.Send(strings.TrimSuffix(finishedNotice("2", "a"), "}\n")) // cut off
 		p.Close()
-		p = b.resync(1, done("2", "a"))
-		b.expect("served a")
-		b.ask("b", "quote", "", 4*time.Second)
+		p = s.resync(1, finishedNotice("2", "a"))
+		s.expect("served a")
+		s.ask("b", "quote", "", 4*time.Second)
 		p.Expect(`"handle":"b"`)
 		p.Close()
-		b.resync(2, done("2", "a"), done("3", "b"))
-		b.expect("served b")
-		if len(b.said) > 0 {
-			t.Errorf("a further %q", <-b.said)
+		s.resync(2, finishedNotice("2", "a"), finishedNotice("3", "b"))
+		s.expect("served b")
+		if len(s.lines) > 0 {
+			t.Errorf("unexpected %q", <-s.lines)
 		}
 	})
-	t.Run("told to stop as it ends", func(t *testing.T) {
-		b, p := start(t)
-		b.ask("a", "quote", "", 4*time.Second)
+	t.Run("stopped as it finishes", func(t *testing.T) {
+		s, p := start(t)
+		s.ask("a", "quote", "", 4*time.Second)
 		p.Expect(spawn)
-		b.Core.Send(core.Withdraw{Session: b, Handle: "a"})
+		s.Core.Send(core.Withdraw{Session: s, Handle: "a"})
 		p.Expect(`"suspend","handle":"a"`)
-		p.Send(done("2", "a"), `{"event":"unknown","fate":"suspend","handle":"a"}`, "\n")
-		b.ask("b", "quote", "", 4*time.Second)
+		p.Send(finishedNotice("2", "a"), `{"event":"unknown","fate":"suspend","handle":"a"}`, "\n")
+		s.ask("b", "quote", "", 4*time.Second)
 		p.Expect(`"handle":"b"`)
-		p.Send(done("3", "b"))
-		b.expect("served b")
+		p.Send(finishedNotice("3", "b"))
+		s.expect("served b")
 	})
-	t.Run("given its reply as the link ends", func(t *testing.T) {
-		b, p := start(t)
-		b.ask("a", "book", "k", 4*time.Second)
+	t.Run("reply sent as the connection breaks", func(t *testing.T) {
+		s, p := start(t)
+		s.ask("a", "book", "k", 4*time.Second)
 		p.Expect(spawn)
 		p.Send(`{"event":"blocked","cursor":2,"handle":"a","arg":""}`, "\n")
-		b.expect("call a")
-		b.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
+		s.expect("call a")
+		s.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
 		p.Expect(`"supply","handle":"a","arg":"cg=="`)
 		p.Close()
-		p = b.resync(2)
+		p = s.resync(2)
 		p.Expect(`"supply","handle":"a","arg":"cg=="`)
-		p.Send(done("3", "a"))
-		b.expect("served a")
+		p.Send(finishedNotice("3", "a"))
+		s.expect("served a")
 	})
-	t.Run("given its reply without a link, after it was told on the old one", func(t *testing.T) {
-		b, p := start(t)
-		b.ask("a", "book", "k", 4*time.Second)
+	t.Run("reply given while disconnected", func(t *testing.T) {
+		s, p := start(t)
+		s.ask("a", "book", "k", 4*time.Second)
 		p.Expect(spawn)
 		p.Send(`{"event":"blocked","cursor":2,"handle":"a","arg":""}`, "\n")
-		b.expect("call a")
+		s.expect("call a")
 		p.Close()
-		p = b.bind(2)
+		p = s.bind(2)
 		ticket := p.Expect(`"poll","ticket":"(r\d+)"`)[1]
-		b.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
+		s.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
 		p.Send(`{"event":"polled","ticket":"`, ticket, `","figures":[0.1,0]}`, "\n")
 		p.Expect(`"supply","handle":"a","arg":"cg=="`)
-		p.Send(done("3", "a"))
-		b.expect("served a")
+		p.Send(finishedNotice("3", "a"))
+		s.expect("served a")
 	})
 }
 
-// A link that goes silent without an end is kept: nothing tells it from a pool that is busy. A request is answered when it is
-// due all the same (core's TestASilentRunIsAnsweredByItsDueTime has the time of it), a write is asked for once, and what the
-// pool says when it speaks again counts.
-func TestALinkThatGoesSilent(t *testing.T) {
-	b, p := start(t)
-	b.ask("a", "book", "k", 700*time.Millisecond)
+// A silent connection is kept, because it cannot be told from a busy pool. A request is still answered when it is due
+// (core's TestASilentRunIsAnsweredByItsDueTime checks the time), a write is requested once, and the notices that the
+// pool sends later are accepted.
+func TestSilentLinkIsKept(t *testing.T) {
+	s, p := start(t)
+	s.ask("a", "book", "k", 700*time.Millisecond)
 	p.Expect(`"spawn","handle":"a"`)
-	b.expect("out of time a")
-	b.ask("b", "book", "k", 4*time.Second) // the run of its key may go on
-	p.Send(done("2", "a"))
-	b.expect("served b")
-	b.ask("c", "quote", "", 4*time.Second)
+	s.expect("out of time a")
+	s.ask("b", "book", "k", 4*time.Second) // the run of its key may still be in progress
+	p.Send(finishedNotice("2", "a"))
+	s.expect("served b")
+	s.ask("c", "quote", "", 4*time.Second)
 	if got := p.Expect(`"spawn","handle":"(\w)"`)[1]; got != "c" {
-		t.Errorf("%s was asked for", got)
+		t.Errorf("run %s was requested", got)
 	}
-	p.Send(done("3", "c"))
-	b.expect("served c")
+	p.Send(finishedNotice("3", "c"))
+	s.expect("served c")
 }
 
-// A reply is given while the loop has not heard yet that the link it knows has ended, and another is up: it goes out on that
-// one, and is not given there again. The run would take the copy for the reply to its next call.
-func TestAReplyCrossesTheEndOfALink(t *testing.T) {
-	b, p := start(t)
+// A reply is supplied after a connection broke and the next one is up, but before the core loop has processed the
+// break. It goes out on the new connection and must not be repeated there: the run would take the copy for the reply to
+// its next call.
+func TestReplyIsSentOnceAcrossReconnect(t *testing.T) {
+	s, p := start(t)
 	for _, h := range []string{"a", "stall"} {
-		b.ask(h, "quote", "", 4*time.Second)
+		s.ask(h, "quote", "", 4*time.Second)
 		p.Expect(`"spawn","handle":"` + h + `"`)
 	}
 	p.Send(`{"event":"blocked","cursor":2,"handle":"a","arg":""}`, "\n")
-	b.expect("call a")
-	p.Send(done("3", "stall"))
-	b.expect("served stall")
-	wait(t, b.stall)
-	b.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
+	s.expect("call a")
+	p.Send(finishedNotice("3", "stall"))
+	s.expect("served stall")
+	receive(t, s.stall)
+	s.Core.Send(core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("r")})
 	p.Close()
-	p = b.bind(3)
-	b.stall <- true
+	p = s.bind(3)
+	s.stall <- true
 	supplies := 0
 	for ticket := ""; !strings.HasPrefix(ticket, "r"); {
 		m := p.Expect(`"supply","handle":"a"|"poll","ticket":"(\w+)"`)
@@ -230,19 +233,19 @@
 		}
 		p.Send(`{"event":"polled","ticket":"`, ticket, `","figures":[0.1,0]}`, "\n")
 	}
-	b.ask("c", "quote", "", 4*time.Second)
-	for m := []string{"", ""}; m[1] == ""; { // what is sent again comes before it
+	s.ask("c", "quote", "", 4*time.Second)
+	for m := []string{"", ""}; m[1] == ""; { // repeated commands come before it
 		if m = p.Expect(`"supply","handle":"a"|"spawn","handle":"(c)"`); m[1] == "" {
 			supplies++
 		}
 	}
 	if supplies != 1 {
-		t.Errorf("the reply was given %d times on one link", supplies)
+		t.Errorf("the reply was sent %d times on one connection", supplies)
 	}
-	p.Send(`{"event":"blocked","cursor":4,"handle":"a","arg":""}`, "\n") // its next call has its own reply
-	b.expect("call a")
-	b.Core.Send(core.CallEnded{Handle: "a", Number: 2, Outcome: control.OK, Body: []byte("s")})
+	p.Send(`{"event":"blocked","cursor":4,"handle":"a","arg":""}`, "\n") // the next call gets its own reply
+	s.expect("call a")
+	s.Core.Send(core.CallEnded{Handle: "a", Number: 2, Outcome: control.OK, Body: []byte("s")})
 	p.Expect(`"supply","handle":"a","arg":"cw=="`)
-	p.Send(done("5", "a"))
-	b.expect("served a")
+	p.Send(finishedNotice("5", "a"))
+	s.expect("served a")
 }
