--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,6 +1,6 @@
-// Package link is the way from box to box: one listener on which boxes that may talk serve each other over HTTP, and
-// a client for each of them. Between machines both sides show certificates, whose name is the box's. It knows nothing
-// of what is said.
+// Package link connects the servers of a fleet over HTTP: one listener on which a server answers the others, and a
+// client for each of them. Between machines both sides authenticate by certificates that carry the server's name. The
+// package does not interpret the messages.
 package link
 
 import (
@@ -26,36 +26,36 @@
 	"larchscale/internal/fleet/limits"
 )
 
-// Options say where a box listens for others, and which there are.
+// Options configure where a server listens for the others and which others there are.
 type Options struct {
 	Listen string   `toml:"listen"`
 	Boxes  []string `toml:"boxes"` // "name=host:port"
 	CA     string   `toml:"ca"`
 	Cert   string   `toml:"cert"`
 	Key    string   `toml:"key"`
-	// Lines is how many connections each box has to each other, 0 = one.
+	// Lines is the number of connections that each server has to each other one; 0 means one.
 	Lines int `toml:"-"`
 }
 
 const (
-	maxBoxes  = limits.MaxMeshServers
-	spare     = 8       // connections of others than the boxes: operators
-	MaxAnswer = 1 << 20 // bytes that are read of one
-	maxHead   = 8 << 10
-	// Within is how long a box has for one request, and for its answer.
+	maxBoxes       = limits.MaxMeshServers
+	operatorConns  = 8       // connections for operators, beside those of the servers
+	MaxAnswer      = 1 << 20 // bytes of a response
+	maxHeaderBytes = 8 << 10 // bytes of the headers
+	// Within bounds the time to read a request and, at callers, the wait for a response.
 	Within = 5 * time.Second
 )
 
-// ErrAnswer is a box that answers with something else than asked for.
-var ErrAnswer = errors.New("not an answer")
+// ErrAnswer reports a response that is too long or whose status is not 200.
+var ErrAnswer = errors.New("unexpected response")
 
-// ErrNotFound is a box that has nothing of what was asked for.
+// ErrNotFound reports a response of status 404: the server does not have what was asked for.
 var ErrNotFound = fmt.Errorf("not found: %w", ErrAnswer)
 
-// Box is another box, and how it is reached.
+// Box is another server and the address on which it listens.
 type Box struct{ Name, Addr string }
 
-// Others are the boxes that the options name.
+// Others returns the servers that the options name.
 func (o *Options) Others() []Box {
 	out := make([]Box, len(o.Boxes))
 	for i, b := range o.Boxes {
@@ -64,21 +64,21 @@
 	return out
 }
 
-func (o *Options) lines() int { return max(1, o.Lines) }
+func (o *Options) connsPerServer() int { return max(1, o.Lines) }
 
-// conns bounds the connections that others have to this box: their lines, one that ends while the next begins, and
-// those of operators.
-func (o *Options) conns() int { return (o.lines()+1)*len(o.Boxes) + spare }
+// maxConns bounds the connections that others have to this server: those of each server, one more of each that is
+// closing while the next one opens, and those of operators.
+func (o *Options) maxConns() int { return (o.connsPerServer()+1)*len(o.Boxes) + operatorConns }
 
-// Sockets is how many descriptors the link may take, both ways; 0 = there is none.
+// Sockets returns how many descriptors the link may use in both directions; 0 if it is off.
 func (o *Options) Sockets() int {
 	if o.Listen == "" {
 		return 0
 	}
-	return 1 + o.conns() + o.lines()*len(o.Boxes)
+	return 1 + o.maxConns() + o.connsPerServer()*len(o.Boxes)
 }
 
-// Check finds what cannot be, naming the keys as those of a table.
+// Check validates the options. Its errors name the keys as those of table.
 func (o *Options) Check(table string) error {
 	if o.Listen == "" {
 		if len(o.Boxes) > 0 {
@@ -87,33 +87,33 @@
 		return nil
 	}
 	if len(o.Boxes) > maxBoxes {
-		return fmt.Errorf("%s: %d boxes, %d at most", table, len(o.Boxes), maxBoxes)
+		return fmt.Errorf("%s.boxes: %d servers, at most %d", table, len(o.Boxes), maxBoxes)
 	}
-	bare := 0
+	loopbackCount := 0
 	addrs := []string{o.Listen}
 	for _, b := range o.Boxes {
-		name, addr, ok := strings.Cut(b, "=")
-		if !ok || name == "" {
-			return fmt.Errorf("%s.boxes: %q is no name=host:port", table, b)
+		name, addr, found := strings.Cut(b, "=")
+		if !found || name == "" {
+			return fmt.Errorf("%s.boxes: %q is not name=host:port", table, b)
 		}
 		addrs = append(addrs, addr)
 	}
 	for _, a := range addrs {
 		host, port, err := net.SplitHostPort(a)
 		ip := net.ParseIP(host)
-		if _, bad := strconv.ParseUint(port, 10, 16); err != nil || bad != nil || ip == nil {
-			return fmt.Errorf("%s: %q is no address", table, a)
+		if _, badPort := strconv.ParseUint(port, 10, 16); err != nil || badPort != nil || ip == nil {
+			return fmt.Errorf("%s: %q is not an IP address and port", table, a)
 		}
 		if ip.IsLoopback() {
-			bare++
+			loopbackCount++
 		}
 	}
-	switch set := o.CA != "" && o.Cert != "" && o.Key != ""; {
-	case !set && o.CA+o.Cert+o.Key != "":
-		return fmt.Errorf("%s: ca, cert and key go together", table)
-	case !set && bare < len(addrs):
-		return fmt.Errorf("%s: only mutual TLS leaves the machine: set ca, cert and key", table)
-	case set:
+	switch tlsSet := o.CA != "" && o.Cert != "" && o.Key != ""; {
+	case !tlsSet && o.CA+o.Cert+o.Key != "":
+		return fmt.Errorf("%s: ca, cert and key must be set together", table)
+	case !tlsSet && loopbackCount < len(addrs):
+		return fmt.Errorf("%s: addresses off this machine need mutual TLS: set ca, cert and key", table)
+	case tlsSet:
 		if _, err := o.TLS(); err != nil {
 			return fmt.Errorf("%s.%w", table, err)
 		}
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// TLS returns the configuration of both sides, which show and ask for certificates; nil = without.
+// TLS returns the mutual TLS configuration of both sides; nil without TLS.
 func (o *Options) TLS() (*tls.Config, error) {
 	if o.CA == "" {
 		return nil, nil
@@ -130,28 +130,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("ca: %w", err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(pem) {
+	roots := x509.NewCertPool()
+	if !roots.AppendCertsFromPEM(pem) {
 		return nil, fmt.Errorf("ca: no certificate in %s", o.CA)
 	}
-	p, err := export.LoadPair(o.Cert, o.Key)
+	pair, err := export.LoadPair(o.Cert, o.Key)
 	if err != nil {
 		return nil, fmt.Errorf("cert: %w", err)
 	}
-	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: pool, ClientCAs: pool, ClientAuth: tls.RequireAndVerifyClientCert,
-		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return p.Get() },
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return p.Get() }}, nil
+	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
+		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.Get() },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Get() }}, nil
 }
 
-// Observer sees what passes over a link, for measurements. A function that is nil sees nothing.
+// Observer holds hooks on the traffic of a link, for measurements. Either may be nil.
 type Observer struct {
-	// Conn wraps each connection, accepted or dialled, below TLS.
+	// Conn wraps each connection, accepted or dialed, below TLS.
 	Conn func(net.Conn) net.Conn
-	// Request is told of each request that the link is about to send.
+	// Request is called before each request that the link sends.
 	Request func(path string)
 }
 
-// Link is one box's side.
+// Link is one server's side: it serves the other servers and makes clients for them.
 type Link struct {
 	opt      Options
 	tls      *tls.Config
@@ -159,7 +159,7 @@
 	observer Observer
 }
 
-// New makes a link.
+// New returns a link, or an error if the certificates cannot be read.
 func New(opt Options, log *slog.Logger) (*Link, error) {
 	c, err := opt.TLS()
 	if err != nil {
@@ -168,33 +168,33 @@
 	return &Link{opt: opt, tls: c, log: log}, nil
 }
 
-// Observe has an observer see all that passes. It is called before Listen and Dial.
+// Observe sets the observer. It must be called before Listen and Dial.
 func (l *Link) Observe(o Observer) { l.observer = o }
 
-// Listen opens the port on which other boxes ask, for Serve.
+// Listen opens the listener for Serve.
 func (l *Link) Listen() (net.Listener, error) {
-	in, err := net.Listen("tcp", l.opt.Listen)
+	listener, err := net.Listen("tcp", l.opt.Listen)
 	if err == nil && l.observer.Conn != nil {
-		in = &observedListener{in, l.observer.Conn}
+		listener = &observedListener{listener, l.observer.Conn}
 	}
-	return in, err
+	return listener, err
 }
 
-// Serve answers on in until ctx ends. The connections open at a time are bounded. TLS is the outermost layer: a handler
-// finds the certificate of who asks in Request.TLS.
-func (l *Link) Serve(ctx context.Context, in net.Listener, h http.Handler) {
+// Serve serves h on listener until ctx ends, on a bounded number of connections. TLS is the outermost layer: a handler
+// finds the caller's certificate in Request.TLS.
+func (l *Link) Serve(ctx context.Context, listener net.Listener, h http.Handler) {
 	s := &http.Server{Handler: h, ReadHeaderTimeout: Within, ReadTimeout: Within, WriteTimeout: 2 * Within, IdleTimeout: time.Minute,
-		MaxHeaderBytes: maxHead, ErrorLog: log.New(serverErrors{l.log}, "", 0)}
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(serverErrors{l.log}, "", 0)}
 	defer context.AfterFunc(ctx, func() { s.Close() })()
-	in = Limit(in, l.opt.conns())
+	listener = Limit(listener, l.opt.maxConns())
 	if l.tls != nil {
-		in = tls.NewListener(in, l.tls)
+		listener = tls.NewListener(listener, l.tls)
 	}
-	s.Serve(in)
+	s.Serve(listener)
 }
 
-// serverErrors logs what net/http has to say under one message: it names the peer's address and port, and a message of
-// its own for each would never be held back as a repetition.
+// serverErrors logs the errors of net/http under one message. Their texts name the peer's address and port: as messages
+// they would all differ, and the log's rate limit per message would never apply.
 type serverErrors struct{ log *slog.Logger }
 
 func (e serverErrors) Write(line []byte) (int, error) {
@@ -202,12 +202,12 @@
 	return len(line), nil
 }
 
-// Limit returns a listener that has at most so many connections open at a time; it closes further ones at once.
-func Limit(in net.Listener, most int) net.Listener {
-	return &limited{Listener: in, free: make(chan struct{}, most)}
+// Limit returns a listener that keeps at most limit connections open and closes further ones at once.
+func Limit(inner net.Listener, limit int) net.Listener {
+	return &limitListener{Listener: inner, slots: make(chan struct{}, limit)}
 }
 
-// observedListener wraps the connections that it accepts.
+// observedListener passes the connections that it accepts through wrap.
 type observedListener struct {
 	net.Listener
 	wrap func(net.Conn) net.Conn
@@ -222,27 +222,29 @@
 	return l.wrap(c), nil
 }
 
-// limited bounds the connections that are open at a time; more are closed at once.
-type limited struct {
+// limitListener is the listener that Limit returns.
+type limitListener struct {
 	net.Listener
-	free chan struct{}
+	slots chan struct{}
 }
 
+// limitedConn frees its slot when it is closed.
 type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free chan struct{}
+	once  sync.Once
+	slots chan struct{}
 }
 
-func (l *limited) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		select {
-		case l.free <- struct{}{}:
-			return &limitedConn{Conn: c, free: l.free}, nil
+		case l.slots <- struct{}{}:
+			return &limitedConn{Conn: c, slots: l.slots}, nil
 		default:
 			c.Close()
 		}
@@ -250,23 +252,23 @@
 }
 
 func (c *limitedConn) Close() error {
-	c.once.Do(func() { <-c.free })
+	c.once.Do(func() { <-c.slots })
 	return c.Conn.Close()
 }
 
-// Client asks one box, on one connection.
+// Client sends requests to one server over one connection.
 type Client struct {
 	http     *http.Client
 	base     url.URL
 	observer Observer
 }
 
-// Dial makes a client for a box: its certificate is its own, wherever it listens. Nothing is sent yet.
+// Dial returns a client for the server name at addr, whose certificate must carry that name. It does not connect yet.
 func (l *Link) Dial(name, addr string) *Client {
-	t := &http.Transport{MaxConnsPerHost: 1, MaxResponseHeaderBytes: maxHead, Proxy: nil}
+	t := &http.Transport{MaxConnsPerHost: 1, MaxResponseHeaderBytes: maxHeaderBytes, Proxy: nil}
 	if wrap := l.observer.Conn; wrap != nil {
-		t.DialContext = func(ctx context.Context, network, to string) (net.Conn, error) {
-			c, err := new(net.Dialer).DialContext(ctx, network, to)
+		t.DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
+			c, err := new(net.Dialer).DialContext(ctx, network, address)
 			if err != nil {
 				return nil, err
 			}
@@ -286,20 +288,20 @@
 // Close closes the client's connection once it is idle.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Get asks for path and reads the answer, within its bound.
+// Get requests path and returns the response body, of at most MaxAnswer bytes.
 func (c *Client) Get(ctx context.Context, path string, query url.Values) ([]byte, error) {
-	return c.ask(ctx, http.MethodGet, path, query, nil)
+	return c.do(ctx, http.MethodGet, path, query, nil)
 }
 
-// Post sends a body to path and reads the answer, within its bound.
+// Post sends body to path and returns the response body, of at most MaxAnswer bytes.
 func (c *Client) Post(ctx context.Context, path string, body []byte) ([]byte, error) {
-	return c.ask(ctx, http.MethodPost, path, nil, body)
+	return c.do(ctx, http.MethodPost, path, nil, body)
 }
 
-func (c *Client) ask(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
-	u := c.base
-	u.Path, u.RawQuery = path, query.Encode()
-	req, err := http.NewRequestWithContext(ctx, method, u.String(), bytes.NewReader(body))
+func (c *Client) do(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
+	target := c.base
+	target.Path, target.RawQuery = path, query.Encode()
+	req, err := http.NewRequestWithContext(ctx, method, target.String(), bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
