--- a/internal/sock/ending_test.go
+++ b/internal/sock/ending_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// serving is a server on a real address that is stopped with the test.
-func serving(t *testing.T, limit int, handle func(net.Conn, *WriteQueue)) (*Server, string) {
+// startServer starts a server on a real address that is stopped with the test.
+func startServer(t *testing.T, limit int, handle func(net.Conn, *WriteQueue)) (*Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -21,25 +21,25 @@
 	return s, l.Addr().String()
 }
 
-// until waits for what a test cannot be told of.
-func until(t *testing.T, what string, ok func() bool) {
+// waitUntil polls ok and fails the test with problem after 10 s.
+func waitUntil(t *testing.T, problem string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what)
+			t.Fatal(problem)
 		}
 	}
 }
 
-// A connection ends while bytes stand unread on it and its peer has not read what was written: a plain close resets it,
-// and most of the answer is lost. The peer reads only when all has been written and the end has begun.
-func TestAnEndOverUnreadBytesKeepsTheAnswer(t *testing.T) {
+// A connection is closed with unread input, before the peer has read the answer: a plain close would reset it and lose
+// most of the answer. The peer reads only after everything has been written and the close has begun.
+func TestCloseWithUnreadInputKeepsAnswer(t *testing.T) {
 	answer := bytes.Repeat([]byte("x"), 400<<10)
 	sent, begun := make(chan struct{}), make(chan *WriteQueue, 1)
-	_, addr := serving(t, 4, func(c net.Conn, q *WriteQueue) {
+	_, addr := startServer(t, 4, func(c net.Conn, q *WriteQueue) {
 		c.(*net.TCPConn).SetWriteBuffer(1 << 20)
 		<-sent
-		io.ReadFull(c, make([]byte, 1)) // the rest stands unread
+		io.ReadFull(c, make([]byte, 1)) // the rest stays unread
 		q.Send(answer)
 		q.Close()
 		<-q.flushed
@@ -50,75 +50,75 @@
 	c.Write(make([]byte, 10<<10))
 	close(sent)
 	q := <-begun
-	select { // a plain close is done by now
+	select { // a plain close would be done by now
 	case <-q.Done():
 	case <-time.After(50 * time.Millisecond):
 	}
-	c.Write([]byte("what comes after the end"))
+	c.Write([]byte("sent after the close began"))
 	c.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if got, err := io.ReadAll(c); err != nil || !bytes.Equal(got, answer) {
-		t.Errorf("%d of %d bytes, %v", len(got), len(answer), err)
+		t.Errorf("read %d of %d bytes, error %v", len(got), len(answer), err)
 	}
 	c.Close()
 	<-q.Done()
 }
 
-// Peers that never close keep no place: they linger for lingerFor, and only an eighth of all at a time.
-func TestPeersThatNeverCloseKeepNoPlace(t *testing.T) {
-	s, addr := serving(t, 16, func(_ net.Conn, q *WriteQueue) { q.Close() })
+// Peers that never close do not hold slots: they linger for at most lingerTimeout, in at most an eighth of all slots.
+func TestPeersThatNeverCloseReleaseSlots(t *testing.T) {
+	s, addr := startServer(t, 16, func(_ net.Conn, q *WriteQueue) { q.Close() })
 	start := time.Now()
 	conns := dialAll(t, addr, 10)
 	for _, c := range conns {
 		c.SetReadDeadline(start.Add(5 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("no end: %v", err)
+			t.Errorf("connection not closed: %v", err)
 		}
 	}
-	until(t, "more than two linger", func() bool { return s.Conns() <= 2 })
-	if d := time.Since(start); d > lingerFor {
-		t.Errorf("the others went after %v", d)
+	waitUntil(t, "more than two connections linger", func() bool { return s.Conns() <= 2 })
+	if d := time.Since(start); d > lingerTimeout {
+		t.Errorf("the others were closed after %v", d)
 	}
-	until(t, "they linger on", func() bool { return s.Conns() == 0 })
+	waitUntil(t, "connections linger after lingerTimeout", func() bool { return s.Conns() == 0 })
 }
 
-// A newcomer that finds all places taken by those that linger does not wait for their time.
-func TestANewcomerTakesThePlaceOfOneThatLingers(t *testing.T) {
-	let := make(chan struct{}, 1)
-	s, addr := serving(t, 1, func(c net.Conn, q *WriteQueue) {
-		<-let
+// A new connection that finds all slots held by lingering ones does not wait for their timeout.
+func TestNewConnectionTakesSlotOfLingeringOne(t *testing.T) {
+	release := make(chan struct{}, 1)
+	s, addr := startServer(t, 1, func(c net.Conn, q *WriteQueue) {
+		<-release
 		q.Send([]byte("ok"))
 	})
 	start := time.Now()
 	for range 10 { // none of them closes
-		let <- struct{}{}
-		if n := unheard(dialAll(t, addr, 1)); n != 0 {
-			t.Fatal("not heard")
+		release <- struct{}{}
+		if n := countUnanswered(dialAll(t, addr, 1)); n != 0 {
+			t.Fatal("connection not answered")
 		}
 	}
-	if d := time.Since(start); d > 5*lingerFor {
-		t.Errorf("ten in turn took %v", d)
+	if d := time.Since(start); d > 5*lingerTimeout {
+		t.Errorf("ten connections in turn took %v", d)
 	}
-	until(t, "the last lingers on", func() bool { return s.Conns() == 0 })
+	waitUntil(t, "the last connection lingers after lingerTimeout", func() bool { return s.Conns() == 0 })
 }
 
-// Where there is no room a connection waits for it, with what it brought, and is not closed unseen.
-func TestAFullServerKeepsNewcomersWaiting(t *testing.T) {
-	let := make(chan struct{})
-	s, addr := serving(t, 2, func(c net.Conn, q *WriteQueue) {
+// Without a free slot a connection waits for one, with its data, and is not closed unread.
+func TestFullServerKeepsConnectionsWaiting(t *testing.T) {
+	release := make(chan struct{})
+	s, addr := startServer(t, 2, func(c net.Conn, q *WriteQueue) {
 		line := make([]byte, 4)
 		if _, err := io.ReadFull(c, line); err != nil {
 			return
 		}
-		<-let
+		<-release
 		q.Send(line)
 	})
 	conns := dialAll(t, addr, 6)
 	for _, c := range conns {
 		c.Write([]byte("line"))
 	}
-	until(t, "the room is not used", func() bool { return s.Conns() == 2 })
+	waitUntil(t, "not all slots are used", func() bool { return s.Conns() == 2 })
 	for range conns {
-		let <- struct{}{}
+		release <- struct{}{}
 	}
 	for i, c := range conns {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -129,11 +129,11 @@
 	}
 }
 
-// What has come is read without waiting, its end is told, and nothing waits.
-func TestAReaderThatDoesNotWait(t *testing.T) {
+// A Reader with NoWait returns the data that has arrived, the end of the input, or a timeout if there is neither.
+func TestReaderWithNoWait(t *testing.T) {
 	got := make(chan string, 3)
 	step := make(chan struct{})
-	_, addr := serving(t, 1, func(c net.Conn, _ *WriteQueue) {
+	_, addr := startServer(t, 1, func(c net.Conn, _ *WriteQueue) {
 		r := Reader{Conn: c, NoWait: true}
 		for range 3 {
 			<-step
@@ -148,16 +148,16 @@
 	c := dialAll(t, addr, 1)[0]
 	step <- struct{}{}
 	if s := <-got + <-got; s != "i/o timeout" {
-		t.Errorf("nothing: %q", s)
+		t.Errorf("without data: %q", s)
 	}
 	c.Write([]byte("some"))
 	step <- struct{}{}
 	if s := <-got; s != "some" {
-		t.Errorf("some: %q", s)
+		t.Errorf("with data: %q", s)
 	}
 	c.(*net.TCPConn).CloseWrite()
 	step <- struct{}{}
 	if s := <-got + <-got; s != "EOF" {
-		t.Errorf("an end: %q", s)
+		t.Errorf("at the end: %q", s)
 	}
 }
--- a/internal/sock/lines.go
+++ b/internal/sock/lines.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// ErrLong is a line over its limit.
+// ErrLong reports a line that is longer than the limit.
 var ErrLong = errors.New("line too long")
 
-// Line reads a line without its end, LF or CR LF. It is good until the next read; a line that does not fit
-// in the reader's buffer is ErrLong.
+// Line reads a line and returns it without its end, LF or CR LF. The result is valid until the next read. A line that
+// does not fit in the reader's buffer is ErrLong.
 func Line(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -27,15 +27,15 @@
 	return line, nil
 }
 
-// Backoff is how long to wait before a link is tried again: from 20 ms, doubled up to a second.
+// Backoff computes the delays between attempts to connect: from 20 ms, doubling up to 1 s.
 type Backoff struct{ next time.Duration }
 
-// Next gives the wait and doubles it.
+// Next returns the current delay and doubles it.
 func (b *Backoff) Next() time.Duration {
 	d := max(b.next, 20*time.Millisecond)
 	b.next = min(2*d, time.Second)
 	return d
 }
 
-// Reset starts over, after a link that worked.
+// Reset returns to the first delay, after a connection that worked.
 func (b *Backoff) Reset() { b.next = 0 }
--- a/internal/sock/listen_test.go
+++ b/internal/sock/listen_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// dialAll opens n connections that the kernel completes before anyone accepts them.
+// dialAll opens n connections, which the kernel completes before they are accepted.
 func dialAll(t *testing.T, addr string, n int) []net.Conn {
 	t.Helper()
 	conns := make([]net.Conn, n)
@@ -22,8 +22,8 @@
 	return conns
 }
 
-// unheard counts the connections that get no answer.
-func unheard(conns []net.Conn) int {
+// countUnanswered counts the connections that get no answer.
+func countUnanswered(conns []net.Conn) int {
 	n := 0
 	for _, c := range conns {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -34,9 +34,9 @@
 	return n
 }
 
-// Two processes of one server on one address: a listener closed with a full accept queue drops what waits there,
-// while Shut takes the queue before it closes, and leaves none unheard.
-func TestHandoffLeavesNoQueuedConnectionUnheard(t *testing.T) {
+// Two processes of one server listen on one address. Closing a listener with a full accept queue drops the connections
+// in it; Shut accepts the queue before it closes, so that all are answered.
+func TestHandoffAnswersQueuedConnections(t *testing.T) {
 	old, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,10 +58,10 @@
 		}
 	}()
 
-	queued := dialAll(t, addr, 40) // what the kernel gives the old one waits in its queue
+	queued := dialAll(t, addr, 40) // those that the kernel gives to old wait in its queue
 	old.Close()
-	if n := unheard(queued); n == 0 {
-		t.Fatal("closing with a full queue left none unheard: the cause is not seen")
+	if n := countUnanswered(queued); n == 0 {
+		t.Fatal("a plain close with a full queue dropped no connection: the test does not reproduce the failure")
 	}
 
 	old, err = Listen(addr)
@@ -71,9 +71,9 @@
 	s := NewServer(old, 64, &Budget{Peer: 1 << 10, All: 1 << 20, Spare: 1 << 10}, func(c net.Conn, _ *WriteQueue) {
 		c.Write([]byte("ok"))
 	})
-	queued = dialAll(t, addr, 40) // nobody accepts on old: what the kernel gave it waits
+	queued = dialAll(t, addr, 40) // old does not accept, so its share waits in the queue
 	s.Shut()
-	if n := unheard(queued); n != 0 {
-		t.Fatalf("over a shut with a full queue %d of %d connections unheard", n, len(queued))
+	if n := countUnanswered(queued); n != 0 {
+		t.Fatalf("after Shut with a full queue %d of %d connections are unanswered", n, len(queued))
 	}
 }
--- a/internal/sock/serve.go
+++ b/internal/sock/serve.go
@@ -11,86 +11,87 @@
 )
 
 const (
-	lingerFor   = 500 * time.Millisecond // a connection that ended is read so long at the most
-	lingerBytes = 64 << 10               // and so far
-	acceptWait  = 5 * time.Millisecond   // after an accept that failed; doubled up to acceptMost
-	acceptMost  = 40 * time.Millisecond  // requests wait in the listener's queue meanwhile
+	lingerTimeout  = 500 * time.Millisecond // bounds how long a closing connection is read
+	maxLingerBytes = 64 << 10               // bounds how much is read of it
+	minAcceptDelay = 5 * time.Millisecond   // after a failed accept; doubled up to maxAcceptDelay
+	maxAcceptDelay = 40 * time.Millisecond  // short, because requests wait in the listener's queue meanwhile
 )
 
-// Server accepts connections, each with a goroutine of its own, and owns how they end.
+// Server accepts connections, serves each in its own goroutine and closes them.
 //
-// A connection ends by a lingering close: after the last write its writing half is closed, and what still comes is
-// read and dropped until the peer has closed too, for lingerFor and lingerBytes at the most. Closing over unread bytes,
-// or bytes that come just after, would reset the connection, and what the system had not yet delivered would go with
-// it. A connection that lingers keeps its place among those that are served, as long as no newcomer waits for it; an
-// eighth of all may linger at a time. Beyond that one is closed at once: peers that never close must not keep the
-// others out.
+// Connections are closed by a lingering close: after the last write the writing half is closed, and input is read and
+// dropped until the peer has closed too, for at most lingerTimeout and maxLingerBytes. Closing with unread bytes, or
+// just before further bytes arrive, would reset the connection and lose output that the system has not delivered yet.
+// A lingering connection keeps its slot as long as no new connection waits for one, and an eighth of all slots may be
+// lingering at a time. Beyond that a connection is closed at once, so that peers that never close do not keep others
+// out.
 type Server struct {
-	listener net.Listener
-	room     chan struct{} // one for each connection, and for the next one that is accepted
-	open     atomic.Int64
-	closed   sync.Once    // the listener is
-	shutting atomic.Int64 // 1 while Shut waits for room
-	budget   *Budget
-	handle   func(net.Conn, *WriteQueue)
-
-	mu        sync.Mutex
-	queues    map[*WriteQueue]struct{}
-	lingering []*WriteQueue // the oldest first
-	wanted    bool          // a newcomer waits for room
-	stopped   bool          // no connection waits for what may come
-	shut      bool          // the listener is closed
+	listener  net.Listener
+	slots     chan struct{} // holds one value for each connection and for the next one to be accepted
+	open      atomic.Int64
+	closeOnce sync.Once    // closes the listener
+	shutting  atomic.Int64 // 1 while Shut waits for a free slot
+	budget    *Budget
+	handle    func(net.Conn, *WriteQueue)
+
+	mu             sync.Mutex
+	queues         map[*WriteQueue]struct{}
+	lingering      []*WriteQueue // oldest first
+	slotWanted     bool          // a new connection waits for a slot
+	stopped        bool          // connections read only what has already arrived
+	listenerClosed bool          // the listener is closed
 }
 
-// NewServer serves up to limit connections at a time by handle, which returns when its connection is over.
-// What waits to be written to them is bounded by budget.
+// NewServer returns a server that serves up to limit connections at a time by handle, which returns when it is done
+// with its connection. The data queued for writing to them is bounded by budget.
 func NewServer(l net.Listener, limit int, budget *Budget, handle func(net.Conn, *WriteQueue)) *Server {
-	return &Server{listener: l, room: make(chan struct{}, limit), budget: budget, handle: handle, queues: map[*WriteQueue]struct{}{}}
+	return &Server{listener: l, slots: make(chan struct{}, limit), budget: budget, handle: handle, queues: map[*WriteQueue]struct{}{}}
 }
 
-// Serve accepts until the listener is closed. Where there is no room, connections wait in the listener's queue: to
-// close one unseen would lose the request that it may have brought.
+// Serve accepts connections until the listener is closed. Without a free slot connections wait in the listener's queue:
+// closing one unread would lose the request that it may carry.
 func (s *Server) Serve() error {
-	wait := acceptWait
+	delay := minAcceptDelay
 	for {
-		s.reserve()
+		s.acquireSlot()
 		conn, err := s.listener.Accept()
 		if err == nil {
-			wait = acceptWait
-			s.take(conn)
+			delay = minAcceptDelay
+			s.startConn(conn)
 			continue
 		}
-		<-s.room
+		<-s.slots
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		time.Sleep(wait) // out of descriptors, or the caller was gone again: both pass
-		wait = min(2*wait, acceptMost)
+		time.Sleep(delay) // out of descriptors, or the caller has hung up: both are transient
+		delay = min(2*delay, maxAcceptDelay)
 	}
 }
 
-// reserve takes a place for the next connection. Where there is none, one that lingers gives up its own.
-func (s *Server) reserve() {
+// acquireSlot takes a slot for the next connection. If none is free, the oldest lingering connection gives up its own.
+func (s *Server) acquireSlot() {
 	select {
-	case s.room <- struct{}{}:
+	case s.slots <- struct{}{}:
 		return
 	default:
 	}
-	s.want(true)
-	s.room <- struct{}{}
-	s.want(false)
+	s.setSlotWanted(true)
+	s.slots <- struct{}{}
+	s.setSlotWanted(false)
 }
 
-func (s *Server) want(on bool) {
+// setSlotWanted sets whether a new connection waits for a slot; if so, it kills the oldest lingering one.
+func (s *Server) setSlotWanted(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.wanted = on; on && len(s.lingering) > 0 {
+	if s.slotWanted = on; on && len(s.lingering) > 0 {
 		s.lingering[0].Kill()
 	}
 }
 
-// take serves conn, for which there is room. From then on a Stop knows of it.
-func (s *Server) take(conn net.Conn) {
+// startConn starts serving conn, which holds a slot. From then on Stop includes it.
+func (s *Server) startConn(conn net.Conn) {
 	s.open.Add(1)
 	q := NewWriteQueue(conn)
 	q.limit, q.budget, q.lingers = s.budget.Peer, s.budget, true
@@ -104,10 +105,11 @@
 	go s.serve(conn, q)
 }
 
-// Conns is how many connections are served or linger, and one more while some wait in the queue of a listener that is
-// being shut.
+// Conns returns how many connections are served or lingering, plus one while connections wait in the queue of a
+// listener that Shut is closing.
 func (s *Server) Conns() int { return int(s.open.Load() + s.shutting.Load()) }
 
+// serve runs the handler of a connection and closes the connection after it.
 func (s *Server) serve(conn net.Conn, q *WriteQueue) {
 	defer func() {
 		s.linger(q)
@@ -115,12 +117,12 @@
 		delete(s.queues, q)
 		s.mu.Unlock()
 		s.open.Add(-1)
-		<-s.room
+		<-s.slots
 	}()
 	s.handle(conn, q)
 }
 
-// linger ends a connection that nobody reads any longer.
+// linger performs the lingering close of a connection whose handler has returned.
 func (s *Server) linger(q *WriteQueue) {
 	defer q.Kill()
 	q.Close()
@@ -129,45 +131,45 @@
 		return
 	}
 	s.mu.Lock()
-	// Once the server is shut no newcomer is kept out, and all may linger.
-	stays := !s.wanted && (s.shut || len(s.lingering) < max(1, cap(s.room)/8))
-	if stays {
+	// Once the listener is closed no new connection can be kept out, and all may linger.
+	mayLinger := !s.slotWanted && (s.listenerClosed || len(s.lingering) < max(1, cap(s.slots)/8))
+	if mayLinger {
 		s.lingering = append(s.lingering, q)
 	}
 	s.mu.Unlock()
-	if !stays {
+	if !mayLinger {
 		return
 	}
-	if q.conn.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
-		io.Copy(io.Discard, io.LimitReader(q.conn, lingerBytes))
+	if q.conn.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
+		io.Copy(io.Discard, io.LimitReader(q.conn, maxLingerBytes))
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lingering = slices.DeleteFunc(s.lingering, func(other *WriteQueue) bool { return other == q })
 }
 
-// Servers are all that let connections in.
+// Servers are all servers of a process.
 type Servers []*Server
 
-// Shut takes what waits in the queues of all, and closes the listeners. It does not block.
-func (all Servers) Shut() {
-	for _, s := range all {
+// Shut shuts all servers: see Server.Shut. It does not block.
+func (servers Servers) Shut() {
+	for _, s := range servers {
 		s.Shut()
 	}
 }
 
-// Stop stops all at once.
-func (all Servers) Stop(limit time.Duration) {
-	var done sync.WaitGroup
-	for _, s := range all {
-		done.Go(func() { s.Stop(limit) })
+// Stop stops all servers concurrently: see Server.Stop.
+func (servers Servers) Stop(limit time.Duration) {
+	var running sync.WaitGroup
+	for _, s := range servers {
+		running.Go(func() { s.Stop(limit) })
 	}
-	done.Wait()
+	running.Wait()
 }
 
-// Conns is how many connections are served or linger at all of them.
-func (all Servers) Conns() (n int) {
-	for _, s := range all {
+// Conns returns how many connections are served or lingering at all servers.
+func (servers Servers) Conns() (n int) {
+	for _, s := range servers {
 		n += s.Conns()
 	}
 	return n
--- a/internal/sock/shut.go
+++ b/internal/sock/shut.go
@@ -10,18 +10,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// How a server ends. A listener that is closed resets every connection in its queue, with the requests that may have come
-// on them; so the queue is taken by hand first, and the listener ends with the call that found it empty.
+// Shutdown of a server. Closing a listener resets every connection in its queue, and the requests that have arrived on
+// them are lost. Therefore the queue is accepted first, and the listener is shut down right after the accept that finds
+// the queue empty.
 
 const (
-	adoptWait   = time.Millisecond       // between two tries to take over a descriptor
-	adoptWithin = 500 * time.Millisecond // after which it is given up
+	adoptInterval = time.Millisecond       // between two attempts to adopt a descriptor
+	adoptTimeout  = 500 * time.Millisecond // after which the descriptor is closed
 )
 
-// Shut takes what waits in the listener's queue and closes it at once after: Serve returns, and the connections go on.
-// It does not block. Where there is no room for all that wait, or the system has no descriptor for now, the listener
-// stays open until they are taken, which Conns counts. What is connected between the system call that finds the queue
-// empty and the next one, which ends the listener, is reset.
+// Shut accepts the connections in the listener's queue and then closes the listener: Serve returns, and the connections
+// continue. It does not block. If there are not enough slots or descriptors for the queue, the listener stays open
+// until all are accepted, and Conns counts one more until then. A connection made between the system call that finds
+// the queue empty and the next one, which shuts the listener down, is reset.
 func (s *Server) Shut() {
 	if s.shutting.Load() > 0 {
 		return
@@ -31,90 +32,90 @@
 		s.closeListener()
 		return
 	}
-	if s.takeQueue(raw) {
+	if s.acceptQueue(raw) {
 		return
 	}
 	s.shutting.Store(1)
 	go func() {
 		defer s.shutting.Store(0)
-		for !s.takeQueue(raw) {
-			s.awaitRoom()
+		for !s.acceptQueue(raw) {
+			s.awaitSlot()
 		}
 	}()
 }
 
 func (s *Server) closeListener() {
-	s.closed.Do(func() { s.listener.Close() })
+	s.closeOnce.Do(func() { s.listener.Close() })
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.shut = true
+	s.listenerClosed = true
 }
 
-// awaitRoom returns once there may be room for a connection. One that lingers gives its place up.
-func (s *Server) awaitRoom() {
-	s.reserve()
-	<-s.room
-	time.Sleep(adoptWait)
+// awaitSlot waits until a slot may be free. The oldest lingering connection gives up its own.
+func (s *Server) awaitSlot() {
+	s.acquireSlot()
+	<-s.slots
+	time.Sleep(adoptInterval)
 }
 
-// rawListener returns the descriptor of a TCP listener; nil = it has none.
+// rawListener returns the descriptor of a TCP listener; nil for other listeners.
 func rawListener(l net.Listener) syscall.RawConn {
-	t, ok := l.(*net.TCPListener)
+	tcp, ok := l.(*net.TCPListener)
 	if !ok {
 		return nil
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return nil
 	}
 	return raw
 }
 
-// takeQueue takes the connections in a listener's queue, closes it, and serves them. It returns false where some may be
-// left, for want of room or of a descriptor, and the listener is not closed.
-func (s *Server) takeQueue(raw syscall.RawConn) (all bool) {
+// acceptQueue accepts and serves the connections in the listener's queue and closes the listener. It returns false,
+// with the listener still open, if some may be left because slots or descriptors ran out.
+func (s *Server) acceptQueue(raw syscall.RawConn) (all bool) {
 	all = true
-	var taken []int
+	var accepted []int
 	err := raw.Control(func(fd uintptr) {
-		if taken, all = s.acceptAll(int(fd)); all {
-			unix.Shutdown(int(fd), unix.SHUT_RD) // at once: who connects between here and the close would be reset
+		if accepted, all = s.acceptAll(int(fd)); all {
+			unix.Shutdown(int(fd), unix.SHUT_RD) // at once: a connection made before the close would be reset
 		}
 	})
 	if err != nil || all {
 		s.closeListener()
 	}
-	for _, fd := range taken {
+	for _, fd := range accepted {
 		s.adopt(fd)
 	}
 	return err != nil || all
 }
 
-// acceptAll accepts until the queue of a listening socket is empty (true), or there is no room or no descriptor. Each
-// connection has its place in room.
-func (s *Server) acceptAll(listening int) (taken []int, all bool) {
+// acceptAll accepts connections until the queue of a listening socket is empty (all is true) or slots or descriptors
+// run out. Each of the returned descriptors holds a slot.
+func (s *Server) acceptAll(listening int) (accepted []int, all bool) {
 	for {
 		select {
-		case s.room <- struct{}{}:
+		case s.slots <- struct{}{}:
 		default:
-			return taken, queueEmpty(listening)
+			return accepted, queueEmpty(listening)
 		}
 		fd, _, err := unix.Accept4(listening, unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC)
 		if err == nil {
-			taken = append(taken, fd)
+			accepted = append(accepted, fd)
 			continue
 		}
-		<-s.room
+		<-s.slots
 		switch {
 		case errors.Is(err, unix.EAGAIN):
-			return taken, true
-		case ofOneConnection(err):
+			return accepted, true
+		case isConnError(err):
 		default:
-			return taken, !passes(err)
+			return accepted, !isTransient(err)
 		}
 	}
 }
 
-// queueEmpty reports whether nothing waits in the queue of a listening socket.
+// queueEmpty reports whether no connection waits in the queue of a listening socket.
 func queueEmpty(listening int) bool {
 	ready := []unix.PollFd{{Fd: int32(listening), Events: unix.POLLIN}}
 	for {
@@ -125,9 +126,9 @@
 	}
 }
 
-// ofOneConnection reports whether an error of accept is of one connection that has failed, after which the next is to be
-// accepted: see accept(2).
-func ofOneConnection(err error) bool {
+// isConnError reports whether an error of accept belongs to a single failed connection, after which the next accept
+// may succeed: see accept(2).
+func isConnError(err error) bool {
 	switch err {
 	case unix.EINTR, unix.ECONNABORTED, unix.ENETDOWN, unix.EPROTO, unix.ENOPROTOOPT, unix.EHOSTDOWN, unix.ENONET,
 		unix.EHOSTUNREACH, unix.EOPNOTSUPP, unix.ENETUNREACH, unix.ETIMEDOUT, unix.EPERM:
@@ -136,43 +137,45 @@
 	return false
 }
 
-// passes reports whether a system call on a socket failed for want of something that the system may have a moment later.
-func passes(err error) bool {
-	for _, one := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EINTR, unix.EAGAIN} {
-		if errors.Is(err, one) {
+// isTransient reports whether a system call on a socket failed for lack of a resource that may be available a moment
+// later.
+func isTransient(err error) bool {
+	for _, transient := range []unix.Errno{unix.EMFILE, unix.ENFILE, unix.ENOBUFS, unix.ENOMEM, unix.EADDRNOTAVAIL, unix.EINTR, unix.EAGAIN} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
 	return false
 }
 
-// adopt serves a connection taken from the queue by hand, as Serve would. Making it one of net's takes a further
-// descriptor for a moment.
+// adopt serves a connection that acceptAll accepted, as Serve would. net.FileConn duplicates the descriptor, so adopt
+// retries for up to adoptTimeout while none is free.
 func (s *Server) adopt(fd int) {
 	file := os.NewFile(uintptr(fd), "")
 	conn, err := net.FileConn(file)
 	if err == nil {
 		file.Close()
-		s.take(conn)
+		s.startConn(conn)
 		return
 	}
 	s.open.Add(1)
 	go func() {
 		defer s.open.Add(-1)
 		defer file.Close()
-		for end := time.Now().Add(adoptWithin); err != nil; conn, err = net.FileConn(file) {
+		for end := time.Now().Add(adoptTimeout); err != nil; conn, err = net.FileConn(file) {
 			if time.Now().After(end) {
-				<-s.room
+				<-s.slots
 				return
 			}
-			time.Sleep(adoptWait)
+			time.Sleep(adoptInterval)
 		}
-		s.take(conn)
+		s.startConn(conn)
 	}()
 }
 
-// Stop closes the listener, with what waits in its queue served, and ends every connection: its reader reads what has come
-// by now, and waits for nothing more. After their last writes they are closed; Stop waits for these up to limit.
+// Stop shuts the listener, serving the connections in its queue, and ends every connection: its reader gets the data
+// that has already arrived and waits for no more. Each connection is closed after its last write; Stop waits for that
+// up to limit.
 func (s *Server) Stop(limit time.Duration) {
 	s.mu.Lock()
 	s.stopped = true
--- a/internal/sock/shut_test.go
+++ b/internal/sock/shut_test.go
@@ -13,10 +13,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// A server that is full when it is shut takes what waits in its queue as room comes: nobody is reset.
-func TestAFullServerThatIsShutHearsItsQueue(t *testing.T) {
+// A server without free slots that is shut accepts its queue as slots become free: no connection is reset.
+func TestShutOfFullServerServesItsQueue(t *testing.T) {
 	release := make(chan struct{})
-	s, addr := serving(t, 2, func(c net.Conn, q *WriteQueue) {
+	s, addr := startServer(t, 2, func(c net.Conn, q *WriteQueue) {
 		line := make([]byte, 4)
 		if _, err := io.ReadFull(c, line); err != nil {
 			return
@@ -28,10 +28,10 @@
 	for _, c := range conns {
 		c.Write([]byte("line"))
 	}
-	until(t, "the room is not used", func() bool { return s.Conns() == 2 })
+	waitUntil(t, "not all slots are used", func() bool { return s.Conns() == 2 })
 	s.Shut()
 	if s.Conns() != 3 {
-		t.Errorf("%d connections, want 2 and the queue", s.Conns())
+		t.Errorf("%d connections, want 2 and 1 for the queue", s.Conns())
 	}
 	close(release)
 	for i, c := range conns {
@@ -41,19 +41,19 @@
 		}
 		c.Close()
 	}
-	until(t, "it never ends", func() bool { return s.Conns() == 0 })
+	waitUntil(t, "connections remain", func() bool { return s.Conns() == 0 })
 	if c, err := net.DialTimeout("tcp4", addr, 100*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("it accepts on")
+		t.Error("the server still accepts")
 	}
 }
 
-// What has come on connections by the time of a Stop is read and answered: on those that are served, whose deadlines the
-// Stop has set to the past, and on those that nobody has accepted.
-func TestAStopHearsWhatHasCome(t *testing.T) {
-	let := make(chan struct{})
+// Data that has arrived by the time of Stop is read and answered, both on connections that are being served, whose read
+// deadlines Stop has set to the past, and on those that have not been accepted.
+func TestStopAnswersWhatHasArrived(t *testing.T) {
+	release := make(chan struct{})
 	handle := func(c net.Conn, q *WriteQueue) {
-		<-let // until the Stop has begun
+		<-release // until Stop has begun
 		r := Reader{Conn: c, NoWait: true}
 		line := make([]byte, 4)
 		if n, _ := r.Read(line); n == len(line) && q.Stopping() {
@@ -65,14 +65,14 @@
 		t.Fatal(err)
 	}
 	s := NewServer(l, 8, &Budget{Peer: 1 << 20, All: 1 << 24}, handle)
-	conns := dialAll(t, l.Addr().String(), 3) // nobody accepts on l
+	conns := dialAll(t, l.Addr().String(), 3) // not accepted yet
 	for range conns {
 		c, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.room <- struct{}{}
-		s.take(c)
+		s.slots <- struct{}{}
+		s.startConn(c)
 	}
 	conns = append(conns, dialAll(t, l.Addr().String(), 3)...)
 	for _, c := range conns {
@@ -83,9 +83,9 @@
 		s.Stop(5 * time.Second)
 		close(done)
 	}()
-	until(t, "the queue is not taken", func() bool { return s.Conns() == 6 })
+	waitUntil(t, "the queue is not accepted", func() bool { return s.Conns() == 6 })
 	time.Sleep(10 * time.Millisecond)
-	close(let)
+	close(release)
 	for i, c := range conns {
 		c.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if got, err := io.ReadAll(c); string(got) != "line" || err != nil {
@@ -96,14 +96,14 @@
 	<-done
 }
 
-// failing is a listener whose accepts fail for a while, as accept(2) says they may.
-type failing struct {
+// failingListener is a listener whose first accepts fail with errs, as accept(2) says they may.
+type failingListener struct {
 	*net.TCPListener
 	errs  []error
 	conns chan net.Conn
 }
 
-func (l *failing) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	if len(l.errs) > 0 {
 		err := l.errs[0]
 		l.errs = l.errs[1:]
@@ -116,12 +116,12 @@
 	return c, nil
 }
 
-func (l *failing) Close() error { return nil }
+func (l *failingListener) Close() error { return nil }
 
-// However often accepts fail in a row, what waits for one is heard soon after they no longer do.
-func TestAcceptsThatFailForAWhile(t *testing.T) {
+// However often accepts fail in a row, a waiting connection is served soon after they succeed again.
+func TestAcceptRecoversFromTransientErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &failing{conns: make(chan net.Conn, 1)}
+		l := &failingListener{conns: make(chan net.Conn, 1)}
 		for range 4 {
 			l.errs = append(l.errs, syscall.ECONNABORTED, syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ENOMEM)
 		}
@@ -135,24 +135,24 @@
 		if _, err := io.ReadFull(mine, got); err != nil || string(got) != "ok" {
 			t.Errorf("read %q, %v", got, err)
 		}
-		if d := time.Since(start); d > time.Duration(failures)*acceptMost {
-			t.Errorf("heard after %v", d)
+		if d := time.Since(start); d > time.Duration(failures)*maxAcceptDelay {
+			t.Errorf("answered after %v", d)
 		}
 		close(l.conns)
 	})
 }
 
-// A start at a moment in which the system has no room for a socket waits for it; an address that others have is no such
-// moment, and neither is one that never passes.
-func TestAListenerThatTheSystemRefusesForAMoment(t *testing.T) {
+// RetryListen waits while the system is out of resources for a socket. It fails at once if the address is in use, and
+// after listenTimeout if the shortage persists.
+func TestRetryListen(t *testing.T) {
 	for name, c := range map[string]struct {
 		errs  []error
 		last  error
 		after time.Duration
 	}{
-		"for a moment": {[]error{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR}, nil, 4 * listenEach},
-		"in use":       {nil, syscall.EADDRINUSE, 0},
-		"for good":     {nil, syscall.ENFILE, listenWithin + listenEach},
+		"transient":  {[]error{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.EINTR}, nil, 4 * listenInterval},
+		"in use":     {nil, syscall.EADDRINUSE, 0},
+		"persistent": {nil, syscall.ENFILE, listenTimeout + listenInterval},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -166,25 +166,25 @@
 					return nil, c.last
 				})
 				if d := time.Since(start); err != c.last || d != c.after {
-					t.Errorf("%v after %v, want %v after %v", err, d, c.last, c.after)
+					t.Errorf("error %v after %v, want %v after %v", err, d, c.last, c.after)
 				}
 			})
 		})
 	}
 }
 
-// Of the errors of accept each ends the taking of a queue, is one connection's, or passes.
-func TestErrorsOfAccept(t *testing.T) {
+// Errors of accept are classified as those of one connection, as transient, as both, or as neither.
+func TestAcceptErrors(t *testing.T) {
 	for err, want := range map[error][2]bool{
 		unix.ECONNABORTED: {true, false}, unix.EINTR: {true, true}, unix.EPROTO: {true, false}, unix.ENETUNREACH: {true, false},
 		unix.EMFILE: {false, true}, unix.ENFILE: {false, true}, unix.ENOBUFS: {false, true}, unix.ENOMEM: {false, true},
 		unix.EBADF: {false, false}, unix.EINVAL: {false, false},
 	} {
-		if got := [2]bool{ofOneConnection(err), passes(err)}; got != want {
+		if got := [2]bool{isConnError(err), isTransient(err)}; got != want {
 			t.Errorf("%v: %v, want %v", err, got, want)
 		}
 	}
-	if passes(errors.New("other")) {
-		t.Error("any error passes")
+	if isTransient(errors.New("other")) {
+		t.Error("an unknown error is transient")
 	}
 }
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -10,77 +10,78 @@
 	"time"
 )
 
-// A peer that does not read loses its connection, by time or by what waits for it; the sender never waits.
-func TestASlowPeerIsCutOff(t *testing.T) {
+// The connection of a peer that does not read is closed, by the write timeout, by its own limit or by the budget of
+// all; the sender never blocks.
+func TestConnectionOfSlowPeerIsClosed(t *testing.T) {
 	for name, c := range map[string]struct {
 		size, all int
 		after     time.Duration
-	}{"by time": {1, 1 << 30, writeTimeout}, "by size": {1<<20 + 1, 1 << 30, 0}, "by all": {10, 9, 0}} {
+	}{"by timeout": {1, 1 << 30, writeTimeout}, "by queue limit": {1<<20 + 1, 1 << 30, 0}, "by budget": {10, 9, 0}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				mine, _ := net.Pipe()
-				q := NewWriteQueue(mine)
+				local, _ := net.Pipe()
+				q := NewWriteQueue(local)
 				q.limit, q.budget = 1<<20, &Budget{All: c.all}
 				start := time.Now()
 				q.Send(make([]byte, c.size))
 				<-q.Done()
 				if d := time.Since(start); d != c.after || q.Send(nil) || q.Err() == nil {
-					t.Errorf("cut off after %v", d)
+					t.Errorf("closed after %v", d)
 				}
 				synctest.Wait()
 				if n := q.budget.used.Load(); n != 0 {
-					t.Errorf("%d bytes still count", n)
+					t.Errorf("%d bytes are still counted", n)
 				}
 			})
 		})
 	}
 }
 
-// Peers that do not read use up the room of all; one that has little waiting is served all the same.
-func TestThoseWhoDoNotReadCostOthersNothing(t *testing.T) {
+// Peers that do not read use up the shared budget; a peer with at most Budget.Spare bytes queued is still served.
+func TestPeersThatDoNotReadDoNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &Budget{All: 100, Spare: 10}
 		newQueue := func() (*WriteQueue, net.Conn) {
-			mine, theirs := net.Pipe()
-			q := NewWriteQueue(mine)
+			local, remote := net.Pipe()
+			q := NewWriteQueue(local)
 			q.budget = budget
-			return q, theirs
+			return q, remote
 		}
-		deaf, _ := newQueue()
-		deaf.Send(make([]byte, 100))
-		q, theirs := newQueue()
+		stalled, _ := newQueue()
+		stalled.Send(make([]byte, 100))
+		q, remote := newQueue()
 		q.Send([]byte("a line\n"))
-		if line, err := Line(bufio.NewReader(theirs)); err != nil || string(line) != "a line" {
+		if line, err := Line(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
 			t.Errorf("%q, %v", line, err)
 		}
-		if q.Send(make([]byte, 11)) || deaf.Send([]byte("x")) {
-			t.Error("who has much waiting goes on")
+		if q.Send(make([]byte, 11)) || stalled.Send([]byte("x")) {
+			t.Error("a queue over the budget was accepted")
 		}
-		<-deaf.Done()
+		<-stalled.Done()
 	})
 }
 
-// Close lets what was queued out first.
-func TestCloseWritesFirst(t *testing.T) {
+// Close writes everything queued before it closes the connection.
+func TestCloseWritesQueueFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mine, theirs := net.Pipe()
-		q := NewWriteQueue(mine)
+		local, remote := net.Pipe()
+		q := NewWriteQueue(local)
 		q.Send([]byte("a "), []byte("line\r\n"))
 		q.Close()
-		if line, err := Line(bufio.NewReader(theirs)); err != nil || string(line) != "a line" {
+		if line, err := Line(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
 			t.Errorf("%q, %v", line, err)
 		}
 		<-q.Done()
 	})
 }
 
-func TestALongLineIsAnError(t *testing.T) {
+func TestLineTooLong(t *testing.T) {
 	if _, err := Line(bufio.NewReaderSize(strings.NewReader(strings.Repeat("x", 99)), 16)); !errors.Is(err, ErrLong) {
 		t.Error(err)
 	}
 }
 
-// Waits double up to a second and start over after a link that worked.
+// Delays double up to 1 s and start over after Reset.
 func TestBackoff(t *testing.T) {
 	var b Backoff
 	sum := time.Duration(0)
@@ -88,9 +89,9 @@
 		sum += b.Next()
 	}
 	if want := (20 + 40 + 80 + 160 + 320 + 640 + 1000 + 1000) * time.Millisecond; sum != want {
-		t.Errorf("%v, want %v", sum, want)
+		t.Errorf("delays add up to %v, want %v", sum, want)
 	}
 	if b.Reset(); b.Next() != 20*time.Millisecond {
-		t.Error("no new start")
+		t.Error("Reset does not return to the first delay")
 	}
 }
--- a/internal/sock/writequeue.go
+++ b/internal/sock/writequeue.go
@@ -1,5 +1,5 @@
-// Package sock holds what every connection of larchscale shares: a bounded queue of writes that never
-// blocks its sender, and an accept loop with a bound on connections.
+// Package sock holds what all connections of larchscale share: a bounded write queue that never blocks its sender, and
+// an accept loop with a limit on connections, which hands off and shuts down without losing requests.
 package sock
 
 import (
@@ -11,127 +11,131 @@
 	"time"
 )
 
-// ErrFull is why a connection is closed whose other side does not read.
-var ErrFull = errors.New("too much is waiting to be written")
+// ErrFull is the error of a connection that was closed because its peer does not read.
+var ErrFull = errors.New("write queue is full")
 
 const (
-	maxWaiting   = 1 << 20 // for a link; a server sets its own
-	writeTimeout = 2 * time.Second
-	writeTries   = 3                      // of writeTimeout, for a peer that reads slowly
-	standstill   = 100 * time.Millisecond // by which a write that fails later shows that the process stood still
+	defaultQueueLimit = 1 << 20 // bytes; a Server sets its own limit
+	writeTimeout      = 2 * time.Second
+	maxWriteAttempts  = 3                      // each of writeTimeout, for a peer that reads slowly
+	pauseThreshold    = 100 * time.Millisecond // a write that times out later by this shows that the process was paused
 )
 
-// Budget bounds what waits to be written to all peers of a server together.
+// Budget bounds the bytes queued for writing to the peers of a server.
 type Budget struct {
-	Peer, All int // bytes, for one and for all
-	Spare     int // bytes that one may have waiting though All is used up
+	Peer, All int // bytes, for one peer and for all together
+	Spare     int // bytes that each peer may have queued even if All is used up
 	used      atomic.Int64
 }
 
-// WriteQueue writes to one connection, in order, from a goroutine that exists only while there is something to
-// write. A peer that reads too slowly loses the connection: it must not slow anyone else.
+// WriteQueue writes to one connection, in order, from a goroutine that exists only while data is queued. The connection
+// of a peer that reads too slowly is closed, so that it does not slow down others.
 type WriteQueue struct {
-	conn    net.Conn
-	mu      sync.Mutex
-	waiting net.Buffers
-	size    int
-	limit   int
-	budget  *Budget // nil = none
-	lingers bool    // a server's: Close ends the writing, and the connection's own goroutine the rest
-	writing bool
-	quit    bool          // nothing more is read
-	closing bool          // end once all is written
-	flushed chan struct{} // closed when that is so
-	ended   bool          // flushed is closed
-	dead    bool
-	why     error // it is dead for another reason than Close or Kill
-	done    chan struct{}
-}
-
-// NewWriteQueue returns the queue of a connection, which is closed with it.
+	conn     net.Conn
+	mu       sync.Mutex
+	queued   net.Buffers
+	size     int
+	limit    int
+	budget   *Budget // nil without a budget
+	lingers  bool    // set by a Server: Close closes the writing half, and the goroutine of the connection the rest
+	writing  bool
+	stopping bool          // the reader is to wait for no more data
+	closing  bool          // close once everything queued is written
+	flushed  chan struct{} // closed when everything queued is written or the connection is dead
+	ended    bool          // flushed is closed
+	dead     bool          // the connection is closed
+	err      error         // why it was closed, if not by Close or Kill
+	done     chan struct{}
+}
+
+// NewWriteQueue returns the write queue of conn, which it closes when the queue is closed or killed.
 func NewWriteQueue(conn net.Conn) *WriteQueue {
-	return &WriteQueue{conn: conn, limit: maxWaiting, flushed: make(chan struct{}), done: make(chan struct{})}
+	return &WriteQueue{conn: conn, limit: defaultQueueLimit, flushed: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Send queues parts to be written together; the queue keeps them. False = the connection is gone.
+// Send queues parts to be written together and keeps the slices. It returns false if the connection is closing or
+// closed.
 func (q *WriteQueue) Send(parts ...[]byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.dead || q.closing {
 		return false
 	}
-	more := 0
-	for _, p := range parts {
-		more += len(p)
+	added := 0
+	for _, part := range parts {
+		added += len(part)
 	}
-	if q.size+more > q.limit || q.over(q.size+more, more) {
-		q.why = ErrFull
+	if q.size+added > q.limit || q.exceedsBudget(q.size+added, added) {
+		q.err = ErrFull
 		q.kill()
 		return false
 	}
-	q.grow(more)
-	q.waiting = append(q.waiting, parts...)
+	q.addSize(added)
+	q.queued = append(q.queued, parts...)
 	if !q.writing {
 		q.writing = true
-		go q.write()
+		go q.writeQueued()
 	}
 	return true
 }
 
-// over tells whether more bytes, size with what waits already, are too many for all peers together. Guards
-// against many that do not read: they use up what is for all, and those who have little waiting stay.
-func (q *WriteQueue) over(size, more int) bool {
-	return q.budget != nil && size > q.budget.Spare && q.budget.used.Load()+int64(more) > int64(q.budget.All)
+// exceedsBudget reports whether added bytes, which bring this queue to size, exceed the budget of all peers together.
+// Peers that do not read may use up that budget; a queue of at most Budget.Spare bytes is still accepted.
+func (q *WriteQueue) exceedsBudget(size, added int) bool {
+	return q.budget != nil && size > q.budget.Spare && q.budget.used.Load()+int64(added) > int64(q.budget.All)
 }
 
-func (q *WriteQueue) grow(by int) {
-	q.size += by
+// addSize adds delta to the number of queued bytes. The caller holds the lock.
+func (q *WriteQueue) addSize(delta int) {
+	q.size += delta
 	if q.budget != nil {
-		q.budget.used.Add(int64(by))
+		q.budget.used.Add(int64(delta))
 	}
 }
 
-func (q *WriteQueue) write() {
+// writeQueued writes the queue until it is empty.
+func (q *WriteQueue) writeQueued() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for len(q.waiting) > 0 && !q.dead {
-		out, size := q.waiting, q.size
-		q.waiting = nil
+	for len(q.queued) > 0 && !q.dead {
+		out, size := q.queued, q.size
+		q.queued = nil
 		q.mu.Unlock()
 		err := q.writeAll(out)
 		q.mu.Lock()
-		q.grow(-size) // until it is written it counts
+		q.addSize(-size) // counted until it is written
 		if err != nil {
 			if !q.dead {
-				q.why = err
+				q.err = err
 			}
 			q.kill()
 		}
 	}
 	q.writing = false
 	if q.closing {
-		q.end()
+		q.finishWriting()
 	}
 }
 
-// writeAll writes what has waited. A peer that takes nothing for writeTimeout fails it, and one that takes so little that
-// it is not done after writeTries of that; a process that stood still itself for the time tries once more.
+// writeAll writes out to the connection. It fails if the peer accepts nothing for writeTimeout, or if it is not done
+// after maxWriteAttempts times writeTimeout. An attempt during which this process itself was paused does not count as
+// the peer accepting nothing.
 func (q *WriteQueue) writeAll(out net.Buffers) error {
-	for tries := 1; ; tries++ {
-		began := time.Now()
-		if err := q.conn.SetWriteDeadline(began.Add(writeTimeout)); err != nil {
+	for attempts := 1; ; attempts++ {
+		started := time.Now()
+		if err := q.conn.SetWriteDeadline(started.Add(writeTimeout)); err != nil {
 			return err
 		}
 		written, err := out.WriteTo(q.conn)
-		stoodStill := time.Since(began) > writeTimeout+standstill
-		if !errors.Is(err, os.ErrDeadlineExceeded) || tries == writeTries || written == 0 && !stoodStill {
+		paused := time.Since(started) > writeTimeout+pauseThreshold
+		if !errors.Is(err, os.ErrDeadlineExceeded) || attempts == maxWriteAttempts || written == 0 && !paused {
 			return err
 		}
 	}
 }
 
-// Close ends the connection once all that was queued is written. Of a server's connection that is the writing half:
-// reading is given up at once, and its goroutine closes it after a lingering close (see Server).
+// Close closes the connection once everything queued is written. Of a Server's connection only the writing half is
+// closed: its reader stops waiting at once, and its goroutine performs the lingering close (see Server).
 func (q *WriteQueue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -140,29 +144,29 @@
 		q.conn.SetReadDeadline(past)
 	}
 	if !q.writing {
-		q.end()
+		q.finishWriting()
 	}
 }
 
-// CloseIfQuiet is Close for the reader of a server's connection, at a moment in which nothing has come that is not read and
-// nothing waits to be written. False = it is no such moment, and nothing has changed.
+// CloseIfQuiet is Close for the reader of a Server's connection, if no unread data has arrived and nothing is queued
+// for writing. Otherwise it returns false and changes nothing.
 func (q *WriteQueue) CloseIfQuiet() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.dead || q.closing || q.writing {
 		return false
 	}
-	if !endIfQuiet(q.conn) {
+	if !closeWriteIfNoInput(q.conn) {
 		return false
 	}
 	q.closing = true
 	q.conn.SetReadDeadline(past)
-	q.end()
+	q.finishWriting()
 	return true
 }
 
-// end is the end of the writing.
-func (q *WriteQueue) end() {
+// finishWriting closes the connection, or only the writing half after the last write. The caller holds the lock.
+func (q *WriteQueue) finishWriting() {
 	switch {
 	case !q.lingers:
 		q.kill()
@@ -175,42 +179,42 @@
 	}
 }
 
-// Wait bounds how long the connection's reader waits for what comes next; the zero time is no bound. It does nothing
-// once the connection is to end: a reader is not to wait beyond that.
+// Wait sets the time until which the connection's reader waits for data; the zero time is no limit. It has no effect
+// once the connection is closing, when the reader must not wait.
 func (q *WriteQueue) Wait(until time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.closing && !q.quit {
+	if !q.closing && !q.stopping {
 		q.conn.SetReadDeadline(until)
 	}
 }
 
-// stopReading ends the wait of the connection's reader and all that follow. What has come by then it still reads and
-// answers.
+// stopReading ends the current and all later waits of the connection's reader. It still reads and answers data that has
+// already arrived.
 func (q *WriteQueue) stopReading() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.quit = true
+	q.stopping = true
 	q.conn.SetReadDeadline(past)
 }
 
-// Stopping reports whether the connection is to end with its server: its reader gets nothing more to wait for.
+// Stopping reports whether the server is stopping, so that the reader must not wait for more data.
 func (q *WriteQueue) Stopping() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.quit
+	return q.stopping
 }
 
-// Wake ends the wait of the connection's reader, which finds os.ErrDeadlineExceeded.
+// Wake ends the current wait of the connection's reader, whose read fails with os.ErrDeadlineExceeded.
 func (q *WriteQueue) Wake() { q.Wait(past) }
 
-// halfCloser is a connection of which one half can be closed.
+// halfCloser is a connection whose writing half can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// past is a deadline that is over.
+// past is a deadline that has already expired.
 var past = time.Unix(1, 0)
 
-// Kill closes the connection at once.
+// Kill closes the connection at once and drops what is queued.
 func (q *WriteQueue) Kill() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -220,10 +224,10 @@
 func (q *WriteQueue) kill() {
 	if !q.dead {
 		q.dead = true
-		for _, p := range q.waiting {
-			q.grow(-len(p))
+		for _, p := range q.queued {
+			q.addSize(-len(p))
 		}
-		q.waiting = nil
+		q.queued = nil
 		q.conn.Close()
 		if !q.ended {
 			q.ended = true
@@ -233,12 +237,12 @@
 	}
 }
 
-// Err returns why the queue closed the connection by itself; nil = it did not.
+// Err returns why the queue closed the connection by itself; nil if it did not.
 func (q *WriteQueue) Err() error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.why
+	return q.err
 }
 
-// Done is closed when the connection is.
+// Done returns a channel that is closed when the connection is closed.
 func (q *WriteQueue) Done() <-chan struct{} { return q.done }
