--- a/internal/jsonrpc/answer.go
+++ b/internal/jsonrpc/answer.go
@@ -8,13 +8,13 @@
 	"larchscale/internal/core"
 )
 
-// reply answers one id.
+// reply writes the answer to the request or check of one id.
 type reply struct {
 	s  *session
 	id string
 }
 
-// Answer writes the answer's line.
+// Answer implements core.Reply: it writes the response line of the id.
 func (r reply) Answer(a core.Answer) {
 	var data []byte
 	if a.Hint >= 0 {
@@ -24,13 +24,13 @@
 	switch a.Kind {
 	case core.Checked:
 		head := `{"jsonrpc":"2.0","id":` + r.id + `,"result":{"up":` + strconv.FormatBool(a.Up)
-		r.s.send("c"+r.id, []byte(head), comma(data), []byte("}}\n"))
+		r.s.send("c"+r.id, []byte(head), withLeadingComma(data), []byte("}}\n"))
 		return
 	case core.Served:
 		r.s.release(r.id)
 		head := `{"jsonrpc":"2.0","id":` + r.id + `,"result":{"bytes":"`
 		body := base64.StdEncoding.AppendEncode(make([]byte, 0, base64.StdEncoding.EncodedLen(len(a.Body))+1), a.Body)
-		r.s.send(r.id, []byte(head), append(body, '"'), comma(data), []byte("}}\n"))
+		r.s.send(r.id, []byte(head), append(body, '"'), withLeadingComma(data), []byte("}}\n"))
 		return
 	}
 	r.s.release(r.id)
@@ -39,32 +39,36 @@
 	case core.Refused:
 		code = codeRefused
 		if ms := (a.Away + time.Millisecond - 1) / time.Millisecond; ms > 0 {
-			data = strconv.AppendInt(append(sep(data), `"backoff":`...), int64(ms), 10)
+			data = strconv.AppendInt(append(appendSeparator(data), `"backoff":`...), int64(ms), 10)
 		}
 		if a.Last {
-			data = append(sep(data), `"final":1`...)
+			data = append(appendSeparator(data), `"final":1`...)
 		}
 	case core.Conflict, core.Invalid:
-		// The connection stays: who copies the id or key of a request that is on its way may come before it.
+		// The connection stays open: another client that copies the id or key of a request in transit may arrive first
+		// and make the genuine request the one in conflict.
 		code = badParams
 	}
 	r.s.send(r.id, errorLine(r.id, code, a.Why, data))
 }
 
-func sep(data []byte) []byte {
+// appendSeparator appends a comma to data unless it is empty.
+func appendSeparator(data []byte) []byte {
 	if len(data) > 0 {
 		data = append(data, ',')
 	}
 	return data
 }
 
-func comma(data []byte) []byte {
+// withLeadingComma returns data after a comma; nil if data is empty.
+func withLeadingComma(data []byte) []byte {
 	if len(data) == 0 {
 		return nil
 	}
 	return append([]byte{','}, data...)
 }
 
+// errorLine returns an error response line; data holds the members of the error's data object.
 func errorLine(id string, code int, text string, data []byte) []byte {
 	out := make([]byte, 0, 128)
 	out = append(append(out, `{"jsonrpc":"2.0","id":`...), id...)
--- a/internal/jsonrpc/endings_test.go
+++ b/internal/jsonrpc/endings_test.go
@@ -14,17 +14,17 @@
 	"larchscale/internal/sock"
 )
 
-// These tests force the order in which two events cross, on real connections: the core's loop is held up, or nobody
-// accepts, until both have happened.
+// These tests force the order of two concurrent events on real connections: the core loop is blocked, or no connection
+// is accepted, until both have happened.
 
 const (
 	result  = `"id":1,"result"`
 	refused = `"id":1,"error":{"code":-32001`
 )
 
-// front is a core whose front serves real connections, each only once the gate is open; a nil gate is none, and has the
-// server accept.
-func front(t *testing.T, site core.Site, gate <-chan struct{}) (*scenario.World, func() *scenario.Peer) {
+// startFront starts a core whose front serves real connections. With a gate the server accepts none before it is shut,
+// and each connection is handled only after the gate channel is closed.
+func startFront(t *testing.T, site core.Site, gate <-chan struct{}) (*scenario.World, func() *scenario.Peer) {
 	t.Helper()
 	l, err := sock.Listen("127.0.0.1:0")
 	if err != nil {
@@ -45,103 +45,104 @@
 		go servers[0].Serve()
 	}
 	t.Cleanup(func() { servers[0].Stop(time.Second) })
-	go func() { // as the program does
+	go func() { // as cmd/larchscale does
 		<-w.Done
 		servers[0].Stop(60 * ms)
 	}()
 	return w, func() *scenario.Peer { return scenario.Dial(t, l.Addr().(*net.TCPAddr).String()) }
 }
 
-// busy gives the loop more to take than it takes in a few turns.
-func busy(w *scenario.World) {
+// fillEventQueue queues more events for the core loop than it handles in a few turns.
+func fillEventQueue(w *scenario.World) {
 	for range 800 {
 		w.Send(core.Hold{})
 	}
 }
 
-// A connection has been idle for too long at the moment in which a request has come on it that the core has not heard of:
-// it is answered there.
-func TestARequestCrossesAnIdleClose(t *testing.T) {
+// A connection exceeds the idle limit just as a request has arrived on it that the core has not handled yet: the
+// request is answered on that connection.
+func TestRequestCrossingIdleCloseIsAnswered(t *testing.T) {
 	site := scenario.Site()
 	site.Control.IdleMax = 50 * ms
-	w, dial := front(t, site, nil)
+	w, dial := startFront(t, site, nil)
 	w.Serve(ms)
 	for range 5 {
 		p := dial()
 		p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n")
 		p.Expect(`"up":true`)
 		release := w.Block()
-		busy(w)
-		p.Send(ask(1, "quote", "a"+p.Name(), ""))
+		fillEventQueue(w)
+		p.Send(requestLine(1, "quote", "a"+p.Name(), ""))
 		time.Sleep(2 * site.Control.IdleMax)
 		release()
 		p.Expect(result)
-		p.Rest() // and then it is closed as idle
+		p.Rest() // the connection is then closed as idle
 	}
 }
 
-// Half a line stands on a connection that is to end, as it is idle or had a bad message: its rest is waited for, and the
-// request is answered.
-func TestTheRestOfALineIsWaitedFor(t *testing.T) {
+// Half a line has arrived on a connection that is to be closed because it is idle or had a bad message: the server
+// waits for the rest of the line and answers the request.
+func TestPartialLineIsCompletedBeforeClose(t *testing.T) {
 	site := scenario.Site()
 	site.Control.IdleMax = 50 * ms
-	w, dial := front(t, site, nil)
+	w, dial := startFront(t, site, nil)
 	w.Serve(ms)
 	for name, first := range map[string]string{"idle": "", "a bad message": "{\n"} {
 		p := dial()
-		line := ask(1, "quote", "a"+p.Name(), "")
+		line := requestLine(1, "quote", "a"+p.Name(), "")
 		p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n", first, line[:40])
 		p.Expect(`"up":true`)
 		time.Sleep(4 * site.Control.IdleMax)
 		if n, err := p.Write(line[40:]); err != nil {
-			t.Errorf("%s: %d bytes, %v", name, n, err)
+			t.Errorf("%s: wrote %d bytes, error %v", name, n, err)
 		}
 		p.Expect(result)
 		p.Rest()
 	}
 }
 
-// A balancer that closes its writing half waits for its answer.
-func TestAClosedWritingHalfIsAnswered(t *testing.T) {
-	w, dial := front(t, scenario.Site(), nil)
+// A balancer that has closed only its writing half still gets its answer.
+func TestHalfClosedConnectionIsAnswered(t *testing.T) {
+	w, dial := startFront(t, scenario.Site(), nil)
 	p := dial()
-	p.Send(ask(1, "quote", "a", ""))
+	p.Send(requestLine(1, "quote", "a", ""))
 	w.Await("run 000000000000000a quote body")
 	p.HalfClose()
-	p.Expect(`"method":"draining"`) // its end has been read
+	p.Expect(`"method":"draining"`) // the server has read the end of the input
 	w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.OK, Body: []byte("x")})
 	p.Expect(result)
 	p.Rest()
 }
 
-// One that has gone altogether is found out, and nothing is done for it any longer.
-func TestACallerThatHasGoneIsFoundOut(t *testing.T) {
-	w, dial := front(t, scenario.Site(), nil)
+// A balancer that has closed its connection altogether is detected, and its request is stopped.
+func TestClosedConnectionStopsRequests(t *testing.T) {
+	w, dial := startFront(t, scenario.Site(), nil)
 	p := dial()
-	p.Send(ask(1, "quote", "a", ""))
+	p.Send(requestLine(1, "quote", "a", ""))
 	w.Await("run 000000000000000a quote body")
 	start := time.Now()
 	p.Close()
 	w.Await("stop 000000000000000a")
-	if d := time.Since(start); d > time.Second { // its time is over after 4 s
-		t.Errorf("after %v", d)
+	if d := time.Since(start); d > time.Second { // its deadline is 4 s away
+		t.Errorf("stopped after %v", d)
 	}
 }
 
-// What was read, but not heard of when the server ends, is refused: on a connection of before, and on one that came last.
-func TestWhatCrossesTheEndIsRefused(t *testing.T) {
+// Requests that were read but not handled by the core when the server shuts down are refused, on an older connection
+// and on one that was made just before.
+func TestRequestsCrossingShutdownAreRefused(t *testing.T) {
 	site := scenario.Site()
 	site.Stop, site.Control.DrainGrace = 400*ms, 100*ms
-	w, dial := front(t, site, nil)
+	w, dial := startFront(t, site, nil)
 	p := dial()
 	p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n")
 	p.Expect(`"up":true`)
 	w.Send(core.Drain{})
 	release := w.Block()
-	busy(w)
+	fillEventQueue(w)
 	last := dial()
-	p.Send(ask(1, "quote", "a", ""))
-	last.Send(ask(1, "quote", "b", ""))
+	p.Send(requestLine(1, "quote", "a", ""))
+	last.Send(requestLine(1, "quote", "b", ""))
 	time.Sleep(site.Stop)
 	release()
 	p.Expect(refused)
@@ -151,27 +152,27 @@
 	<-w.Done
 }
 
-// Connections that others have made, and that nobody has accepted when the server ends or hands off, are answered.
-func TestWhatWaitsForAnAcceptIsAnswered(t *testing.T) {
+// Requests on connections that are not accepted yet when the server shuts down or hands off are answered.
+func TestUnacceptedConnectionsAreAnswered(t *testing.T) {
 	for name, c := range map[string]struct {
-		leave core.Event
+		event core.Event
 		want  string
-	}{"the end": {core.Drain{}, refused}, "a handoff": {core.Handoff{Kill: 2 * time.Second}, result}} {
+	}{"shutdown": {core.Drain{}, refused}, "handoff": {core.Handoff{Kill: 2 * time.Second}, result}} {
 		t.Run(name, func(t *testing.T) {
 			site := scenario.Site()
 			site.Stop, site.Control.DrainGrace = 2*time.Second, 50*ms
 			gate := make(chan struct{})
-			w, dial := front(t, site, gate)
+			w, dial := startFront(t, site, gate)
 			w.Serve(ms)
-			w.Send(core.Closed{Session: w.Session("c")}) // nobody else is connected
+			w.Send(core.Closed{Session: w.Session("c")}) // no other session is open
 			var all []*scenario.Peer
 			for i := range 10 {
 				p := dial()
-				p.Send(ask(1, "quote", fmt.Sprint(i), ""))
+				p.Send(requestLine(1, "quote", fmt.Sprint(i), ""))
 				all = append(all, p)
 			}
-			w.Send(c.leave)
-			for refused := false; !refused; { // until the listener is closed, and nobody has been heard of
+			w.Send(c.event)
+			for refused := false; !refused; { // until the listener is closed, with no request read yet
 				c, err := net.Dial("tcp4", all[0].Addr())
 				if refused = err != nil; !refused {
 					c.Close()
@@ -188,28 +189,28 @@
 	}
 }
 
-// Half a line stands when the server ends: its rest, sent after that, finds the connection closed, and nothing of it runs.
-// One that came whole before is answered.
-func TestHalfALineAtTheEnd(t *testing.T) {
+// Half a line has arrived when the server shuts down: the rest, sent afterwards, finds the connection closed, and the
+// request does not run. A line that is completed before is answered.
+func TestPartialLineAtShutdown(t *testing.T) {
 	site := scenario.Site()
 	site.Stop, site.Control.DrainGrace = 400*ms, 50*ms
-	w, dial := front(t, site, nil)
+	w, dial := startFront(t, site, nil)
 	w.Serve(ms)
-	line := ask(1, "quote", "a", "")
-	cut, whole := dial(), dial()
-	for _, p := range []*scenario.Peer{cut, whole} {
+	line := requestLine(1, "quote", "a", "")
+	partial, complete := dial(), dial()
+	for _, p := range []*scenario.Peer{partial, complete} {
 		p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n", line[:30])
 		p.Expect(`"up":true`)
 	}
 	w.Send(core.Drain{})
-	whole.Expect(`"method":"draining"`)
-	whole.Send(line[30:])
-	whole.Expect(`"id":1,"(result|error)"`)
+	complete.Expect(`"method":"draining"`)
+	complete.Send(line[30:])
+	complete.Expect(`"id":1,"(result|error)"`)
 	<-w.Done
 	ran := len(w.Handles())
-	cut.Send(line[30:])
-	cut.Gone()
+	partial.Send(line[30:])
+	partial.Gone()
 	if n := len(w.Handles()); n != ran {
-		t.Errorf("%d runs began after the end", n-ran)
+		t.Errorf("%d runs started after the shutdown", n-ran)
 	}
 }
--- a/internal/jsonrpc/front.go
+++ b/internal/jsonrpc/front.go
@@ -14,137 +14,136 @@
 )
 
 const (
-	codeRefused = -32001
-	codeFailed  = -32000
-	maxOpen     = 32                      // requests on one connection
-	maxBad      = 8                       // messages that are none, after which an idle connection is closed at once
-	firstWithin = 1500 * time.Millisecond // after connecting, the first message is whole
-	lineWithin  = 1500 * time.Millisecond // after its first byte, a further one is
-	openWithin  = 8 * time.Second         // or, where requests are open, which wait for the rest of the line
-	firstLook   = 5 * time.Millisecond    // whether the other side has gone altogether; then after twice as long
-	maxLook     = 200 * time.Millisecond
-	flushLook   = time.Millisecond // whether the last answers are written, before a connection is ended; then after twice as long
-	// maxLoggedIDs bounds the unanswered requests that the log names of one connection.
+	codeRefused         = -32001
+	codeFailed          = -32000
+	maxOpen             = 32                      // open requests on one connection
+	maxBad              = 8                       // bad messages in a row that close an idle connection at once
+	firstMessageTimeout = 1500 * time.Millisecond // from connecting to the end of the first message
+	lineTimeout         = 1500 * time.Millisecond // from the first byte of a further message to its end
+	openLineTimeout     = 8 * time.Second         // the same while requests are open, whose answers a close would lose
+	minGoneInterval     = 5 * time.Millisecond    // between checks whether the peer is gone; doubled each time
+	maxPollInterval     = 200 * time.Millisecond  // bounds both intervals that are doubled
+	minFlushInterval    = time.Millisecond        // between checks whether all answers are written; doubled
+	// maxLoggedIDs bounds the unanswered requests that the log names for one connection.
 	maxLoggedIDs = 5
 )
 
-// Front turns lines into the core's events and its answers into lines.
+// Front translates JSON-RPC lines into events of the core, and the core's answers into lines.
 type Front struct {
 	site  *core.Site
 	core  *core.Core
-	clock *wallclock.Clock // of the machine, which stamps requests
+	clock *wallclock.Clock // converts the time stamps of requests
 	log   *slog.Logger
 }
 
-// New makes the front; its Handle serves one connection.
+// New returns a front; its Handle serves one connection.
 func New(site *core.Site, c *core.Core, log *slog.Logger) *Front {
 	return &Front{site, c, wallclock.New(), log}
 }
 
-// Handle reads one connection until it ends.
+// Handle serves one connection until it ends.
 //
-// The server ends a connection only where nothing stands on it: nothing is there to be read, and every request that was
-// read has its answer. Whatever asks for the end (the core, a time limit, a bad message, the end of the process) is
-// carried out at such a moment by the reader, and until then all that comes is answered. Exceptions are a peer that is
-// gone, one that does not read its answers, and one that sends nothing but bad messages, with no request open.
+// The server closes a connection only when it is quiet: no input is unread, and every request that was read has been
+// answered. Whoever asks for the close (the core, a time limit, a bad message, the shutdown of the process), the reader
+// carries it out at such a moment, and until then everything that arrives is answered. Exceptions are a peer that is
+// gone, one that does not read its answers, and one that sends nothing but bad messages and has no open request.
 func (f *Front) Handle(conn net.Conn, outbound *sock.WriteQueue) {
 	s := newSession(conn, outbound)
 	f.core.Send(core.Opened{Session: s})
 	defer f.core.Send(core.Closed{Session: s})
-	began := time.Now()
-	err := f.serve(s, began.Add(firstWithin))
-	if errors.Is(err, io.EOF) && s.owes() {
-		// The client may have closed its writing half alone, and wait for its answers. One that has gone altogether
-		// answers this message by a reset, which shows that it has.
+	started := time.Now()
+	err := f.serve(s, started.Add(firstMessageTimeout))
+	if errors.Is(err, io.EOF) && s.hasUnanswered() {
+		// The client may have closed only its writing half and wait for its answers. If it is gone altogether, it
+		// answers this message with a reset, which Broken detects.
 		s.Drain(0)
 		s.awaitAnswers()
 	}
-	if cut := outbound.Err(); cut != nil {
-		f.log.Warn("connection cut", "front", "jsonrpc", "open", s.count(), "err", cut)
+	if closeErr := outbound.Err(); closeErr != nil {
+		f.log.Warn("connection cut", "front", "jsonrpc", "open", s.openCount(), "err", closeErr)
 	}
-	f.logEnd(s, began, s.endReason(err))
+	f.logEnd(s, started, s.endReason(err))
 }
 
-// serve reads messages until the connection is to end, and returns why: errEnd, or what the connection failed with. The
-// first message has to be whole by first.
-func (f *Front) serve(s *session, first time.Time) error {
+// serve reads messages until the connection ends and returns why: errClosed, or the error of the connection. The
+// first message must be complete by firstDeadline.
+func (f *Front) serve(s *session, firstDeadline time.Time) error {
 	for {
-		var until time.Time
-		if !s.asked {
-			until = first
+		var deadline time.Time
+		if !s.sawRequest {
+			deadline = firstDeadline
 		}
-		line, err := s.readLine(until)
+		line, err := s.readLine(deadline)
 		switch {
 		case err == nil:
 			if len(line) > 0 {
-				f.message(s, line)
+				f.handleLine(s, line)
 			}
 		case errors.Is(err, sock.ErrLong):
-			f.bad(s, message{}, &fault{badRequest, err.Error()})
+			f.badMessage(s, message{}, &requestError{badRequest, err.Error()})
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			s.endWhenQuiet(endTimeLimit)
+			s.closeWhenQuiet(closeTimeLimit)
 		default:
 			return err
 		}
-		if s.mayEndOverUnread() {
-			return errEnd
+		if s.mustCloseUnread() {
+			return errClosed
 		}
 	}
 }
 
-// deliver hands an event to the core, which from then on knows better than to end the connection.
+// deliver sends an event to the core and counts it, so that a close that the core asked for before is void.
 func (f *Front) deliver(s *session, e core.Event) {
-	s.delivers()
+	s.countDelivery()
 	f.core.Send(e)
 }
 
-// message takes one line.
-func (f *Front) message(s *session, line []byte) {
-	m, complaint := parse(line, f.site, f.clock)
-	if complaint == nil && m.num > 0 {
-		complaint = s.take(m)
+// handleLine handles one line.
+func (f *Front) handleLine(s *session, line []byte) {
+	m, problem := parse(line, f.site, f.clock)
+	if problem == nil && m.num > 0 {
+		problem = s.register(m)
 	}
-	if complaint != nil {
-		f.bad(s, m, complaint)
+	if problem != nil {
+		f.badMessage(s, m, problem)
 		return
 	}
-	s.bad = 0
+	s.badCount = 0
 	switch m.method {
 	case "status":
-		s.asked = true
-		s.owe("c" + m.id)
+		s.sawRequest = true
+		s.expectAnswer("c" + m.id)
 		f.deliver(s, core.Check{Session: s, Reply: reply{s, m.id}, Deep: m.deep})
 	case "withdraw":
-		m.req.Handle = s.withdraw(m.ref, m.req.Handle)
+		m.req.Handle = s.cancel(m.ref, m.req.Handle)
 		f.deliver(s, core.Withdraw{Session: s, Handle: m.req.Handle})
 	default:
-		s.asked = true
+		s.sawRequest = true
 		f.deliver(s, core.Arrive{Session: s, Reply: reply{s, m.id}, Req: m.req})
 	}
 }
 
-// bad takes a message that is none. Its sender gets an error where an id can be read, and the connection ends once
-// nothing stands on it: what else was sent on it is owed its answer.
-func (f *Front) bad(s *session, m message, why *fault) {
-	f.log.Warn("bad message", "front", "jsonrpc", "open", s.count(), "err", why)
-	s.bad++
-	s.endWhenQuiet(endBadMessage)
-	if s.seen(m) {
-		m.id = idOfNone // the request of that id has its answer, or is owed it
+// badMessage handles an invalid message. Its sender gets an error response if the id can be read, and the connection is
+// closed once it is quiet: the other requests on it still get their answers.
+func (f *Front) badMessage(s *session, m message, problem *requestError) {
+	f.log.Warn("bad message", "front", "jsonrpc", "open", s.openCount(), "err", problem)
+	s.badCount++
+	s.closeWhenQuiet(closeBadMessage)
+	if s.isUsedID(m) {
+		m.id = nullID // the id belongs to an earlier request, which has its own answer
 	}
-	s.passOver(m)
+	s.markUsed(m)
 	if m.id != "" {
-		s.outbound.Send(errorLine(m.id, why.code, why.text, nil))
+		s.outbound.Send(errorLine(m.id, problem.code, problem.text, nil))
 	}
 }
 
-// logEnd logs the end of a connection. It is a warning where requests stand on it, delivered or unread, that will have
-// no answer.
-func (f *Front) logEnd(s *session, began time.Time, why string) {
-	unread := s.unread()
-	unanswered, ids := s.unanswered()
-	attrs := []any{"front", "jsonrpc", "peer", s.conn.RemoteAddr().String(), "why", why, "age_ms", time.Since(began).Milliseconds(),
-		"last_id", s.last, "unanswered", unanswered, "unread_bytes", unread}
+// logEnd logs the end of a connection, as a warning if requests, delivered or unread, remain without an answer.
+func (f *Front) logEnd(s *session, started time.Time, why string) {
+	unread := s.unreadBytes()
+	unanswered, ids := s.unansweredRequests()
+	attrs := []any{"front", "jsonrpc", "peer", s.conn.RemoteAddr().String(), "why", why, "age_ms", time.Since(started).Milliseconds(),
+		"last_id", s.lastID, "unanswered", unanswered, "unread_bytes", unread}
 	if unanswered == 0 && unread == 0 {
 		f.log.Info("connection ended", attrs...)
 		return
--- a/internal/jsonrpc/front_test.go
+++ b/internal/jsonrpc/front_test.go
@@ -16,8 +16,8 @@
 
 const ms = time.Millisecond
 
-// play runs a scenario with one balancer's connection.
-func play(t *testing.T, f func(w *scenario.World, p *scenario.Peer)) {
+// runScenario runs f in a synctest bubble with a core and one balancer's connection.
+func runScenario(t *testing.T, f func(w *scenario.World, p *scenario.Peer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
@@ -27,19 +27,19 @@
 	})
 }
 
-// ask is a request line; more holds further params.
-func ask(id int, method, rid, more string) string {
+// requestLine returns a request line; more holds further params.
+func requestLine(id int, method, rid, more string) string {
 	return fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016s","t0":%d,"peer":1,"acct":"north","budget":4000,`+
 		`"mem":24.5,"prio":0.9,"bytes":"Ym9keQ=="%s}}`+"\n", id, method, rid, time.Now().UnixMilli(), more)
 }
 
-// What is no request gets an error where its id can be read, and the connection ends where not. Nothing of
-// it runs.
+// An invalid message gets an error response if its id can be read; otherwise the connection is just closed. Nothing
+// runs.
 func TestBadInput(t *testing.T) {
-	good := strings.TrimSuffix(ask(1, "quote", "a", ""), "\n")
+	good := strings.TrimSuffix(requestLine(1, "quote", "a", ""), "\n")
 	for name, c := range map[string]struct {
 		line string
-		code int // 0 = the connection ends
+		code int // 0 if the connection is closed without an answer
 	}{
 		"no JSON":        {`{"id":1`, 0},
 		"a batch":        {`[` + good + `]`, 0},
@@ -70,7 +70,7 @@
 		"keyed, no key":  {strings.Replace(good, `"quote"`, `"book"`, 1), -32602},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *scenario.World, p *scenario.Peer) {
+			runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 				p.Send(c.line, "\n")
 				if c.code == 0 {
 					if rest := p.Rest(); rest != "" {
@@ -78,7 +78,7 @@
 					}
 				} else {
 					p.Expect(fmt.Sprintf(`"id":("1"|[01.5]+),"error":{"code":%d,`, c.code))
-					p.Rest() // and the connection ends
+					p.Rest() // the connection is closed
 				}
 				w.Expect(ms)
 			})
@@ -86,15 +86,15 @@
 	}
 }
 
-// A request that was stamped before a step of the wall clock by an hour, of which this server knows nothing, is a request
-// all the same: it counts from its reading, and what else is open on its connection goes on.
-func TestARequestStampedByASteppedClockIsServed(t *testing.T) {
+// A request whose time stamp is off, because a clock was stepped without this server's knowledge, is served as if it
+// had just been sent, and the other requests on its connection continue.
+func TestRequestStampedBySteppedClockIsServed(t *testing.T) {
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 25 * time.Hour, -3 * time.Second} {
-		play(t, func(w *scenario.World, p *scenario.Peer) {
-			p.Send(ask(1, "quote", "a", ""))
+		runScenario(t, func(w *scenario.World, p *scenario.Peer) {
+			p.Send(requestLine(1, "quote", "a", ""))
 			w.Expect(ms, "run 000000000000000a quote body")
 			now := time.Now().UnixMilli()
-			p.Send(strings.Replace(ask(2, "quote", "b", ""), fmt.Sprint(now), fmt.Sprint(now+step.Milliseconds()), 1))
+			p.Send(strings.Replace(requestLine(2, "quote", "b", ""), fmt.Sprint(now), fmt.Sprint(now+step.Milliseconds()), 1))
 			w.Expect(ms, "run 000000000000000b quote body")
 			w.Send(core.PoolFinished{Handle: "000000000000000b", End: control.OK, Body: []byte("x")})
 			p.Expect(`"id":2,"result"`)
@@ -104,13 +104,13 @@
 	}
 }
 
-// Answers come in any order, each with the free value; a result is the run's own, unchanged.
+// Answers come in any order, each with the hint, and carry the result of the run unchanged.
 func TestAnswers(t *testing.T) {
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		p.Send(`{"jsonrpc":"2.0","id":9,"method":"status"}`, "\n")
 		p.Expect(`^{"jsonrpc":"2.0","id":9,"result":{"up":true`)
-		release := w.Block() // both come in one turn, in which the worthier runs first
-		p.Send(ask(1, "quote", "a", ""), ask(2, "book", "b", `,"token":"k"`), "\n")
+		release := w.Block() // both arrive in one turn, in which the request of higher worth runs first
+		p.Send(requestLine(1, "quote", "a", ""), requestLine(2, "book", "b", `,"token":"k"`), "\n")
 		synctest.Wait()
 		release()
 		w.Expect(ms, "run 000000000000000b book body", "run 000000000000000a quote body")
@@ -121,18 +121,18 @@
 	})
 }
 
-// A withdraw names the try or the id; then no answer is sent.
+// A withdraw names the request by rid or id; no answer is sent then.
 func TestWithdraw(t *testing.T) {
 	for _, line := range []string{`"method":"withdraw","params":{"rid":"000000000000000a"}`, `"method":"withdraw","params":{"id":1}`,
 		`"method":"withdraw","id":1`} {
-		play(t, func(w *scenario.World, p *scenario.Peer) {
-			p.Send(ask(1, "quote", "a", ""))
+		runScenario(t, func(w *scenario.World, p *scenario.Peer) {
+			p.Send(requestLine(1, "quote", "a", ""))
 			w.Expect(ms, "run 000000000000000a quote body")
 			p.Send(`{"jsonrpc":"2.0",`, line, "}\n")
 			w.Expect(ms, "stop 000000000000000a")
 			w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.Stopped})
-			for id := range 40 { // what is taken back is not open any longer
-				p.Send(ask(id+2, "quote", fmt.Sprint(id), ""), fmt.Sprintf(`{"jsonrpc":"2.0","method":"withdraw","params":{"id":%d}}`, id+2), "\n")
+			for id := range 40 { // canceled requests do not count as open
+				p.Send(requestLine(id+2, "quote", fmt.Sprint(id), ""), fmt.Sprintf(`{"jsonrpc":"2.0","method":"withdraw","params":{"id":%d}}`, id+2), "\n")
 			}
 			p.Send(`{"jsonrpc":"2.0","id":99,"method":"status"}`, "\n")
 			p.Expect(`^{"jsonrpc":"2.0","id":99`)
@@ -140,23 +140,23 @@
 	}
 }
 
-// A message that breaks the protocol gets its error, and ends its connection, but not before all else that was sent on it
-// has its one answer: what was open, and what came after it. No id is answered twice.
-func TestWhoBreaksTheProtocolHasItsOtherAnswers(t *testing.T) {
+// A message that violates the protocol gets an error response and its connection is closed, but only after all other
+// requests on it, earlier and later ones, have their one answer. No id is answered twice.
+func TestProtocolViolationKeepsOtherAnswers(t *testing.T) {
 	many := func(from, to int) (all string) {
 		for id := from; id <= to; id++ {
-			all += ask(id, "book", fmt.Sprint(id), fmt.Sprintf(`,"token":"%d"`, id))
+			all += requestLine(id, "book", fmt.Sprint(id), fmt.Sprintf(`,"token":"%d"`, id))
 		}
 		return all
 	}
 	for name, c := range map[string]struct {
 		last func() string
-		want string // the answer to it
+		want string // the answer to last
 	}{
 		"an id twice":            {func() string { return many(31, 31) }, `"id":null,"error":{"code":-32600`},
 		"an id that counts down": {func() string { return many(30, 30) }, `"id":null,"error":{"code":-32600`},
 		"too many":               {func() string { return many(32, 33) }, `"id":33,"error":{"code":-32600`},
-		"a rid twice":            {func() string { return ask(33, "quote", "1", "") }, `"id":33,"error":{"code":-32602`},
+		"a rid twice":            {func() string { return requestLine(33, "quote", "1", "") }, `"id":33,"error":{"code":-32602`},
 		"no JSON":                {func() string { return "{\n" }, ""},
 		"a long line":            {func() string { return strings.Repeat("x", 3*8<<10) + "\n" }, ""},
 		"half a line":            {func() string { return `{"jsonrpc"` }, ""},
@@ -167,7 +167,7 @@
 				w := scenario.NewWorld(t, site, false)
 				w.Serve(ms)
 				p := w.Front(jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler)).Handle)()
-				release := w.Block() // all of it is open when the bad message comes
+				release := w.Block() // all requests are open when the bad message arrives
 				p.Send(many(1, 31))
 				synctest.Wait()
 				p.Send(c.last())
@@ -177,7 +177,7 @@
 				}
 				synctest.Wait()
 				release()
-				if name == "a rid twice" { // which ends nothing: another client may have made it up
+				if name == "a rid twice" { // the connection stays open: another client may have copied the rid
 					time.Sleep(ms)
 					w.Send(core.Drain{})
 				}
@@ -186,7 +186,7 @@
 					t.Errorf("no %q in %q", c.want, rest)
 				}
 				if got := strings.Contains(rest, `"id":99,"result"`); got != after {
-					t.Errorf("what came after the bad message is answered: %v, in %q", got, rest)
+					t.Errorf("check after the bad message answered: %v, in %q", got, rest)
 				}
 				for id := 1; id <= 31; id++ {
 					if n := strings.Count(rest, fmt.Sprintf(`"id":%d,`, id)); n != 1 {
@@ -198,9 +198,9 @@
 	}
 }
 
-// A client that sends one bad message after another loses its connection, however much more it sends.
-func TestAClientThatSendsOnlyBadMessagesIsCutOff(t *testing.T) {
-	w, dial := front(t, scenario.Site(), nil)
+// The connection of a client that sends one bad message after another is closed, even while more input arrives.
+func TestOnlyBadMessagesCloseConnection(t *testing.T) {
+	w, dial := startFront(t, scenario.Site(), nil)
 	w.Serve(ms)
 	p := dial()
 	start := time.Now()
@@ -209,14 +209,14 @@
 			return
 		}
 	}
-	t.Error("it goes on")
+	t.Error("the connection stays open")
 }
 
-// A client that hangs up with requests open is served no longer: what has not begun by then is not run.
-func TestWhatIsOpenForAClientThatHangsUpIsNotRun(t *testing.T) {
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+// Requests of a client that hangs up are not run if they have not started by then.
+func TestRequestsOfClosedConnectionAreNotRun(t *testing.T) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		for id := 1; id <= 32; id++ {
-			p.Send(ask(id, "book", fmt.Sprint(id), fmt.Sprintf(`,"token":"%d"`, id)))
+			p.Send(requestLine(id, "book", fmt.Sprint(id), fmt.Sprintf(`,"token":"%d"`, id)))
 		}
 		time.Sleep(ms)
 		ran := w.Handles()
@@ -225,7 +225,7 @@
 		}
 		p.Close()
 		time.Sleep(ms)
-		for _, h := range ran { // the rest is run for nobody
+		for _, h := range ran { // frees room, but the others have no caller left
 			w.Send(core.PoolFinished{Handle: h, End: control.OK})
 		}
 		time.Sleep(5 * time.Second)
@@ -235,17 +235,18 @@
 	})
 }
 
-// Who connects and says nothing, or half of something, is closed in time; one that is merely idle stays.
-func TestSilence(t *testing.T) {
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+// A connection without a message, or with only part of one, is closed after the time limits; one that is merely idle
+// stays.
+func TestMessageTimeouts(t *testing.T) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		start := time.Now()
 		if p.Rest(); time.Since(start) > 2*time.Second {
 			t.Errorf("closed after %v", time.Since(start))
 		}
 	})
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		start := time.Now()
-		for range 3 { // what asks for nothing keeps no connection
+		for range 3 { // empty lines and withdraws do not count as a first message
 			p.Send("\n", `{"jsonrpc":"2.0","method":"withdraw","params":{"id":7}}`, "\n")
 			time.Sleep(400 * ms)
 		}
@@ -254,7 +255,7 @@
 			t.Errorf("closed after %v", time.Since(start))
 		}
 	})
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		status := `{"jsonrpc":"2.0","id":1,"method":"status"}` + "\n"
 		p.Send(status)
 		p.Expect(`"up":true`)
@@ -263,7 +264,7 @@
 		p.Expect(`"up":true`)
 		p.Send(status[6:])
 		p.Expect(`"up":true`)
-		p.Send(ask(2, "book", "a", `,"token":"k"`), `{"json`) // a machine that pauses: what is open there is not lost
+		p.Send(requestLine(2, "book", "a", `,"token":"k"`), `{"json`) // a pause in a line does not lose open requests
 		w.Expect(3*time.Second, "run 000000000000000a book body")
 		w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.OK})
 		p.Expect(`"id":2,"result"`)
@@ -271,37 +272,37 @@
 		p.Expect(`"up":true`)
 		start := time.Now()
 		if p.Rest(); time.Since(start) > 2*time.Second {
-			t.Errorf("half a line stood %v", time.Since(start))
+			t.Errorf("half a line held the connection for %v", time.Since(start))
 		}
 	})
 }
 
-// On the notice to leave every connection is told, and what comes too late is refused with advice.
+// On a drain every connection is notified, and a request that comes too late is refused with a backoff.
 func TestDrain(t *testing.T) {
-	play(t, func(w *scenario.World, p *scenario.Peer) {
+	runScenario(t, func(w *scenario.World, p *scenario.Peer) {
 		p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n")
 		p.Expect(`"up":true`)
 		w.Expect(ms)
 		w.Send(core.Drain{})
 		p.Expect(`^{"jsonrpc":"2.0","method":"draining"}$`)
 		w.Expect(2100*ms, "closed", "draining to c")
-		p.Send(ask(1, "quote", "a", ""))
+		p.Send(requestLine(1, "quote", "a", ""))
 		p.Expect(`"id":1,"error":{"code":-32001,"message":"turned away","data":{"hint":1,"backoff":1000`)
 		w.Expect(ms)
 		<-w.Done
 	})
 }
 
-// A balancer that does not read loses its connection; the others are served.
-func TestASlowReaderHoldsUpNobody(t *testing.T) {
+// The connection of a balancer that does not read is closed; the others are served.
+func TestSlowReaderDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
 		w := scenario.NewWorld(t, site, false)
 		w.Serve(ms)
 		dial := w.Front(jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler)).Handle)
 		slow, quick := dial(), dial()
-		slow.Send(ask(1, "quote", "a", ""))
-		quick.Send(ask(1, "quote", "b", ""))
+		slow.Send(requestLine(1, "quote", "a", ""))
+		quick.Send(requestLine(1, "quote", "b", ""))
 		quick.Expect(`"id":1,"result"`)
 		time.Sleep(3 * time.Second)
 		if rest := slow.Rest(); rest != "" {
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -1,4 +1,4 @@
-// Package jsonrpc is the platform's front: JSON-RPC 2.0, a message to a line.
+// Package jsonrpc is the front for the platform's balancers: JSON-RPC 2.0 with one message per line.
 package jsonrpc
 
 import (
@@ -14,7 +14,7 @@
 	"larchscale/internal/wallclock"
 )
 
-// The codes of errors that a client makes, as JSON-RPC 2.0 has them.
+// The error codes of JSON-RPC 2.0 for invalid messages.
 const (
 	badJSON    = -32700
 	badRequest = -32600
@@ -23,46 +23,45 @@
 )
 
 const (
-	maxLine = 8 << 10
-	maxBody = 2 << 10
-	maxName = 128     // of a token or an id
-	maxHeld = 2000    // kilobytes that a request may take
-	maxWait = 1 << 32 // milliseconds
-	maxID   = 1 << 53 // the largest whole number that any JSON reader keeps
-	// maxStamp is no time in milliseconds that is written so.
-	maxStamp = 1e15
-	absurd   = 26 * time.Hour   // from now: no clock that is merely stepped or of another zone shows it
-	stale    = 10 * time.Minute // older than any caller waits
-	ahead    = 2 * time.Second  // of this machine's clock
+	maxLine       = 8 << 10 // bytes
+	maxBody       = 2 << 10 // bytes
+	maxName       = 128     // bytes of a token or an id
+	maxMemoryKB   = 2000    // of a request
+	maxWaitMs     = 1 << 32
+	maxID         = 1 << 53          // the largest whole number that every JSON reader keeps exactly
+	maxStampMs    = 1e15             // above any time stamp in milliseconds
+	maxClockError = 26 * time.Hour   // more than a clock that was stepped or is set to another time zone can be off
+	maxAge        = 10 * time.Minute // longer than any caller waits
+	maxAhead      = 2 * time.Second  // of this machine's clock
 )
 
-// fault is a complaint about a message.
-type fault struct {
+// requestError is the error response to an invalid message.
+type requestError struct {
 	code int
 	text string
 }
 
-func (f *fault) Error() string { return fmt.Sprintf("%d: %s", f.code, f.text) }
+func (f *requestError) Error() string { return fmt.Sprintf("%d: %s", f.code, f.text) }
 
-// message is one line as values.
+// message is a parsed line.
 type message struct {
-	id     string // as it was written; empty = none
-	num    uint64 // of a request
+	id     string // as it was written; empty if absent
+	num    uint64 // the id of a request as a number
 	method string
 	req    core.Incoming
-	ref    string // withdraw: the id of the request, as it was written
-	deep   bool   // status: whether work is getting done
+	ref    string // withdraw: the id of the request to cancel, as it was written
+	deep   bool   // status: a deep health check, which runs work
 }
 
-// parse reads one line. The message's id is good whenever it is not empty.
-func parse(line []byte, site *core.Site, clock *wallclock.Clock) (message, *fault) {
+// parse parses one line. The id of the message is valid whenever it is not empty, even with an error.
+func parse(line []byte, site *core.Site, clock *wallclock.Clock) (message, *requestError) {
 	var m message
 	if !gjson.ValidBytes(line) {
-		return m, &fault{badJSON, "not JSON"}
+		return m, &requestError{badJSON, "not JSON"}
 	}
 	top := gjson.ParseBytes(line)
 	if !top.IsObject() {
-		return m, &fault{badRequest, "not an object"}
+		return m, &requestError{badRequest, "not an object"}
 	}
 	var version, method, params gjson.Result
 	top.ForEach(func(k, v gjson.Result) bool {
@@ -81,14 +80,14 @@
 		return true
 	})
 	if version.Str != "2.0" || method.Type != gjson.String {
-		return m, &fault{badRequest, "no JSON-RPC 2.0 request"}
+		return m, &requestError{badRequest, "no JSON-RPC 2.0 request"}
 	}
 	m.method = method.Str
 	switch m.method {
 	case "status":
 		m.deep = params.Get("full").Type == gjson.True
 		return m, nil
-	case "withdraw": // balancers send a notification with the id in params; a rid is taken too
+	case "withdraw": // balancers send a notification with the id in params; a rid is accepted too
 		m.req.Handle, m.ref = params.Get("rid").Str, params.Get("id").Raw
 		if m.req.Handle == "" && m.ref == "" {
 			m.ref = m.id
@@ -96,16 +95,16 @@
 		return m, nil
 	}
 	if m.req.Class = site.Class(m.method); m.req.Class < 0 {
-		return m, &fault{badMethod, "unknown class"}
+		return m, &requestError{badMethod, "unknown class"}
 	}
-	if m.num = whole(m.id, maxID); m.num == 0 {
-		return m, &fault{badRequest, "a request whose id is no number from 1 up"}
+	if m.num = parseWhole(m.id, maxID); m.num == 0 {
+		return m, &requestError{badRequest, "a request whose id is no number from 1 up"}
 	}
-	return m, request(&m.req, params, site, clock)
+	return m, parseParams(&m.req, params, site, clock)
 }
 
-// whole reads digits alone; 0 = they are no number from 1 to limit.
-func whole(s string, limit uint64) uint64 {
+// parseWhole parses a number written in digits only; 0 if it is not from 1 to limit.
+func parseWhole(s string, limit uint64) uint64 {
 	n, err := strconv.ParseUint(s, 10, 64)
 	if err != nil || n > limit || s[0] == '+' {
 		return 0
@@ -113,8 +112,8 @@
 	return n
 }
 
-// request reads the params of a request.
-func request(q *core.Incoming, params gjson.Result, site *core.Site, clock *wallclock.Clock) *fault {
+// parseParams reads the params of a request into q.
+func parseParams(q *core.Incoming, params gjson.Result, site *core.Site, clock *wallclock.Clock) *requestError {
 	var peer, stamp, budget, mem, est, prio, acct, bytes gjson.Result
 	q.Tenant = -1
 	params.ForEach(func(k, v gjson.Result) bool {
@@ -139,45 +138,45 @@
 		case "token":
 			q.Token = v.Str
 		case "obj":
-			q.Subject = hash(v.Str)
+			q.Subject = hashSubject(v.Str)
 		case "bytes":
 			bytes = v
 		}
 		return true
 	})
-	bad := func(what string) *fault { return &fault{badParams, what} }
+	invalid := func(what string) *requestError { return &requestError{badParams, what} }
 	switch {
 	case !isRID(q.Handle):
-		return bad("rid")
-	case stamp.Type != gjson.Number || !(stamp.Num > 0 && stamp.Num < maxStamp):
-		return bad("t0")
+		return invalid("rid")
+	case stamp.Type != gjson.Number || !(stamp.Num > 0 && stamp.Num < maxStampMs):
+		return invalid("t0")
 	case peer.Type != gjson.Number || !(peer.Num >= 0 && peer.Num <= math.MaxUint32) || peer.Num != math.Trunc(peer.Num):
-		return bad("peer")
+		return invalid("peer")
 	case len(site.Tenants) > 0 && q.Tenant < 0, acct.Exists() && acct.Type != gjson.String:
-		return bad("acct")
-	case budget.Exists() && (budget.Type != gjson.Number || !(budget.Num > 0 && budget.Num < maxWait)):
-		return bad("budget")
-	case mem.Type != gjson.Number || !(mem.Num > 0 && mem.Num < maxHeld):
-		return bad("mem")
-	case est.Exists() && (est.Type != gjson.Number || !(est.Num >= 0 && est.Num < maxWait)):
-		return bad("est")
+		return invalid("acct")
+	case budget.Exists() && (budget.Type != gjson.Number || !(budget.Num > 0 && budget.Num < maxWaitMs)):
+		return invalid("budget")
+	case mem.Type != gjson.Number || !(mem.Num > 0 && mem.Num < maxMemoryKB):
+		return invalid("mem")
+	case est.Exists() && (est.Type != gjson.Number || !(est.Num >= 0 && est.Num < maxWaitMs)):
+		return invalid("est")
 	case prio.Type != gjson.Number || !(prio.Num >= 0 && prio.Num < 1):
-		return bad("prio")
+		return invalid("prio")
 	case bytes.Type != gjson.String:
-		return bad("bytes")
+		return invalid("bytes")
 	case len(q.Token) > maxName || site.Keyed(q.Class) && q.Token == "":
-		return bad("token")
+		return invalid("token")
 	}
 	body, err := base64.StdEncoding.DecodeString(bytes.Str)
 	if err != nil || len(body) > maxBody {
-		return bad("bytes")
+		return invalid("bytes")
 	}
 	q.Body = body
 	age := clock.Age(time.UnixMilli(int64(stamp.Num)))
-	if age.Abs() > absurd {
-		return bad("t0")
+	if age.Abs() > maxClockError {
+		return invalid("t0")
 	}
-	if age > stale || age < -ahead { // by a step of the clock that nobody has seen: it counts from now on
+	if age > maxAge || age < -maxAhead { // an unnoticed step of a clock: the request counts as having arrived now
 		age = 0
 	}
 	q.Arrived = time.Now().Add(-age)
@@ -189,7 +188,7 @@
 	return nil
 }
 
-// isRID tells whether a handle is 16 hex digits. It stands in lines of other protocols.
+// isRID reports whether a handle is 16 hex digits. Handles are written unescaped into lines of other protocols.
 func isRID(s string) bool {
 	for i := 0; i < len(s); i++ {
 		if c := s[i] | 0x20; !(s[i] >= '0' && s[i] <= '9' || c >= 'a' && c <= 'f') {
@@ -199,8 +198,8 @@
 	return len(s) == 16
 }
 
-// hash is FNV-1a: what a read is about, as a number.
-func hash(s string) uint64 {
+// hashSubject returns the 64-bit FNV-1a hash of the subject of a read.
+func hashSubject(s string) uint64 {
 	h := uint64(14695981039346656037)
 	for i := 0; i < len(s); i++ {
 		h = (h ^ uint64(s[i])) * 1099511628211
--- a/internal/jsonrpc/parse_test.go
+++ b/internal/jsonrpc/parse_test.go
@@ -8,7 +8,7 @@
 	"larchscale/internal/wallclock"
 )
 
-// Whatever comes, a line is a message with sound figures or a fault, and never a panic.
+// Any line parses to a message with values in range or to an error, and never panics.
 func FuzzParse(f *testing.F) {
 	site := core.Site{Classes: []string{"quote", "book"},
 		Control: control.Config{Classes: []control.Class{{}, {Effect: control.Keyed}}}}
@@ -16,14 +16,14 @@
 	f.Add([]byte(`{"jsonrpc":"2.0","method":"withdraw","params":{"id":7}}`))
 	f.Add([]byte(`[]`))
 	f.Fuzz(func(t *testing.T, line []byte) {
-		m, bad := parse(line, &site, wallclock.New())
-		if bad != nil || m.method == "status" || m.method == "withdraw" {
+		m, problem := parse(line, &site, wallclock.New())
+		if problem != nil || m.method == "status" || m.method == "withdraw" {
 			return
 		}
 		q := m.req
 		if m.id == "" || q.Handle == "" || q.Class < 0 || !(q.Memory > 0) || !(q.Rank >= 0 && q.Rank <= 1) || q.Budget < 0 ||
 			len(q.Body) > maxBody || site.Keyed(q.Class) && q.Token == "" {
-			t.Fatalf("%q was taken as %+v", line, m)
+			t.Fatalf("%q was accepted as %+v", line, m)
 		}
 	})
 }
--- a/internal/jsonrpc/session.go
+++ b/internal/jsonrpc/session.go
@@ -15,152 +15,152 @@
 	"larchscale/internal/sock"
 )
 
-// errEnd is a connection that the server ends, at a moment in which nothing stands on it.
-var errEnd = errors.New("the connection is ended")
+// errClosed reports that the server closed the connection itself, when it was quiet.
+var errClosed = errors.New("closed by the server")
 
-// The complaints about a request that parses, and cannot be taken.
+// The errors of a request that is well formed but cannot be accepted.
 var (
-	faultSeen    = &fault{badRequest, "the id is not new"}
-	faultTooMany = &fault{badRequest, "too many requests are open"}
+	errUsedID  = &requestError{badRequest, "the id is not new"}
+	errTooMany = &requestError{badRequest, "too many requests are open"}
 )
 
-// idOfNone is the id of an error that belongs to no request.
-const idOfNone = "null"
+// nullID is the id of an error response that belongs to no request.
+const nullID = "null"
 
-// The reasons for which the front itself ends a connection, for the log.
+// The reasons for which the front itself closes a connection, for the log.
 const (
-	endTimeLimit  core.CloseReason = "a message did not come whole in time"
-	endBadMessage core.CloseReason = "bad message"
-	endProcess    core.CloseReason = "end of the process"
+	closeTimeLimit  core.CloseReason = "message not complete in time"
+	closeBadMessage core.CloseReason = "bad message"
+	closeShutdown   core.CloseReason = "process shutdown"
 )
 
-// session is one connection. Its reader alone decides when the server ends it. The lock guards the fields that follow it,
-// which the core's loop and the reader share.
+// session is one connection. Only its reader decides when the server closes it. The mutex guards the fields below it,
+// which the core loop and the reader share.
 type session struct {
 	conn     net.Conn
 	outbound *sock.WriteQueue
 	in       *bufio.Reader
-	src      *sock.Reader
+	source   *sock.Reader
 
 	// These belong to the reader.
-	asked bool   // a request or a check came
-	last  uint64 // the highest id so far
-	bad   int    // bad messages since the last good one
-
-	mu        sync.Mutex
-	open      map[string]string // handle by id; an id is free again before its answer is written
-	owed      map[string]bool   // ids whose answer is not written yet, those of checks after a "c"
-	answered  chan struct{}     // something was answered or withdrawn since it was last looked at
-	delivered uint64            // events that the core was sent
-	waiting   bool              // the reader waits for bytes
-	retire    core.CloseReason  // the core asks for the end, unless something comes; "" = it does not
-	final     core.CloseReason  // the connection ends once nothing stands on it, whatever comes; "" = it does not
-	ended     core.CloseReason  // why it did
+	sawRequest bool   // a request or a check has been received
+	lastID     uint64 // the highest id so far
+	badCount   int    // bad messages since the last valid one
+
+	mu         sync.Mutex
+	open       map[string]string // handle by id of the open requests; removed before the answer is written
+	unanswered map[string]bool   // ids whose answer is not written yet; those of checks are prefixed with "c"
+	answered   chan struct{}     // signals that an answer was written or a request canceled
+	delivered  uint64            // events sent to the core
+	waiting    bool              // the reader waits for bytes
+	coreClose  core.CloseReason  // why the core asks for a close, which a further event voids; "" if it does not
+	quietClose core.CloseReason  // why the connection is closed once it is quiet, whatever arrives; "" if it is not
+	closedFor  core.CloseReason  // why the server closed the connection
 }
 
 func newSession(conn net.Conn, outbound *sock.WriteQueue) *session {
-	src := &sock.Reader{Conn: conn}
-	return &session{conn: conn, outbound: outbound, src: src, in: bufio.NewReaderSize(src, maxLine),
-		open: map[string]string{}, owed: map[string]bool{}, answered: make(chan struct{}, 1)}
+	source := &sock.Reader{Conn: conn}
+	return &session{conn: conn, outbound: outbound, source: source, in: bufio.NewReaderSize(source, maxLine),
+		open: map[string]string{}, unanswered: map[string]bool{}, answered: make(chan struct{}, 1)}
 }
 
-// Drain says that nothing new should come on this connection.
+// Drain implements core.Session: it notifies the client to send no new requests on this connection.
 func (s *session) Drain(time.Duration) {
 	s.outbound.Send([]byte(`{"jsonrpc":"2.0","method":"draining"}` + "\n"))
 }
 
-// Close implements core.Session.
-func (s *session) Close(heard uint64, why core.CloseReason) {
+// Close implements core.Session: it has the reader close the connection if the core has handled all of its events.
+func (s *session) Close(handled uint64, why core.CloseReason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.delivered == heard {
-		s.retire = why
+	if s.delivered == handled {
+		s.coreClose = why
 		s.wake()
 	}
 }
 
-// endWhenQuiet has the connection end once nothing stands on it.
-func (s *session) endWhenQuiet(why core.CloseReason) {
+// closeWhenQuiet has the connection closed once it is quiet.
+func (s *session) closeWhenQuiet(why core.CloseReason) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.final == "" || why == endTimeLimit {
-		s.final = why
+	if s.quietClose == "" || why == closeTimeLimit {
+		s.quietClose = why
 	}
 }
 
-// wake has a reader that waits look again at what is asked of it. The caller holds the lock.
+// wake has a waiting reader check again whether it is to close the connection. The caller holds the lock.
 func (s *session) wake() {
 	if s.waiting {
 		s.outbound.Wake()
 	}
 }
 
-// endAsked returns why the connection is to end now if nothing is there to be read; "" = it is not, answers are owed, or
-// half a line stands on it, whose rest is waited for. The caller holds the lock, and is the reader.
-func (s *session) endAsked() core.CloseReason {
+// closeDue returns why the connection is to be closed now if no input is unread. It returns "" if it is to stay open,
+// requests are unanswered, or the rest of a line is awaited. The caller is the reader and holds the lock.
+func (s *session) closeDue() core.CloseReason {
 	switch {
 	case s.outbound.Stopping():
-		return endProcess // the core has answered all that it will
-	case len(s.owed) > 0:
+		return closeShutdown // the core sends no more answers
+	case len(s.unanswered) > 0:
 		return ""
-	case s.final == endTimeLimit:
-		return s.final
+	case s.quietClose == closeTimeLimit:
+		return s.quietClose
 	case s.in.Buffered() > 0:
 		return ""
-	case s.final != "":
-		return s.final
+	case s.quietClose != "":
+		return s.quietClose
 	}
-	return s.retire
+	return s.coreClose
 }
 
-// await waits for at least one further byte, up to a time; zero = for as long as it takes. Its errors come only after a
-// look that found nothing to be read: errEnd where the connection is to end, os.ErrDeadlineExceeded where the time is
-// over; others are those of a connection that has ended or failed.
-func (s *session) await(until time.Time) error {
-	for flush := flushLook; ; {
+// await waits for at least one further byte until a deadline; zero is none. It returns errClosed or
+// os.ErrDeadlineExceeded only after a read without waiting has found no data: the former if it has closed the
+// connection, the latter if the deadline has passed. Other errors are those of a connection that has ended or failed.
+func (s *session) await(deadline time.Time) error {
+	for interval := minFlushInterval; ; {
 		s.mu.Lock()
-		looks := s.endAsked() != "" || !until.IsZero() && !time.Now().Before(until)
-		s.src.NoWait = looks
-		s.waiting = !looks
-		if !looks {
-			s.outbound.Wait(until) // where it is woken after this, the wait ends at once
+		noWait := s.closeDue() != "" || !deadline.IsZero() && !time.Now().Before(deadline)
+		s.source.NoWait = noWait
+		s.waiting = !noWait
+		if !noWait {
+			s.outbound.Wait(deadline) // a wake after this ends the wait at once
 		}
 		s.mu.Unlock()
 		_, err := s.in.Peek(s.in.Buffered() + 1)
 		s.mu.Lock()
 		s.waiting = false
-		s.src.NoWait = false
-		why := s.endAsked()
-		nothing := errors.Is(err, os.ErrDeadlineExceeded)
-		ends := looks && nothing && why != "" && s.outbound.CloseIfQuiet()
-		if ends {
-			s.ended = why
+		s.source.NoWait = false
+		why := s.closeDue()
+		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
+		closes := noWait && timedOut && why != "" && s.outbound.CloseIfQuiet()
+		if closes {
+			s.closedFor = why
 		}
 		s.mu.Unlock()
 		switch {
-		case ends:
-			return errEnd
-		case !nothing:
+		case closes:
+			return errClosed
+		case !timedOut:
 			return err
-		case looks && why != "": // something has come just now, or an answer is still being written
+		case noWait && why != "": // data has just arrived, or an answer is still being written
 			if s.outbound.Err() != nil {
 				return s.outbound.Err()
 			}
-			time.Sleep(flush)
-			flush = min(2*flush, maxLook)
-		case looks && !until.IsZero() && !time.Now().Before(until):
+			time.Sleep(interval)
+			interval = min(2*interval, maxPollInterval)
+		case noWait && !deadline.IsZero() && !time.Now().Before(deadline):
 			return err
 		}
 	}
 }
 
-// readLine reads a line. Until a time it has to come whole; zero = no time is set, as the core closes what stands idle. A
-// line that has begun has to come whole in time all the same, which ends a connection on which half of one stands. A
-// line that is too long is passed over, piece by piece, each of which is sock.ErrLong.
-func (s *session) readLine(until time.Time) ([]byte, error) {
+// readLine reads a line, which must be complete by a deadline; zero is none, since the core closes idle connections. A
+// line that has begun always has a time limit, so that half a line cannot hold a connection. A line that is too long is
+// skipped in pieces, each of which returns sock.ErrLong.
+func (s *session) readLine(deadline time.Time) ([]byte, error) {
 	for begun := s.in.Buffered() > 0; ; begun = true {
-		if begun && until.IsZero() {
-			until = time.Now().Add(s.lineTime())
+		if begun && deadline.IsZero() {
+			deadline = time.Now().Add(s.lineLimit())
 		}
 		buffered, _ := s.in.Peek(s.in.Buffered())
 		if bytes.IndexByte(buffered, '\n') >= 0 {
@@ -170,51 +170,52 @@
 			s.in.Discard(len(buffered))
 			return nil, fmt.Errorf("%w: over %d bytes", sock.ErrLong, s.in.Size())
 		}
-		if err := s.await(s.limit(until)); err != nil {
+		if err := s.await(s.lineDeadline(deadline)); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// lineTime is how long a line that has begun may take.
-func (s *session) lineTime() time.Duration {
-	if s.count() > 0 {
-		return openWithin
+// lineLimit returns how long a line that has begun may take.
+func (s *session) lineLimit() time.Duration {
+	if s.openCount() > 0 {
+		return openLineTimeout
 	}
-	return lineWithin
+	return lineTimeout
 }
 
-// limit returns the time by which a line has to be whole: none once that is over, and the connection only waits for
-// answers before it ends.
-func (s *session) limit(until time.Time) time.Time {
+// lineDeadline returns the deadline for a line. There is none once a time limit has passed and the connection only
+// waits for answers before it is closed.
+func (s *session) lineDeadline(deadline time.Time) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.final == endTimeLimit {
+	if s.quietClose == closeTimeLimit {
 		return time.Time{}
 	}
-	return until
+	return deadline
 }
 
-// mayEndOverUnread reports whether the connection ends although more may be there to be read: its client sends one bad
-// message after another, and no request is open. Guards against a client that goes on with that at full speed.
-func (s *session) mayEndOverUnread() bool {
+// mustCloseUnread reports whether the connection is to be closed even if input is unread: the client has sent maxBad
+// bad messages in a row and no request is unanswered. Without this a client could keep sending bad messages at full
+// speed.
+func (s *session) mustCloseUnread() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.bad < maxBad || len(s.owed) > 0 {
+	if s.badCount < maxBad || len(s.unanswered) > 0 {
 		return false
 	}
-	s.ended = endBadMessage
+	s.closedFor = closeBadMessage
 	return true
 }
 
-// awaitAnswers waits until all that is open is answered, or the other side is gone.
+// awaitAnswers waits until all requests and checks are answered or the peer is gone.
 func (s *session) awaitAnswers() {
-	for look := firstLook; s.owes(); look = min(2*look, maxLook) {
+	for interval := minGoneInterval; s.hasUnanswered(); interval = min(2*interval, maxPollInterval) {
 		select {
 		case <-s.outbound.Done():
 			return
 		case <-s.answered:
-		case <-time.After(look):
+		case <-time.After(interval):
 			if sock.Broken(s.conn) {
 				return
 			}
@@ -222,77 +223,80 @@
 	}
 }
 
-// delivers notes an event that the core is about to be sent.
-func (s *session) delivers() {
+// countDelivery counts an event that is about to be sent to the core, which voids an earlier close by the core.
+func (s *session) countDelivery() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delivered++
-	s.retire = ""
+	s.coreClose = ""
 }
 
-// seen reports whether the id of a message is that of a request which came before it, so that an error under that id
-// would be its second answer.
-func (s *session) seen(m message) bool {
-	num := whole(m.id, maxID)
-	return num > 0 && num <= s.last
+// isUsedID reports whether the id of a message is not above that of an earlier request, so that an error response under
+// that id might be a second answer to it.
+func (s *session) isUsedID(m message) bool {
+	num := parseWhole(m.id, maxID)
+	return num > 0 && num <= s.lastID
 }
 
-// passOver has the id of a bad message count as used.
-func (s *session) passOver(m message) { s.last = max(s.last, whole(m.id, maxID)) }
+// markUsed records the id of a bad message as used.
+func (s *session) markUsed(m message) { s.lastID = max(s.lastID, parseWhole(m.id, maxID)) }
 
-// take notes an open id, or returns a complaint.
-func (s *session) take(m message) *fault {
+// register records a request as open, or returns an error if its id is used or too many requests are open.
+func (s *session) register(m message) *requestError {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.seen(m) {
-		return faultSeen
+	if s.isUsedID(m) {
+		return errUsedID
 	}
 	if len(s.open) >= maxOpen {
-		return faultTooMany
+		return errTooMany
 	}
-	s.last = m.num
+	s.lastID = m.num
 	s.open[m.id] = m.req.Handle
-	s.owed[m.id] = true
+	s.unanswered[m.id] = true
 	return nil
 }
 
-// owe notes that an answer is owed to an id.
-func (s *session) owe(id string) {
+// expectAnswer records that the answer to an id is to be written.
+func (s *session) expectAnswer(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.owed[id] = true
+	s.unanswered[id] = true
 }
 
-func (s *session) count() int {
+// openCount returns the number of open requests.
+func (s *session) openCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.open)
 }
 
+// release ends the request of an id, before its answer is written.
 func (s *session) release(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, id)
 }
 
-func (s *session) owes() bool {
+// hasUnanswered reports whether a request or check is unanswered.
+func (s *session) hasUnanswered() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.owed) > 0
+	return len(s.unanswered) > 0
 }
 
-// send writes the answer to an id, which is owed no longer.
+// send writes the answer to an id.
 func (s *session) send(id string, parts ...[]byte) {
 	s.outbound.Send(parts...)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.settle(id)
+	s.markAnswered(id)
 }
 
-// settle notes that no answer to an id is owed. The caller holds the lock.
-func (s *session) settle(id string) {
-	delete(s.owed, id)
-	if len(s.owed) == 0 && s.final != "" {
+// markAnswered records that the answer to an id is written or no longer needed. The caller holds the lock.
+func (s *session) markAnswered(id string) {
+	delete(s.unanswered, id)
+	if len(s.unanswered) == 0 && s.quietClose != "" {
 		s.wake()
 	}
 	select {
@@ -301,46 +305,48 @@
 	}
 }
 
-// withdraw takes an open request off, named by its id or, with no id, by its handle; "" = none is open.
-func (s *session) withdraw(id, handle string) string {
+// cancel removes an open request, named by its id or, without an id, by its handle. It returns the handle; "" if no
+// such request is open.
+func (s *session) cancel(id, handle string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, h := range s.open {
-		if i == id || id == "" && h == handle {
-			delete(s.open, i)
-			s.settle(i)
+	for openID, h := range s.open {
+		if openID == id || id == "" && h == handle {
+			delete(s.open, openID)
+			s.markAnswered(openID)
 			return h
 		}
 	}
 	return ""
 }
 
-// unread is how many bytes have come that were not read as messages.
-func (s *session) unread() int { return s.in.Buffered() + sock.Unread(s.conn) }
+// unreadBytes returns the number of received bytes that were not read as messages.
+func (s *session) unreadBytes() int { return s.in.Buffered() + sock.Unread(s.conn) }
 
-// unanswered returns how many requests and checks are owed an answer, and the handles of some.
-func (s *session) unanswered() (count int, handles []string) {
+// unansweredRequests returns the number of unanswered requests and checks and up to maxLoggedIDs handles of such
+// requests.
+func (s *session) unansweredRequests() (count int, handles []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, handle := range s.open {
-		if s.owed[id] && len(handles) < maxLoggedIDs {
+		if s.unanswered[id] && len(handles) < maxLoggedIDs {
 			handles = append(handles, handle)
 		}
 	}
-	return len(s.owed), handles
+	return len(s.unanswered), handles
 }
 
-// endReason names the end of a connection whose reader returned err, for the log.
+// endReason returns why a connection ended whose reader returned err, for the log.
 func (s *session) endReason(err error) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.outbound.Err() != nil:
-		return "answers are not read: " + s.outbound.Err().Error()
-	case errors.Is(err, errEnd):
-		return string(s.ended)
+		return "client does not read its answers: " + s.outbound.Err().Error()
+	case errors.Is(err, errClosed):
+		return string(s.closedFor)
 	case errors.Is(err, io.EOF):
 		return "closed by the client"
 	}
-	return "broken: " + err.Error()
+	return "connection failed: " + err.Error()
 }
