--- a/internal/uwsgi/client.go
+++ b/internal/uwsgi/client.go
@@ -20,58 +20,59 @@
 	"larchscale/internal/sock"
 )
 
-const maxReply = 64 << 10
+const maxReply = 64 << 10 // bytes of a response body
 
-// Client makes calls below to uwsgi servers, each on a connection of its own, in turn over the servers.
+// Client makes downstream calls to uwsgi servers, each on its own connection, taking the servers in turn.
 type Client struct {
-	opt  Options
-	sink func(core.Event)
-	room chan struct{}
-	next atomic.Uint64
+	opt   Options
+	sink  func(core.Event)
+	slots chan struct{}
+	next  atomic.Uint64
 
 	mu    sync.Mutex
 	calls map[string]*call
 }
 
+// call is a call in flight.
 type call struct{ cancel context.CancelFunc }
 
-// NewClient makes a client that tells sink how calls end.
+// NewClient returns a client that reports the end of each call to sink.
 func NewClient(opt Options, sink func(core.Event)) *Client {
-	return &Client{opt: opt, sink: sink, room: make(chan struct{}, opt.MaxCalls), calls: map[string]*call{}}
+	return &Client{opt: opt, sink: sink, slots: make(chan struct{}, opt.MaxCalls), calls: map[string]*call{}}
 }
 
-// Call makes a call; a further one for the same handle gives up the first.
+// Call starts a call, with patience as its time limit. It abandons an earlier call of the same handle.
 func (c *Client) Call(handle string, number uint64, class string, _ uint64, patience time.Duration, _ bool, body []byte) {
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
-	x := &call{cancel}
+	started := &call{cancel}
 	c.mu.Lock()
-	if old := c.calls[handle]; old != nil {
-		old.cancel()
+	if previous := c.calls[handle]; previous != nil {
+		previous.cancel()
 	}
-	c.calls[handle] = x
+	c.calls[handle] = started
 	c.mu.Unlock()
 	go func() {
 		defer cancel()
-		e := core.CallEnded{Handle: handle, Number: number, Outcome: control.Unreachable} // without room nothing is sent
+		end := core.CallEnded{Handle: handle, Number: number, Outcome: control.Unreachable} // over MaxCalls
 		select {
-		case c.room <- struct{}{}:
-			e.Outcome, e.Body = c.make(ctx, handle, class, patience, body)
-			<-c.room
+		case c.slots <- struct{}{}:
+			end.Outcome, end.Body = c.do(ctx, handle, class, patience, body)
+			<-c.slots
 		default:
 		}
 		c.mu.Lock()
-		mine := c.calls[handle] == x
-		if mine {
+		current := c.calls[handle] == started
+		if current {
 			delete(c.calls, handle)
 		}
 		c.mu.Unlock()
-		if mine {
-			c.sink(e)
+		if current {
+			c.sink(end)
 		}
 	}()
 }
 
-// Abandon gives a call up.
+// Abandon cancels the call of a handle, of which no end is reported then.
 func (c *Client) Abandon(handle string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,27 +82,27 @@
 	}
 }
 
-// make carries out one call.
-func (c *Client) make(ctx context.Context, handle, class string, patience time.Duration, body []byte) (control.Outcome, []byte) {
-	n := c.next.Add(1)
-	var d net.Dialer
-	conn, err := d.DialContext(ctx, "tcp", c.opt.Below[n%uint64(len(c.opt.Below))])
+// do carries out one call and returns its outcome and response body.
+func (c *Client) do(ctx context.Context, handle, class string, patience time.Duration, body []byte) (control.Outcome, []byte) {
+	number := c.next.Add(1)
+	var dialer net.Dialer
+	conn, err := dialer.DialContext(ctx, "tcp", c.opt.Below[number%uint64(len(c.opt.Below))])
 	if err != nil {
-		return callFailed(err), nil
+		return outcomeOfError(err), nil
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
 	head := Packet("REQUEST_METHOD", "POST", "PATH_INFO", c.opt.Prefix+class, "CONTENT_LENGTH", strconv.Itoa(len(body)),
 		c.opt.Vars.Budget, strconv.FormatInt(max(1, patience.Milliseconds()), 10),
-		c.opt.Vars.Token, handle+"."+strconv.FormatUint(n, 10))
+		c.opt.Vars.Token, handle+"."+strconv.FormatUint(number, 10))
 	out := net.Buffers{head, body}
 	if _, err := out.WriteTo(conn); err != nil {
-		return callFailed(err), nil
+		return outcomeOfError(err), nil
 	}
 	status, notRun, reply, err := readResponse(bufio.NewReader(conn))
 	switch {
 	case err != nil:
-		return callFailed(err), nil
+		return outcomeOfError(err), nil
 	case status == 200:
 		return control.OK, reply
 	case notRun && status == 503:
@@ -112,8 +113,8 @@
 	return control.Errored, nil
 }
 
-// callFailed tells what an error proves: only a refused connection proves that nothing ran.
-func callFailed(err error) control.Outcome {
+// outcomeOfError returns the outcome of a call that failed with err. Only a refused connection proves that nothing ran.
+func outcomeOfError(err error) control.Outcome {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return control.Unreachable
@@ -125,14 +126,14 @@
 
 var errResponse = errors.New("malformed response")
 
-// readResponse reads an HTTP response, or a CGI one that begins with Status. Without a length its body
-// goes up to the end of the connection.
+// readResponse reads an HTTP response, or a CGI response that begins with a Status header. Without a length the body
+// extends to the end of the connection. notRun reports the X-Not-Run header.
 func readResponse(in *bufio.Reader) (status int, notRun bool, body []byte, err error) {
 	size := -1
 	for first := true; ; first = false {
 		line, err := sock.Line(in)
 		if err != nil {
-			return 0, false, nil, noEnd(err)
+			return 0, false, nil, unexpectedEOF(err)
 		}
 		if len(line) == 0 {
 			break
@@ -164,7 +165,7 @@
 	if size >= 0 {
 		body = make([]byte, size)
 		_, err = io.ReadFull(in, body)
-		return status, notRun, body, noEnd(err)
+		return status, notRun, body, unexpectedEOF(err)
 	}
 	body, err = io.ReadAll(io.LimitReader(in, maxReply+1))
 	if len(body) > maxReply {
@@ -173,8 +174,8 @@
 	return status, notRun, body, err
 }
 
-// noEnd makes the end of the input inside a response an error.
-func noEnd(err error) error {
+// unexpectedEOF turns the end of the input inside a response into io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if err == io.EOF {
 		return io.ErrUnexpectedEOF
 	}
--- a/internal/uwsgi/front.go
+++ b/internal/uwsgi/front.go
@@ -15,19 +15,19 @@
 	"larchscale/internal/sock"
 )
 
-// Headers of answers beyond HTTP's own.
+// Response headers beyond those of HTTP.
 const (
-	headerHint   = "X-Hint"    // the free value, on every answer
-	headerNotRun = "X-Not-Run" // on what is proved never to have run
-	headerFinal  = "X-Final"   // on a refusal: try no other server
-	headerAway   = "X-Backoff-Ms"
+	headerHint    = "X-Hint"       // the hint of core.Answer, on every answer that has one
+	headerNotRun  = "X-Not-Run"    // on a request that is known never to have run
+	headerFinal   = "X-Final"      // on a refusal: try no other server
+	headerBackoff = "X-Backoff-Ms" // on a refusal: when to try again
 )
 
 const (
-	maxStray = 64 << 10 // bytes after a request that are dropped; more is no gateway
+	maxTrailingBytes = 64 << 10 // bytes after a request that are dropped; more is taken for a hang-up
 )
 
-// Front turns packets into the core's events and its answers into HTTP responses.
+// Front translates uwsgi packets into events of the core, and the core's answers into HTTP responses.
 type Front struct {
 	opt   Options
 	site  *core.Site
@@ -36,7 +36,7 @@
 	log   *slog.Logger
 }
 
-// New makes the front; its Handle serves one connection.
+// New returns a front; its Handle serves one connection.
 func New(opt Options, site *core.Site, c *core.Core, log *slog.Logger) *Front {
 	return &Front{opt, site, newRankBands(site.Control.Classes), c, log}
 }
@@ -49,33 +49,35 @@
 	mu       sync.Mutex
 	reading  bool
 	draining bool
-	until    time.Time // the packet has to be whole
+	deadline time.Time // deadline for the complete packet
 }
 
-// Drain bounds the reading of a packet that is not whole yet. Guards against a packet cut short that would
-// hold the process up to its end and go without an answer.
+// Drain implements core.Session: it bounds the time to read an incomplete packet. Otherwise a truncated packet would
+// hold up the shutdown of the process and get no answer.
 func (s *session) Drain(left time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
-	if t := time.Now().Add(left); s.reading && t.Before(s.until) {
-		s.until = t
-		s.outbound.Wait(t) // an error shows at the next read
+	if drainDeadline := time.Now().Add(left); s.reading && drainDeadline.Before(s.deadline) {
+		s.deadline = drainDeadline
+		s.outbound.Wait(drainDeadline) // the next read reports an error
 	}
 }
 
-// Close ends the reading of a packet that is not whole. Once it is, its answer ends the connection.
+// Close implements core.Session: it ends the reading of an incomplete packet. After a complete one the answer closes
+// the connection.
 func (s *session) Close(uint64, core.CloseReason) { s.Drain(0) }
 
-// begin and end frame the reading of the packet.
-func (s *session) begin(limit time.Duration) {
+// beginRead starts the reading of the packet, which must be complete within limit.
+func (s *session) beginRead(limit time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reading, s.until = true, time.Now().Add(limit)
-	s.outbound.Wait(s.until)
+	s.reading, s.deadline = true, time.Now().Add(limit)
+	s.outbound.Wait(s.deadline)
 }
 
-func (s *session) end() (draining bool) {
+// endRead ends the reading of the packet and reports whether the server drains.
+func (s *session) endRead() (draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reading = false
@@ -83,28 +85,28 @@
 	return s.draining
 }
 
-// Handle reads the one request of a connection, and then whether its client hangs up.
+// Handle reads the one request of a connection and then waits for its answer or for the client to hang up.
 func (f *Front) Handle(conn net.Conn, outbound *sock.WriteQueue) {
 	arrived := time.Now()
 	s := &session{conn: conn, outbound: outbound}
-	s.begin(time.Duration(f.opt.ReadMs) * time.Millisecond)
+	s.beginRead(time.Duration(f.opt.ReadMs) * time.Millisecond)
 	f.core.Send(core.Opened{Session: s, Single: true})
 	defer f.core.Send(core.Closed{Session: s})
 	in := bufio.NewReaderSize(conn, 4<<10)
-	v, body, err := readPacket(in, f.opt.MaxBody)
-	draining := s.end()
+	variables, body, err := readPacket(in, f.opt.MaxBody)
+	draining := s.endRead()
 	if err != nil {
-		f.complain(outbound, err, draining)
+		f.answerBadPacket(outbound, err, draining)
 		return
 	}
-	if path := v.get("PATH_INFO"); path == f.opt.Health && path != "" {
+	if path := variables.get("PATH_INFO"); path == f.opt.Health && path != "" {
 		f.core.Send(core.Check{Session: s, Reply: reply{outbound}})
 		f.awaitEnd(s, in, "")
 		return
 	}
-	q, problem := f.opt.request(v, body, f.site, f.bands, arrived)
+	request, problem := f.opt.request(variables, body, f.site, f.bands, arrived)
 	switch {
-	case q.Class < 0:
+	case request.Class < 0:
 		outbound.Send(response(404, "unknown class", nil))
 		return
 	case problem != "":
@@ -112,16 +114,16 @@
 		outbound.Send(response(400, problem, nil))
 		return
 	}
-	f.core.Send(core.Arrive{Session: s, Reply: reply{outbound}, Req: q})
-	f.awaitEnd(s, in, q.Handle)
+	f.core.Send(core.Arrive{Session: s, Reply: reply{outbound}, Req: request})
+	f.awaitEnd(s, in, request.Handle)
 }
 
-// awaitEnd drops what still comes until the connection ends: by the answer, or by a client that hangs up,
-// which withdraws its request.
+// awaitEnd drops further input until the connection ends, by the answer or by a client that hangs up. It then cancels
+// the request, which has no effect on one that has been answered.
 func (f *Front) awaitEnd(s *session, in *bufio.Reader, handle string) {
-	for stray := 0; stray < maxStray; {
+	for trailing := 0; trailing < maxTrailingBytes; {
 		n, err := in.Discard(1)
-		stray += n
+		trailing += n
 		if err != nil {
 			break
 		}
@@ -131,8 +133,8 @@
 	}
 }
 
-// complain answers a packet that is no request. A client that left without a byte gets nothing.
-func (f *Front) complain(outbound *sock.WriteQueue, err error, draining bool) {
+// answerBadPacket answers a packet that could not be read. A client that hung up without sending a byte gets no answer.
+func (f *Front) answerBadPacket(outbound *sock.WriteQueue, err error, draining bool) {
 	if errors.Is(err, io.EOF) && !errors.Is(err, ErrPacket) {
 		return
 	}
@@ -149,10 +151,10 @@
 	}
 }
 
-// reply answers the one request of a connection and ends it.
+// reply answers the one request of a connection and closes the connection.
 type reply struct{ outbound *sock.WriteQueue }
 
-// Answer writes the response.
+// Answer implements core.Reply: it writes the response.
 func (r reply) Answer(a core.Answer) {
 	var head []byte
 	status, body := 502, a.Why
@@ -168,7 +170,7 @@
 		status = 503
 		head = append(head, headerNotRun+": 1\r\nRetry-After: "...)
 		head = strconv.AppendInt(head, int64(max(1, (a.Away+time.Second-1)/time.Second)), 10)
-		head = append(head, "\r\n"+headerAway+": "...)
+		head = append(head, "\r\n"+headerBackoff+": "...)
 		head = strconv.AppendInt(head, int64((a.Away+time.Millisecond-1)/time.Millisecond), 10)
 		head = append(head, "\r\n"...)
 		if a.Last {
@@ -189,19 +191,19 @@
 	r.outbound.Close()
 }
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
+var statusTexts = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 408: "Request Timeout", 409: "Conflict",
 	413: "Content Too Large", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout"}
 
-// response is a whole response of the front's own, which the core never saw.
+// response returns a complete response to a request that was not passed to the core.
 func response(status int, why string, head []byte) []byte {
 	return append(responseHead(status, -1, head, len(why)), why...)
 }
 
-// responseHead is a response up to its body; more holds whole header lines.
+// responseHead returns a response up to its body of size bytes; more holds complete header lines.
 func responseHead(status int, hint float64, more []byte, size int) []byte {
 	out := append(make([]byte, 0, 256), "HTTP/1.1 "...)
 	out = strconv.AppendInt(out, int64(status), 10)
-	out = append(append(append(out, ' '), reasons[status]...), "\r\nConnection: close\r\nContent-Length: "...)
+	out = append(append(append(out, ' '), statusTexts[status]...), "\r\nConnection: close\r\nContent-Length: "...)
 	out = strconv.AppendInt(out, int64(size), 10)
 	out = append(out, "\r\n"...)
 	if hint >= 0 {
--- a/internal/uwsgi/front_test.go
+++ b/internal/uwsgi/front_test.go
@@ -20,8 +20,8 @@
 
 const ms = time.Millisecond
 
-// play runs a scenario; dial opens a desk's connection.
-func play(t *testing.T, f func(w *scenario.World, dial func() *scenario.Peer)) {
+// runScenario runs f in a synctest bubble with a core and its front; dial opens a gateway's connection.
+func runScenario(t *testing.T, f func(w *scenario.World, dial func() *scenario.Peer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
@@ -30,14 +30,14 @@
 	})
 }
 
-// packet is a whole request with the body "body"; more holds further variables and values.
+// packet returns a complete request with the body "body"; more holds further variables and values.
 func packet(path string, more ...string) string {
 	return string(uwsgi.Packet(append([]string{"PATH_INFO", path, "CONTENT_LENGTH", "4", "REMOTE_USER", "desk 3"}, more...)...)) + "body"
 }
 
 const token = "HTTP_IDEMPOTENCY_KEY"
 
-// Every end of a request has its status; the hint goes out with it; one answer to a connection.
+// Every outcome of a request has its status and carries the hint; a connection gets one answer.
 func TestAnswers(t *testing.T) {
 	for name, c := range map[string]struct {
 		path string
@@ -54,7 +54,7 @@
 			"HTTP/1.1 504 Gateway Timeout\r\nConnection: close\r\nContent-Length: 17\r\nX-Hint: 0\r\n\r\nno result in time"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *scenario.World, dial func() *scenario.Peer) {
+			runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 				p := dial()
 				p.Send(packet(c.path, token, "k", "HTTP_X_BUDGET_MS", "900"))
 				time.Sleep(ms)
@@ -68,30 +68,30 @@
 	}
 }
 
-// What is no request is told so and never runs.
+// A malformed packet or an invalid request gets an error status and does not run.
 func TestBadPackets(t *testing.T) {
 	long := strconv.Itoa(3 << 10)
 	for name, c := range map[string]struct {
 		sent   string
 		status int
 	}{
-		"modifier1":        {"\x05\x00\x00\x00", 400},
-		"size past end":    {"\x00\x04\x00\x00\x09\x00ab", 400},
-		"key without more": {"\x00\x03\x00\x00\x01\x00a", 400},
-		"odd length":       {string(uwsgi.Packet("CONTENT_LENGTH", "-1")), 400},
-		"no token":         {packet("/book"), 400},
-		"long token":       {packet("/book", token, strings.Repeat("k", 129)), 400},
-		"odd deadline":     {packet("/quote", "HTTP_X_BUDGET_MS", "soon"), 400},
-		"odd memory":       {packet("/quote", "HTTP_X_HELD_KB", "-1"), 400},
-		"odd rank":         {packet("/quote", "HTTP_X_RANK", "NaN"), 400},
-		"unknown class":    {packet("/walk"), 404},
-		"no path":          {"\x00\x00\x00\x00", 404},
-		"too large":        {string(uwsgi.Packet("PATH_INFO", "/quote", "CONTENT_LENGTH", long)), 413},
-		"slow head":        {"\x00\x09", 408},
-		"slow body":        {string(uwsgi.Packet("CONTENT_LENGTH", "4")) + "bo", 408},
+		"modifier1":         {"\x05\x00\x00\x00", 400},
+		"size past end":     {"\x00\x04\x00\x00\x09\x00ab", 400},
+		"key without value": {"\x00\x03\x00\x00\x01\x00a", 400},
+		"invalid length":    {string(uwsgi.Packet("CONTENT_LENGTH", "-1")), 400},
+		"no token":          {packet("/book"), 400},
+		"long token":        {packet("/book", token, strings.Repeat("k", 129)), 400},
+		"invalid deadline":  {packet("/quote", "HTTP_X_BUDGET_MS", "soon"), 400},
+		"invalid memory":    {packet("/quote", "HTTP_X_HELD_KB", "-1"), 400},
+		"invalid rank":      {packet("/quote", "HTTP_X_RANK", "NaN"), 400},
+		"unknown class":     {packet("/walk"), 404},
+		"no path":           {"\x00\x00\x00\x00", 404},
+		"too large":         {string(uwsgi.Packet("PATH_INFO", "/quote", "CONTENT_LENGTH", long)), 413},
+		"slow head":         {"\x00\x09", 408},
+		"slow body":         {string(uwsgi.Packet("CONTENT_LENGTH", "4")) + "bo", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, func(w *scenario.World, dial func() *scenario.Peer) {
+			runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 				p := dial()
 				p.Send(c.sent)
 				if got := p.Rest(); !strings.HasPrefix(got, fmt.Sprintf("HTTP/1.1 %d ", c.status)) {
@@ -103,55 +103,55 @@
 	}
 }
 
-// One key has one body and one run, by whichever front its tries come: a burst of them, mixed.
+// Tries with one key, sent in a burst over both fronts, lead to one run, and the key accepts only one body.
 func TestOneKeyRunsOnceOverBothFronts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
 		w := scenario.NewWorld(t, site, false)
 		w.Serve(50 * ms)
 		log := slog.New(slog.DiscardHandler)
-		desk := w.Front(uwsgi.New(uwsgi.Defaults(), &site, w.Core, log).Handle)
+		dialGateway := w.Front(uwsgi.New(uwsgi.Defaults(), &site, w.Core, log).Handle)
 		balancer := w.Front(jsonrpc.New(&site, w.Core, log).Handle)()
 		line := `{"jsonrpc":"2.0","id":%d,"method":"book","params":{"rid":"%016x","t0":%d,"peer":1,"acct":"north","mem":20,"prio":0.9,"token":"k","bytes":"Ym9keQ=="}}` + "\n"
-		var desks []*scenario.Peer
+		var gateways []*scenario.Peer
 		for i := range 20 {
-			p := desk()
+			p := dialGateway()
 			go p.Send(packet("/book", token, "k"))
-			desks = append(desks, p)
+			gateways = append(gateways, p)
 			balancer.Send(fmt.Sprintf(line, i+1, i+1, time.Now().UnixMilli()))
-			time.Sleep(5 * ms) // some come while it runs, some later
+			time.Sleep(5 * ms) // some arrive during the run, some later
 		}
-		for _, p := range desks {
+		for _, p := range gateways {
 			if got := p.Rest(); !strings.HasPrefix(got, "HTTP/1.1 200 ") || !strings.HasSuffix(got, "\r\n\r\nok") {
-				t.Errorf("a desk read %q", got)
+				t.Errorf("a gateway read %q", got)
 			}
 		}
-		for range desks {
+		for range gateways {
 			balancer.Expect(`"result":{"bytes":"b2s="`)
 		}
 		if diff := cmp.Diff(map[string]int{"body": 1}, w.Runs()); diff != "" {
 			t.Error(diff)
 		}
-		odd := desk()
-		odd.Send(string(uwsgi.Packet("PATH_INFO", "/book", "CONTENT_LENGTH", "4", token, "k")) + "ydob")
-		if got := odd.Rest(); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
+		otherBody := dialGateway()
+		otherBody.Send(string(uwsgi.Packet("PATH_INFO", "/book", "CONTENT_LENGTH", "4", token, "k")) + "ydob")
+		if got := otherBody.Rest(); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
 			t.Errorf("another body read %q", got)
 		}
 	})
 }
 
-// Twice as much as the cores can do, half by each front: every class is served as well by one as by the
-// other, and what is refused is marked as not run and told when to come back.
+// Under twice the load that the cores can serve, half of it by each front, both fronts serve every class equally, and a
+// refusal is marked as not run and says when to try again.
 func TestEqualServiceOfBothFronts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
 		w := scenario.NewWorld(t, site, false)
-		w.Serve(time.Second) // the worker pool takes all, and each takes long
+		w.Serve(time.Second) // the worker pool accepts all runs, and each takes long
 		log := slog.New(slog.DiscardHandler)
-		desk := w.Front(uwsgi.New(uwsgi.Defaults(), &site, w.Core, log).Handle)
+		dialGateway := w.Front(uwsgi.New(uwsgi.Defaults(), &site, w.Core, log).Handle)
 		balancer := w.Front(jsonrpc.New(&site, w.Core, log).Handle)()
 		const pairs = 200
-		go func() { // a balancer that did not read would lose its connection
+		go func() { // the connection of a balancer that does not read is closed
 			for range pairs {
 				m := balancer.Expect(`"id":(\d+),"(result|error)"`)
 				if n, _ := strconv.Atoi(m[1]); m[2] == "result" {
@@ -162,17 +162,17 @@
 		for i := range pairs {
 			class := []string{"quote", "quote", "book"}[i%3]
 			id := i + 1
-			byDesk := func() {
-				p := desk()
+			byGateway := func() {
+				p := dialGateway()
 				p.Send(packet("/"+class, token, fmt.Sprint("d", id), "HTTP_X_RANK", "0.5", "HTTP_X_BUDGET_MS", "4000", "HTTP_X_STAND", "north"))
 				go func() {
 					got := p.Rest()
 					switch {
 					case strings.HasPrefix(got, "HTTP/1.1 200 "):
-						w.Count("desk " + class)
+						w.Count("gateway " + class)
 					case !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "X-Not-Run: 1\r\n") ||
 						!strings.Contains(got, "Retry-After: 1\r\n"):
-						t.Errorf("a desk read %q", got)
+						t.Errorf("a gateway read %q", got)
 					}
 				}()
 			}
@@ -180,7 +180,7 @@
 				balancer.Send(fmt.Sprintf(`{"jsonrpc":"2.0","id":%d,"method":%q,"params":{"rid":"%016x","t0":%d,"peer":1,"acct":"north","budget":4000,`+
 					`"mem":64,"prio":0.5,"token":"b%d","bytes":"Ym9keQ=="}}`+"\n", id, class, id, time.Now().UnixMilli(), id))
 			}
-			turns := []func(){byDesk, byBalancer}
+			turns := []func(){byGateway, byBalancer}
 			turns[i/3%2]() // neither front is always the first
 			time.Sleep(50 * ms)
 			turns[1-i/3%2]()
@@ -190,32 +190,32 @@
 		served := w.Counts()
 		t.Log(served)
 		for _, class := range []string{"quote", "book"} {
-			a, b := served["desk "+class], served["balancer "+class]
+			a, b := served["gateway "+class], served["balancer "+class]
 			if a+b == 0 || max(a, b)-min(a, b) > (a+b)/20+1 {
-				t.Errorf("%s: %d served by desks, %d by the balancer", class, a, b)
+				t.Errorf("%s: %d served to gateways, %d to the balancer", class, a, b)
 			}
 		}
-		if total := served["desk quote"] + served["balancer quote"]; total >= 2*pairs*2/3 {
+		if total := served["gateway quote"] + served["balancer quote"]; total >= 2*pairs*2/3 {
 			t.Errorf("no overload: %d quotes served", total)
 		}
 	})
 }
 
-// A packet cut in its head while the server leaves: nothing runs, the desk is told so once the grace is
-// over, and the server ends in time.
-func TestAPacketCutMidHeaderDuringDrain(t *testing.T) {
+// A packet is cut off in its header while the server drains: nothing runs, the gateway is told so once the grace period
+// is over, and the server shuts down in time.
+func TestPacketCutInHeaderDuringDrain(t *testing.T) {
 	for _, hangsUp := range []bool{false, true} {
-		play(t, func(w *scenario.World, dial func() *scenario.Peer) {
+		runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 			start := time.Now()
-			whole := packet("/book", token, "k")
+			complete := packet("/book", token, "k")
 			w.Send(core.Drain{}, core.Closed{Session: w.Session("c")})
 			time.Sleep(500 * ms)
-			cut, late := dial(), dial()
+			partial, late := dial(), dial()
 			time.Sleep(500 * ms)
-			cut.Send(whole[:3])
+			partial.Send(complete[:3])
 			if hangsUp {
-				cut.Close()
-			} else if got := cut.Rest(); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "X-Not-Run: 1") {
+				partial.Close()
+			} else if got := partial.Rest(); !strings.HasPrefix(got, "HTTP/1.1 503 ") || !strings.Contains(got, "X-Not-Run: 1") {
 				t.Errorf("the cut packet read %q", got)
 			}
 			late.Close()
@@ -228,9 +228,9 @@
 	}
 }
 
-// A desk that hangs up withdraws its request, before its run or in it.
-func TestAHangUpIsAWithdraw(t *testing.T) {
-	play(t, func(w *scenario.World, dial func() *scenario.Peer) {
+// A gateway that hangs up cancels its request, and its run is stopped.
+func TestHangUpCancelsRequest(t *testing.T) {
+	runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 		p := dial()
 		p.Send(packet("/quote"))
 		time.Sleep(ms)
@@ -242,9 +242,9 @@
 	})
 }
 
-// A check is answered from the core's state.
+// A health check is answered from the core's state.
 func TestHealth(t *testing.T) {
-	play(t, func(w *scenario.World, dial func() *scenario.Peer) {
+	runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 		p := dial()
 		p.Send(string(uwsgi.Packet("PATH_INFO", "/status")))
 		if got := p.Rest(); !strings.HasPrefix(got, "HTTP/1.1 200 ") {
--- a/internal/uwsgi/packet.go
+++ b/internal/uwsgi/packet.go
@@ -1,9 +1,9 @@
-// Package uwsgi is the second front, for gateways that speak the uwsgi protocol, and the client that makes
-// calls below to uwsgi servers.
+// Package uwsgi is the front for gateways that use the uwsgi protocol, and the client that makes downstream calls to
+// uwsgi servers.
 //
-// A packet is modifier1 (a byte, 0 = a request), the size of the variables (16 bits, little-endian),
-// modifier2 (a byte), the variables, each a key and a value behind 16-bit little-endian sizes, and then the
-// body, as long as CONTENT_LENGTH says. The answer is an HTTP response, one to a connection.
+// A packet consists of modifier1 (one byte, 0 for a request), the size of the variables (16 bits, little-endian),
+// modifier2 (one byte), the variables, each a key and a value prefixed with 16-bit little-endian sizes, and the body of
+// CONTENT_LENGTH bytes. The answer is an HTTP response; a connection carries one request.
 package uwsgi
 
 import (
@@ -16,18 +16,18 @@
 )
 
 var (
-	// ErrPacket is what every complaint about a malformed packet wraps.
+	// ErrPacket is wrapped by every error about a malformed packet.
 	ErrPacket = errors.New("malformed uwsgi packet")
-	// ErrLarge is a body over its limit.
+	// ErrLarge reports a body over the limit.
 	ErrLarge = errors.New("body too large")
 )
 
-const headLen = 4
+const headLen = 4 // bytes of modifier1, size and modifier2
 
-// vars is the block of variables as it was read; values are looked up in place.
+// vars is the encoded block of variables; get looks values up in it.
 type vars []byte
 
-// check tells whether the block is whole: every size within it and nothing left over.
+// check returns an error unless every size in the block fits and no bytes are left over.
 func (v vars) check() error {
 	for rest := []byte(v); len(rest) > 0; {
 		for range 2 { // the key, then the value
@@ -36,7 +36,7 @@
 			}
 			n := int(binary.LittleEndian.Uint16(rest))
 			if n > len(rest)-2 {
-				return fmt.Errorf("%w: %d bytes in %d", ErrPacket, n, len(rest)-2)
+				return fmt.Errorf("%w: size %d with %d bytes left", ErrPacket, n, len(rest)-2)
 			}
 			rest = rest[2+n:]
 		}
@@ -44,25 +44,26 @@
 	return nil
 }
 
-// get gives the value of a variable of a checked block; the last one counts, as in CGI.
+// get returns the value of a variable in a block that check has accepted. Of repeated variables the last one counts, as
+// in CGI.
 func (v vars) get(name string) (value string) {
 	if name == "" {
 		return ""
 	}
 	for rest := []byte(v); len(rest) > 0; {
-		n := 2 + int(binary.LittleEndian.Uint16(rest))
-		key := rest[2:n]
-		m := n + 2 + int(binary.LittleEndian.Uint16(rest[n:]))
+		keyEnd := 2 + int(binary.LittleEndian.Uint16(rest))
+		key := rest[2:keyEnd]
+		valueEnd := keyEnd + 2 + int(binary.LittleEndian.Uint16(rest[keyEnd:]))
 		if string(key) == name {
-			value = string(rest[n+2 : m])
+			value = string(rest[keyEnd+2 : valueEnd])
 		}
-		rest = rest[m:]
+		rest = rest[valueEnd:]
 	}
 	return value
 }
 
-// readPacket reads one request. An input that ends before its first byte is io.EOF. Where the error is
-// ErrLarge, the variables are good.
+// readPacket reads one request and returns its variables and body. If the input ends before the first byte it returns
+// io.EOF. With ErrLarge the variables are valid.
 func readPacket(in *bufio.Reader, maxBody int) (vars, []byte, error) {
 	var head [headLen]byte
 	if _, err := io.ReadFull(in, head[:1]); err != nil {
@@ -74,32 +75,32 @@
 	if head[0] != 0 {
 		return nil, nil, fmt.Errorf("%w: modifier1 is %d", ErrPacket, head[0])
 	}
-	v := make(vars, binary.LittleEndian.Uint16(head[1:]))
-	if _, err := io.ReadFull(in, v); err != nil {
+	variables := make(vars, binary.LittleEndian.Uint16(head[1:]))
+	if _, err := io.ReadFull(in, variables); err != nil {
 		return nil, nil, fmt.Errorf("%w: variables cut short: %w", ErrPacket, err)
 	}
-	if err := v.check(); err != nil {
+	if err := variables.check(); err != nil {
 		return nil, nil, err
 	}
-	length := v.get("CONTENT_LENGTH")
+	length := variables.get("CONTENT_LENGTH")
 	if length == "" {
-		return v, nil, nil
+		return variables, nil, nil
 	}
-	n, err := strconv.ParseUint(length, 10, 63)
+	bodySize, err := strconv.ParseUint(length, 10, 63)
 	if err != nil {
-		return v, nil, fmt.Errorf("%w: CONTENT_LENGTH %q", ErrPacket, length)
+		return variables, nil, fmt.Errorf("%w: CONTENT_LENGTH %q", ErrPacket, length)
 	}
-	if n > uint64(maxBody) {
-		return v, nil, fmt.Errorf("%w: %d bytes, %d at most", ErrLarge, n, maxBody)
+	if bodySize > uint64(maxBody) {
+		return variables, nil, fmt.Errorf("%w: %d bytes, at most %d", ErrLarge, bodySize, maxBody)
 	}
-	body := make([]byte, n)
+	body := make([]byte, bodySize)
 	if _, err := io.ReadFull(in, body); err != nil {
-		return v, nil, fmt.Errorf("%w: body cut short: %w", ErrPacket, err)
+		return variables, nil, fmt.Errorf("%w: body cut short: %w", ErrPacket, err)
 	}
-	return v, body, nil
+	return variables, body, nil
 }
 
-// Packet makes the head of a request: all but its body. The pairs are keys and values in turn.
+// Packet encodes a request without its body. The pairs are alternating keys and values.
 func Packet(pairs ...string) []byte {
 	out := make([]byte, headLen, 512)
 	for _, s := range pairs {
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -13,21 +13,21 @@
 	"larchscale/internal/core"
 )
 
-// Options is the operator's table [uwsgi].
+// Options is the table [uwsgi] of the operator's file.
 type Options struct {
-	Listen   string   `toml:"listen"`    // "host:port", or ":port" on the platform's own host; empty = no front
-	Prefix   string   `toml:"prefix"`    // PATH_INFO is this and the class
-	Health   string   `toml:"health"`    // PATH_INFO of health checks; empty = none
+	Listen   string   `toml:"listen"`    // "host:port", or ":port" on the platform's own host; empty for no front
+	Prefix   string   `toml:"prefix"`    // precedes the class in PATH_INFO
+	Health   string   `toml:"health"`    // PATH_INFO of health checks; empty for none
 	MaxBody  int      `toml:"max_body"`  // bytes
-	MaxConns int      `toml:"max_conns"` // open at a time
-	ReadMs   int      `toml:"read_ms"`   // a packet has to come within
-	HeldKB   float64  `toml:"held_kb"`   // memory booked for a request that does not tell
+	MaxConns int      `toml:"max_conns"` // open connections
+	ReadMs   int      `toml:"read_ms"`   // time limit for a complete packet
+	HeldKB   float64  `toml:"held_kb"`   // memory in kilobytes of a request without its own value
 	Vars     Vars     `toml:"vars"`
-	Below    []string `toml:"below"`     // uwsgi servers for calls below; empty = the platform's index
-	MaxCalls int      `toml:"max_calls"` // in hand at a time to those
+	Below    []string `toml:"below"`     // uwsgi servers for downstream calls; empty for the platform's index
+	MaxCalls int      `toml:"max_calls"` // in flight to those servers
 }
 
-// Vars names the variables that a request's figures come in; an empty name is never looked up.
+// Vars names the variables that carry the properties of a request; one with an empty name is not read.
 type Vars struct {
 	Tenant string `toml:"tenant"`
 	Budget string `toml:"deadline"`
@@ -38,7 +38,7 @@
 	Caller string `toml:"caller"`
 }
 
-// Defaults is what holds where the operator's file says nothing.
+// Defaults returns the options that apply where the operator's file sets none.
 func Defaults() Options {
 	return Options{Prefix: "/", Health: "/status", MaxBody: 2 << 10, MaxConns: 128, ReadMs: 2000, HeldKB: 64, MaxCalls: 128,
 		Vars: Vars{Tenant: "HTTP_X_STAND", Budget: "HTTP_X_BUDGET_MS", Token: "HTTP_IDEMPOTENCY_KEY",
@@ -46,45 +46,46 @@
 }
 
 const (
-	maxToken = 128
-	maxWait  = 1 << 32 // milliseconds
-	maxHeld  = 2000    // kilobytes
+	maxToken    = 128 // bytes
+	maxWaitMs   = 1 << 32
+	maxMemoryKB = 2000
 )
 
-// request makes the core's request of a packet. A class below 0 is unknown; problem is for a 400.
-func (o *Options) request(v vars, body []byte, site *core.Site, bands rankBands, arrived time.Time) (q core.Incoming, problem string) {
-	q = core.Incoming{Handle: handle(), Arrived: arrived, Body: body, Class: -1}
-	if name, ok := strings.CutPrefix(v.get("PATH_INFO"), o.Prefix); ok {
+// request converts a packet to a request of the core. Its class is -1 if it is unknown. A problem is the body of a 400
+// response.
+func (o *Options) request(variables vars, body []byte, site *core.Site, bands rankBands, arrived time.Time) (q core.Incoming, problem string) {
+	q = core.Incoming{Handle: newHandle(), Arrived: arrived, Body: body, Class: -1}
+	if name, ok := strings.CutPrefix(variables.get("PATH_INFO"), o.Prefix); ok {
 		q.Class = site.Class(name)
 	}
 	if q.Class < 0 {
 		return q, ""
 	}
-	q.Tenant = site.Tenant(v.get(o.Vars.Tenant))
-	q.Token = v.get(o.Vars.Token)
+	q.Tenant = site.Tenant(variables.get(o.Vars.Tenant))
+	q.Token = variables.get(o.Vars.Token)
 	if len(q.Token) > maxToken || site.Keyed(q.Class) && q.Token == "" {
 		return q, "a keyed class needs a token of 1 to 128 bytes"
 	}
-	q.Caller = uint32(hash(v.get(o.Vars.Caller)))
-	if ms, told, ok := figure(v.get(o.Vars.Budget), maxWait); !ok {
+	q.Caller = uint32(hash(variables.get(o.Vars.Caller)))
+	if ms, given, ok := parseNumber(variables.get(o.Vars.Budget), maxWaitMs); !ok {
 		return q, "the deadline is no number of milliseconds"
-	} else if told {
+	} else if given {
 		q.Budget = max(time.Duration(ms*float64(time.Millisecond)), time.Millisecond)
 	}
-	kb, told, ok := figure(v.get(o.Vars.Memory), maxHeld)
+	kb, given, ok := parseNumber(variables.get(o.Vars.Memory), maxMemoryKB)
 	if !ok {
 		return q, "the memory is no number of kilobytes"
 	}
-	if q.Memory = o.HeldKB; told && kb > 0 {
+	if q.Memory = o.HeldKB; given && kb > 0 {
 		q.Memory = kb
 	}
-	rank, told, ok := figure(v.get(o.Vars.Rank), 1)
+	rank, given, ok := parseNumber(variables.get(o.Vars.Rank), 1)
 	if !ok {
 		return q, "the rank is not from 0 to 1"
 	}
-	if q.Rank = rank; !told {
-		user := v.get(o.Vars.User)
-		if user == "" { // nobody in particular: a place of its own, so that no bin fills with such
+	if q.Rank = rank; !given {
+		user := variables.get(o.Vars.User)
+		if user == "" { // anonymous: a rank of its own, so that anonymous requests do not share one bin
 			user = q.Handle
 		}
 		q.Rank = bands.rank(q.Class, user)
@@ -92,8 +93,8 @@
 	return q, ""
 }
 
-// figure reads an optional number from 0 to limit.
-func figure(s string, limit float64) (x float64, told, ok bool) {
+// parseNumber parses an optional number from 0 to limit; given reports whether there is one.
+func parseNumber(s string, limit float64) (x float64, given, ok bool) {
 	if s == "" {
 		return 0, false, true
 	}
@@ -101,10 +102,10 @@
 	return x, true, err == nil && x >= 0 && x <= limit
 }
 
-// rankBands are the ranks of requests that tell none: an equal band for each worth, the lowest first.
+// rankBands assigns ranks to requests without one: each worth has an equal band of ranks, the lowest worth first.
 type rankBands struct {
 	byClass []float64 // index of the band of each class
-	count   float64
+	count   float64   // number of bands
 }
 
 func newRankBands(classes []control.Class) rankBands {
@@ -122,20 +123,21 @@
 	return bands
 }
 
-// rank returns a rank in the band of a class; its place in the band is the user's own.
+// rank returns a rank in the band of a class, at a position that depends only on the user.
 func (b rankBands) rank(class int, user string) float64 {
-	place := float64(hash(user)>>11) / (1 << 53)
-	return (b.byClass[class] + place) / b.count
+	position := float64(hash(user)>>11) / (1 << 53)
+	return (b.byClass[class] + position) / b.count
 }
 
+// hash returns a well mixed 64-bit hash.
 func hash(s string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(s))
-	x := h.Sum64() // the high bits of FNV hardly move for short names: mix them
+	x := h.Sum64() // the high bits of FNV hardly vary for short names, so mix them
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
 	return x ^ x>>33
 }
 
-// handle is a new name for a try, 16 hex digits.
-func handle() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+// newHandle returns a new random handle for a try, 16 hex digits.
+func newHandle() string { return fmt.Sprintf("%016x", rand.Uint64()) }
