--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Settings is what a worker is told when it starts. Times are in microseconds; unknown keys are ignored.
+// Settings configures an instance when it starts. Times are in microseconds; unknown keys are ignored.
 type Settings struct {
 	Servers        int
 	QuantumUs      float64
@@ -41,7 +41,7 @@
 	}
 }
 
-// ParseSettings reads the settings of one worker.
+// ParseSettings parses the settings of one instance. Absent keys are zero.
 func ParseSettings(text []byte) (*Settings, error) {
 	s := new(Settings)
 	if err := json.Unmarshal(text, s); err != nil {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -18,7 +18,7 @@
 	return p
 }
 
-// The batch of three events that the wire's page prints.
+// sample is the batch of three events from the documentation of the wire format.
 const sample = "00000003000000570000000000805c5a" +
 	"0424000000035d3a91c4000003a9800141c400003f2000000000001100002ee00000073a91f03b7c55d20a6400000e6f2b19" +
 	"03f2000000030000004d043f1eb852404000003ed1eb8542f00000" +
@@ -73,8 +73,8 @@
 	for name, s := range map[string]string{
 		"header cut short":    "00000001000000",
 		"body cut short":      "00000001000000100000000000000000" + "0406",
-		"length impossible":   "00000001ffffffff0000000000000000",
-		"count impossible":    "ffffffff000000060000000000000000" + "043800000001",
+		"impossible length":   "00000001ffffffff0000000000000000",
+		"impossible count":    "ffffffff000000060000000000000000" + "043800000001",
 		"unknown code":        "00000001000000060000000000000000" + "ffff00000001",
 		"record cut short":    "00000001000000080000000000000000" + "0406000000010000",
 		"gauges beyond end":   "000000010000000b0000000000000000" + "03f20000000100000001ff",
@@ -88,13 +88,13 @@
 	}
 }
 
-func TestSettingsIgnoreUnknownKeysAndTakeZeroForAbsent(t *testing.T) {
+func TestSettingsIgnoreUnknownKeysAndDefaultToZero(t *testing.T) {
 	s, err := ParseSettings([]byte(`{"Novel": [1], "FamilyInfo": {"Cpus": 6, "Odd": "x"}}`))
 	if err != nil || s.FamilyInfo.Cpus != 6 || s.FamilyInfo.MemoryKb != 0 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	if _, err := ParseSettings([]byte(`{"FamilyInfo"`)); err == nil {
-		t.Fatal("broken settings were read")
+		t.Fatal("malformed settings were accepted")
 	}
 }
 
