--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,5 @@
-// Package logs is the program's log: slog's text lines, each kind of warning at most a few times a second.
+// Package logs writes the program's log: text lines of slog, rate limited per message, through a writer that never
+// blocks.
 package logs
 
 import (
@@ -9,76 +10,80 @@
 	"time"
 )
 
-const perSecond = 5 // lines of one message at one level; a flood of bad input must not fill the log
+// perSecond bounds the lines of one message at one level, so that a flood of bad input does not fill the log.
+const perSecond = 5
 
-// Handler passes on lines, but of one message at one level only so many a second. The first line of the next second
-// tells how many were left out.
+// Handler passes lines on, but only perSecond of each message and level per second. The first line after that second
+// reports in left_out how many were dropped.
 type Handler struct {
 	slog.Handler
 	shared *limits
 }
 
+// limits counts the lines of each kind.
 type limits struct {
 	mu   sync.Mutex
 	seen map[kind]*count
 }
 
-// kind is what shares a bound: an error has its place whatever its message says at lower levels.
+// kind identifies lines that share a limit. The level is part of it, so that an error is written even after a flood of
+// the same message at a lower level.
 type kind struct {
 	level   slog.Level
 	message string
 }
 
+// count holds the lines of one kind within a second.
 type count struct {
-	from       time.Time
-	lines, out int
+	since            time.Time // start of the second
+	written, dropped int       // lines passed on and dropped
 }
 
-// New writes to out.
+// New returns a handler that writes to out.
 func New(out io.Writer) *Handler {
 	return &Handler{slog.NewTextHandler(out, nil), &limits{seen: map[kind]*count{}}}
 }
 
-// Handle writes a line, or counts it as left out.
+// Handle implements slog.Handler: it writes a line or counts it as dropped.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	left, ok := h.shared.take(kind{r.Level, r.Message}, r.Time)
+	dropped, ok := h.shared.allow(kind{r.Level, r.Message}, r.Time)
 	if !ok {
 		return nil
 	}
-	if left > 0 {
-		r.AddAttrs(slog.Int("left_out", left))
+	if dropped > 0 {
+		r.AddAttrs(slog.Int("left_out", dropped))
 	}
 	return h.Handler.Handle(ctx, r)
 }
 
-// take asks for room for a line of a kind, and tells how many had none before it. Messages are the program's own
-// constants, so that the map stays small.
-func (l *limits) take(k kind, now time.Time) (left int, ok bool) {
+// allow reports whether a line of a kind may be written now and how many were dropped before it. The map stays small
+// because messages are constants of the program.
+func (l *limits) allow(k kind, now time.Time) (dropped int, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	c := l.seen[k]
-	if c == nil {
-		c = &count{from: now}
-		l.seen[k] = c
+	counter := l.seen[k]
+	if counter == nil {
+		counter = &count{since: now}
+		l.seen[k] = counter
 	}
-	if now.Sub(c.from) >= time.Second {
-		left = c.out
-		*c = count{from: now}
+	if now.Sub(counter.since) >= time.Second {
+		dropped = counter.dropped
+		*counter = count{since: now}
 	}
-	if c.lines >= perSecond {
-		c.out++
+	if counter.written >= perSecond {
+		counter.dropped++
 		return 0, false
 	}
-	c.lines++
-	return left, true
+	counter.written++
+	return dropped, true
 }
 
-// WithAttrs keeps the limits.
+// WithAttrs implements slog.Handler. The limits are shared.
 func (h *Handler) WithAttrs(a []slog.Attr) slog.Handler {
 	return &Handler{h.Handler.WithAttrs(a), h.shared}
 }
 
-// WithGroup keeps the limits.
+// WithGroup implements slog.Handler. The limits are shared.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{h.Handler.WithGroup(name), h.shared}
 }
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A flood of one message leaves room for others, and the next second tells what was left out.
-func TestAFloodIsCut(t *testing.T) {
+// A flood of one message does not suppress others, and the next second reports how many lines were dropped.
+func TestFloodIsLimited(t *testing.T) {
 	var out bytes.Buffer
 	h := New(&out).WithAttrs([]slog.Attr{slog.String("server", "n3")})
 	at := time.Unix(1000, 0)
@@ -28,8 +28,8 @@
 	}
 }
 
-// An error is written also after a flood of its message at a lower level.
-func TestAnErrorHasItsPlace(t *testing.T) {
+// An error is written even after a flood of its message at a lower level.
+func TestErrorAfterFloodIsWritten(t *testing.T) {
 	var out bytes.Buffer
 	h, at := New(&out), time.Unix(1000, 0)
 	for range 20 {
--- a/internal/logs/writer_test.go
+++ b/internal/logs/writer_test.go
@@ -13,48 +13,48 @@
 	"time"
 )
 
-// stuck is a reader of the log that stands still until it is let go.
-type stuck struct {
-	let chan struct{}
+// stalledWriter blocks every write until release is closed.
+type stalledWriter struct {
+	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.let
+func (s *stalledWriter) Write(b []byte) (int, error) {
+	<-s.release
 	return s.Buffer.Write(b)
 }
 
-// Whoever logs does not wait for a reader that stands still: what finds no room is counted, and told later.
-func TestAReaderThatStandsStillHoldsUpNobody(t *testing.T) {
+// Logging does not block on a stalled reader; lines that do not fit in the queue are counted and reported later.
+func TestStalledReaderDoesNotBlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{let: make(chan struct{})}
+		out := &stalledWriter{release: make(chan struct{})}
 		w := NewWriter(out)
 		start := time.Now()
-		for i := range 2 * queued {
+		for i := range 2 * maxQueuedLines {
 			fmt.Fprintf(w, "line %d\n", i)
 		}
 		if d := time.Since(start); d > 0 {
-			t.Errorf("it took %v", d)
+			t.Errorf("the writes took %v", d)
 		}
 		synctest.Wait()
-		close(out.let)
+		close(out.release)
 		synctest.Wait()
 		fmt.Fprintln(w, "the last")
 		w.Close(time.Second)
 		got := out.String()
-		left := 0
+		dropped := 0
 		for _, m := range regexp.MustCompile(`msg="log lines left out" lines=(\d+)`).FindAllStringSubmatch("\n"+got, -1) {
 			n, _ := strconv.Atoi(m[1])
-			left += n
+			dropped += n
 		}
-		if written := strings.Count("\n"+got, "\nline "); written < queued || written+left != 2*queued || !strings.HasSuffix(got, "the last\n") {
-			t.Errorf("%d lines written, %d left out of %d: … %s", written, left, 2*queued, got[max(0, len(got)-200):])
+		if written := strings.Count("\n"+got, "\nline "); written < maxQueuedLines || written+dropped != 2*maxQueuedLines || !strings.HasSuffix(got, "the last\n") {
+			t.Errorf("%d lines written and %d dropped of %d: … %s", written, dropped, 2*maxQueuedLines, got[max(0, len(got)-200):])
 		}
 	})
 }
 
-// A Close does not wait for long either, and a reader that has gone is no failure of who logs.
-func TestAReaderThatHasGone(t *testing.T) {
+// Writes do not fail after the reader has gone, and Close waits for a stalled reader only up to its limit.
+func TestReaderThatIsGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		read, write := io.Pipe()
 		w := NewWriter(write)
@@ -64,7 +64,7 @@
 		}
 		w.Close(time.Second)
 
-		out := &stuck{let: make(chan struct{})}
+		out := &stalledWriter{release: make(chan struct{})}
 		w = NewWriter(out)
 		fmt.Fprintln(w, "a line")
 		start := time.Now()
@@ -72,6 +72,6 @@
 		if d := time.Since(start); d != 50*time.Millisecond {
 			t.Errorf("closed after %v", d)
 		}
-		close(out.let)
+		close(out.release)
 	})
 }
