--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -1,6 +1,6 @@
-// Package export takes the ledger's batches to a collector by HTTP, one at a time and in order, until each is
-// acknowledged. A batch is the same bytes however often it is sent, so that a collector that keeps batch
-// identities gets every record once.
+// Package export sends the ledger's batches to a collector over HTTP, one at a time and in order, and repeats each
+// until it is acknowledged. A batch has the same bytes however often it is sent, so that a collector that keeps the
+// identities of batches counts every record once.
 package export
 
 import (
@@ -27,7 +27,7 @@
 	"larchscale/internal/ledger"
 )
 
-// Headers that name a batch to the collector, beside what its bytes say.
+// Headers that identify a batch, in addition to its own contents.
 const (
 	HeaderBox    = "Ledger-Box"
 	HeaderLedger = "Ledger-Id"
@@ -36,12 +36,12 @@
 )
 
 const (
-	maxAnswer = 4 << 10
-	maxWait   = time.Hour // that a collector may ask for
-	idleAgain = time.Second
+	maxResponse   = 4 << 10     // bytes
+	maxRetryAfter = time.Hour   // that a collector may ask for with Retry-After
+	idleInterval  = time.Second // between two looks for a batch
 )
 
-// Options are the operator's table [ledger.collector].
+// Options is the table [ledger.collector] of the operator's file.
 type Options struct {
 	URL       string `toml:"url"`
 	TimeoutMs int    `toml:"timeout_ms"`
@@ -52,10 +52,10 @@
 	Key       string `toml:"key"`
 }
 
-// Defaults are the options that a file need not name.
+// Defaults returns the options that apply where the operator's file sets none.
 func Defaults() Options { return Options{TimeoutMs: 10_000, RetryMs: 500, RetryMaxS: 120} }
 
-// Check finds what cannot be. Off the machine itself only TLS is spoken.
+// Check validates the options. Plain HTTP is allowed only to a loopback address.
 func (o *Options) Check() error {
 	if o.URL == "" {
 		return nil
@@ -65,102 +65,103 @@
 	case err != nil:
 		return fmt.Errorf("ledger.collector.url: %w", err)
 	case u.Scheme != "http" && u.Scheme != "https" || u.Host == "" || u.User != nil || u.Fragment != "":
-		return fmt.Errorf("ledger.collector.url: %q is no http or https address", o.URL)
-	case u.Scheme == "http" && !loopback(u.Hostname()):
-		return errors.New("ledger.collector.url: only https leaves the machine")
+		return fmt.Errorf("ledger.collector.url: %q is not an http or https address", o.URL)
+	case u.Scheme == "http" && !isLoopback(u.Hostname()):
+		return errors.New("ledger.collector.url: an address off this machine needs https")
 	case o.TimeoutMs < 100 || o.TimeoutMs > 300_000:
-		return fmt.Errorf("ledger.collector.timeout_ms is %d, 100 to 300000", o.TimeoutMs)
+		return fmt.Errorf("ledger.collector.timeout_ms is %d, must be 100 to 300000", o.TimeoutMs)
 	case o.RetryMs < 10 || o.RetryMs > 60_000:
-		return fmt.Errorf("ledger.collector.retry_ms is %d, 10 to 60000", o.RetryMs)
+		return fmt.Errorf("ledger.collector.retry_ms is %d, must be 10 to 60000", o.RetryMs)
 	case o.RetryMaxS < 1 || o.RetryMaxS > 3600:
-		return fmt.Errorf("ledger.collector.retry_max_s is %d, 1 to 3600", o.RetryMaxS)
+		return fmt.Errorf("ledger.collector.retry_max_s is %d, must be 1 to 3600", o.RetryMaxS)
 	case (o.Cert == "") != (o.Key == ""):
-		return errors.New("ledger.collector: cert and key go together")
+		return errors.New("ledger.collector: cert and key must be set together")
 	}
 	_, err = o.tls()
 	return err
 }
 
-func loopback(host string) bool {
+func isLoopback(host string) bool {
 	ip := net.ParseIP(host)
 	return host == "localhost" || ip != nil && ip.IsLoopback()
 }
 
-// tls reads the certificates. The client's own is read again when its file has changed.
+// tls returns the TLS configuration. The client's certificate is reloaded when its file changes.
 func (o *Options) tls() (*tls.Config, error) {
-	c := &tls.Config{MinVersion: tls.VersionTLS13}
+	config := &tls.Config{MinVersion: tls.VersionTLS13}
 	if o.CA != "" {
 		pem, err := os.ReadFile(o.CA)
 		if err != nil {
 			return nil, fmt.Errorf("ledger.collector.ca: %w", err)
 		}
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(pem) {
+		config.RootCAs = x509.NewCertPool()
+		if !config.RootCAs.AppendCertsFromPEM(pem) {
 			return nil, fmt.Errorf("ledger.collector.ca: no certificate in %s", o.CA)
 		}
 	}
 	if o.Cert != "" {
-		p, err := LoadPair(o.Cert, o.Key)
+		pair, err := LoadPair(o.Cert, o.Key)
 		if err != nil {
 			return nil, fmt.Errorf("ledger.collector.cert: %w", err)
 		}
-		c.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return p.Get() }
+		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Get() }
 	}
-	return c, nil
+	return config, nil
 }
 
-// Pair is a certificate and its key in files.
+// Pair is a certificate and its key, reloaded when the certificate file changes.
 type Pair struct {
 	cert, key string
 	mu        sync.Mutex
-	read      time.Time // of the change that was read
-	have      *tls.Certificate
+	modified  time.Time        // modification time of the loaded certificate file
+	loaded    *tls.Certificate // the last one loaded
 }
 
-// LoadPair reads a certificate and its key.
+// LoadPair loads a certificate and its key from files.
 func LoadPair(cert, key string) (*Pair, error) {
 	p := &Pair{cert: cert, key: key}
 	_, err := p.Get()
 	return p, err
 }
 
-// Get gives the certificate, read again when its file has changed.
+// Get returns the certificate, reloaded if its file has changed. If the reload fails, the last certificate stays in
+// use.
 func (p *Pair) Get() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.cert)
-	if err == nil && (p.have == nil || !info.ModTime().Equal(p.read)) {
+	if err == nil && (p.loaded == nil || !info.ModTime().Equal(p.modified)) {
 		var c tls.Certificate
 		if c, err = tls.LoadX509KeyPair(p.cert, p.key); err == nil {
-			p.have, p.read = &c, info.ModTime()
+			p.loaded, p.modified = &c, info.ModTime()
 		}
 	}
-	if p.have != nil { // a file that is being replaced does not end what works
-		return p.have, nil
+	if p.loaded != nil { // the files may be in the middle of a replacement
+		return p.loaded, nil
 	}
 	return nil, err
 }
 
-// Source is the ledger as the exporter sees it.
+// Source is the ledger that an exporter reads.
 type Source interface {
-	// Next gives the batch to send; nil bytes = there is none.
+	// Next returns the oldest batch that is not acknowledged; nil bytes if there is none.
 	Next(ctx context.Context) ([]byte, ledger.Sealed, error)
-	// Acknowledge notes durably that the collector has a batch.
+	// Acknowledge records durably that the collector has a batch.
 	Acknowledge(ctx context.Context, s ledger.Sealed) error
-	// Sealed tells that Next may have a batch.
+	// Sealed returns a channel that signals that Next may have a batch.
 	Sealed() <-chan struct{}
 }
 
-// Exporter sends batches.
+// Exporter sends the batches of a source to the collector.
 type Exporter struct {
-	opt    Options
-	source Source
-	client *http.Client
-	log    *slog.Logger
-	wait   *backoff.ExponentialBackOff
+	opt     Options
+	source  Source
+	client  *http.Client
+	log     *slog.Logger
+	backoff *backoff.ExponentialBackOff
 }
 
-// New makes an exporter. A transport of nil is the network.
+// New returns an exporter. With a nil transport it uses the network.
 func New(opt Options, source Source, transport http.RoundTripper, log *slog.Logger) (*Exporter, error) {
 	if transport == nil {
 		c, err := opt.tls()
@@ -171,65 +172,65 @@
 			MaxResponseHeaderBytes: 16 << 10, ResponseHeaderTimeout: time.Duration(opt.TimeoutMs) * time.Millisecond,
 			DialContext: (&net.Dialer{Timeout: time.Duration(opt.TimeoutMs) * time.Millisecond}).DialContext, Proxy: nil}
 	}
-	e := &Exporter{opt: opt, source: source, log: log, wait: backoff.NewExponentialBackOff(),
+	e := &Exporter{opt: opt, source: source, log: log, backoff: backoff.NewExponentialBackOff(),
 		client: &http.Client{Transport: transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}}
-	e.wait.InitialInterval, e.wait.MaxInterval = time.Duration(opt.RetryMs)*time.Millisecond, time.Duration(opt.RetryMaxS)*time.Second
-	e.wait.RandomizationFactor = 1 // full jitter: from 0 to twice the interval
+	e.backoff.InitialInterval, e.backoff.MaxInterval = time.Duration(opt.RetryMs)*time.Millisecond, time.Duration(opt.RetryMaxS)*time.Second
+	e.backoff.RandomizationFactor = 1 // full jitter: from 0 to twice the interval
 	return e, nil
 }
 
-// Run sends until ctx ends.
+// Run sends batches until ctx ends.
 func (e *Exporter) Run(ctx context.Context) {
 	defer e.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		pause := e.once(ctx)
+		pause := e.sendNext(ctx)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
-		case <-e.more(pause):
+		case <-e.wakeUp(pause):
 		}
 	}
 }
 
-// more wakes a rest, but not a pause after a failure.
-func (e *Exporter) more(pause time.Duration) <-chan struct{} {
-	if pause == idleAgain {
+// wakeUp returns the channel that cuts a pause short: that of a new batch while idle, none after a failure.
+func (e *Exporter) wakeUp(pause time.Duration) <-chan struct{} {
+	if pause == idleInterval {
 		return e.source.Sealed()
 	}
 	return nil
 }
 
-// once sends the next batch, if there is one, and gives the time until the next try.
-func (e *Exporter) once(ctx context.Context) time.Duration {
+// sendNext sends the next batch, if there is one, and returns the time until the next attempt.
+func (e *Exporter) sendNext(ctx context.Context) time.Duration {
 	bytes, s, err := e.source.Next(ctx)
 	if err == nil && bytes == nil {
-		return idleAgain
+		return idleInterval
 	}
-	var asked time.Duration
+	var retryDelay time.Duration
 	if err == nil {
-		if asked, err = e.send(ctx, bytes, s); err == nil {
+		if retryDelay, err = e.send(ctx, bytes, s); err == nil {
 			err = e.source.Acknowledge(ctx, s)
 		}
 	}
 	if err == nil {
-		e.wait.Reset()
+		e.backoff.Reset()
 		return 0
 	}
 	if ctx.Err() == nil {
 		e.log.Warn("ledger", "do", "export", "seq", s.Seq, "err", err)
 	}
-	return max(e.wait.NextBackOff(), asked, time.Millisecond)
+	return max(e.backoff.NextBackOff(), retryDelay, time.Millisecond)
 }
 
-// ErrCollector is an answer that acknowledges nothing.
+// ErrCollector reports a response that does not acknowledge the batch.
 var ErrCollector = errors.New("not acknowledged")
 
-// send sends a batch once. asked is how long the collector wants to be left alone. Only an answer that names
-// this very batch counts.
-func (e *Exporter) send(ctx context.Context, body []byte, s ledger.Sealed) (asked time.Duration, err error) {
+// send sends a batch once. It succeeds only if the response names this very batch. retryDelay is the delay that the
+// collector requests with Retry-After.
+func (e *Exporter) send(ctx context.Context, body []byte, s ledger.Sealed) (retryDelay time.Duration, err error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Duration(e.opt.TimeoutMs)*time.Millisecond)
 	defer cancel()
-	b, err := ledger.DecodeBatch(body)
+	batch, err := ledger.DecodeBatch(body)
 	if err != nil {
 		return 0, err
 	}
@@ -237,44 +238,44 @@
 	if err != nil {
 		return 0, err
 	}
-	h := req.Header
-	h.Set("Content-Type", "application/cbor")
-	h.Set(HeaderBox, url.QueryEscape(b.Box))
-	h.Set(HeaderLedger, b.Ledger.String())
-	h.Set(HeaderSeq, strconv.FormatUint(s.Seq, 10))
-	h.Set(HeaderHash, s.Hash.String())
+	header := req.Header
+	header.Set("Content-Type", "application/cbor")
+	header.Set(HeaderBox, url.QueryEscape(batch.Box))
+	header.Set(HeaderLedger, batch.Ledger.String())
+	header.Set(HeaderSeq, strconv.FormatUint(s.Seq, 10))
+	header.Set(HeaderHash, s.Hash.String())
 	res, err := e.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
-	if asked = retryAfter(res.Header.Get("Retry-After"), time.Now()); err != nil {
-		return asked, err
+	text, err := io.ReadAll(io.LimitReader(res.Body, maxResponse+1))
+	if retryDelay = retryAfter(res.Header.Get("Retry-After"), time.Now()); err != nil {
+		return retryDelay, err
 	}
-	j := gjson.ParseBytes(text)
-	if res.StatusCode != http.StatusOK || len(text) > maxAnswer || !gjson.ValidBytes(text) || j.Get("box").String() != b.Box ||
-		j.Get("ledger").String() != b.Ledger.String() || j.Get("seq").Uint() != s.Seq || j.Get("hash").String() != s.Hash.String() {
-		return asked, fmt.Errorf("%w: status %d, %d bytes", ErrCollector, res.StatusCode, len(text))
+	answer := gjson.ParseBytes(text)
+	if res.StatusCode != http.StatusOK || len(text) > maxResponse || !gjson.ValidBytes(text) || answer.Get("box").String() != batch.Box ||
+		answer.Get("ledger").String() != batch.Ledger.String() || answer.Get("seq").Uint() != s.Seq || answer.Get("hash").String() != s.Hash.String() {
+		return retryDelay, fmt.Errorf("%w: status %d, %d bytes", ErrCollector, res.StatusCode, len(text))
 	}
 	return 0, nil
 }
 
-// retryAfter reads the header of that name: seconds or a date, within maxWait.
+// retryAfter parses a Retry-After header, seconds or a date, and bounds it by maxRetryAfter; 0 if there is none.
 func retryAfter(v string, now time.Time) time.Duration {
 	if s, err := strconv.ParseUint(v, 10, 32); err == nil {
-		return min(time.Duration(s)*time.Second, maxWait)
+		return min(time.Duration(s)*time.Second, maxRetryAfter)
 	}
 	if t, err := http.ParseTime(v); err == nil {
-		return min(max(0, t.Sub(now)), maxWait)
+		return min(max(0, t.Sub(now)), maxRetryAfter)
 	}
 	return 0
 }
 
-// Answer is what a collector answers to a batch that it has.
+// Answer returns the body of a response by which a collector acknowledges a batch.
 func Answer(b *ledger.Batch, hash ledger.Hash) []byte {
 	text, err := json.Marshal(map[string]any{"box": b.Box, "ledger": b.Ledger, "seq": b.Seq, "hash": hash})
-	if err != nil { // strings and a number
+	if err != nil { // cannot fail: strings and a number
 		panic(err)
 	}
 	return text
--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -23,12 +23,12 @@
 	"larchscale/internal/scenario/certs"
 )
 
-// source is a ledger with a few batches.
+// source is a Source with a few batches in memory.
 type source struct {
-	batches [][]byte
-	acked   int
-	wake    chan struct{}
-	failAck error
+	batches      [][]byte
+	acknowledged int
+	sealed       chan struct{}
+	ackErr       error
 }
 
 func newSource(t *testing.T, n int) *source {
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	b := ledger.NewBook("n1", ledger.ID{1}, ledger.Policy{Calendar: c, Keep: 1}, 1)
-	s := &source{wake: make(chan struct{}, 1)}
+	s := &source{sealed: make(chan struct{}, 1)}
 	for range n {
 		rec, bytes := b.ProposeSeal(1)
 		if err := b.Apply(rec); err != nil {
@@ -50,28 +50,29 @@
 }
 
 func (s *source) Next(context.Context) ([]byte, ledger.Sealed, error) {
-	if s.acked == len(s.batches) {
+	if s.acknowledged == len(s.batches) {
 		return nil, ledger.Sealed{}, nil
 	}
-	b := s.batches[s.acked]
-	return b, ledger.Sealed{Seq: uint64(s.acked + 1), Hash: ledger.SumOf(b), Size: len(b)}, nil
+	b := s.batches[s.acknowledged]
+	return b, ledger.Sealed{Seq: uint64(s.acknowledged + 1), Hash: ledger.SumOf(b), Size: len(b)}, nil
 }
 
-func (s *source) Acknowledge(_ context.Context, x ledger.Sealed) error {
-	if s.failAck != nil {
-		return s.failAck
+func (s *source) Acknowledge(_ context.Context, batch ledger.Sealed) error {
+	if s.ackErr != nil {
+		return s.ackErr
 	}
-	s.acked = int(x.Seq)
+	s.acknowledged = int(batch.Seq)
 	return nil
 }
 
-func (s *source) Sealed() <-chan struct{} { return s.wake }
+func (s *source) Sealed() <-chan struct{} { return s.sealed }
 
-// script answers each sending by the next of its answers, and notes when it came.
+// script is a transport that answers each request with the next of its answers, then with good, and records the
+// requests.
 type script struct {
 	answers []func(b *ledger.Batch, h ledger.Hash) *http.Response
-	began   time.Time
-	at      []time.Duration
+	started time.Time
+	times   []time.Duration
 	bodies  [][]byte
 }
 
@@ -80,15 +81,15 @@
 	if err != nil {
 		return nil, err
 	}
-	s.at = append(s.at, time.Since(s.began))
+	s.times = append(s.times, time.Since(s.started))
 	s.bodies = append(s.bodies, body)
 	b, err := ledger.DecodeBatch(body)
 	if err != nil {
 		return nil, err
 	}
 	answer := good
-	if len(s.at) <= len(s.answers) {
-		answer = s.answers[len(s.at)-1]
+	if len(s.times) <= len(s.answers) {
+		answer = s.answers[len(s.times)-1]
 	}
 	if res := answer(b, ledger.SumOf(body)); res != nil {
 		return res, nil
@@ -108,18 +109,18 @@
 	return response(200, bytes.NewReader(Answer(b, h)))
 }
 
-// endless never ends its answer.
+// endless is a response body that never ends.
 type endless struct{}
 
 func (endless) Read(b []byte) (int, error) { return len(b), nil }
 
-// Whatever a collector answers, only the acknowledgement of this very batch counts, the bytes stay the same, and
-// Retry-After is kept to.
-func TestOnlyTheRightAnswerCounts(t *testing.T) {
+// Only an acknowledgement of this very batch is accepted; after any other response the same bytes are sent again, not
+// before the time in Retry-After.
+func TestOnlyMatchingAcknowledgementCounts(t *testing.T) {
 	type answer = func(*ledger.Batch, ledger.Hash) *http.Response
-	for name, x := range map[string]struct {
-		answer answer
-		least  time.Duration // until the next sending
+	for name, tc := range map[string]struct {
+		answer   answer
+		minDelay time.Duration // minimum time until the next attempt
 	}{
 		"cut": {func(*ledger.Batch, ledger.Hash) *http.Response { return nil }, 0},
 		"redirect": {func(b *ledger.Batch, h ledger.Hash) *http.Response {
@@ -131,28 +132,28 @@
 		"conflict": {func(b *ledger.Batch, h ledger.Hash) *http.Response {
 			return response(409, bytes.NewReader(Answer(b, h)))
 		}, 0},
-		"garbage":     {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("ok")) }, 0},
-		"empty":       {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("")) }, 0},
-		"never ends":  {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, endless{}) }, 0},
-		"other batch": {func(b *ledger.Batch, h ledger.Hash) *http.Response { c := *b; c.Seq++; return good(&c, h) }, 0},
-		"other hash":  {func(b *ledger.Batch, _ ledger.Hash) *http.Response { return good(b, ledger.Hash{}) }, 0},
-		"other box":   {func(b *ledger.Batch, h ledger.Hash) *http.Response { c := *b; c.Box = "n2"; return good(&c, h) }, 0},
+		"garbage":      {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("ok")) }, 0},
+		"empty":        {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("")) }, 0},
+		"never ends":   {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, endless{}) }, 0},
+		"other batch":  {func(b *ledger.Batch, h ledger.Hash) *http.Response { c := *b; c.Seq++; return good(&c, h) }, 0},
+		"other hash":   {func(b *ledger.Batch, _ ledger.Hash) *http.Response { return good(b, ledger.Hash{}) }, 0},
+		"other server": {func(b *ledger.Batch, h ledger.Hash) *http.Response { c := *b; c.Box = "n2"; return good(&c, h) }, 0},
 		"seconds": {func(*ledger.Batch, ledger.Hash) *http.Response {
 			return response(503, strings.NewReader(""), "Retry-After", "90")
 		}, 90 * time.Second},
-		"too long": {func(*ledger.Batch, ledger.Hash) *http.Response {
+		"long delay": {func(*ledger.Batch, ledger.Hash) *http.Response {
 			return response(503, strings.NewReader(""), "Retry-After", "999999")
-		}, maxWait},
+		}, maxRetryAfter},
 		"date": {func(*ledger.Batch, ledger.Hash) *http.Response {
 			return response(429, strings.NewReader(""), "Retry-After", time.Now().Add(time.Minute).UTC().Format(http.TimeFormat))
 		}, 59 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, sc := newSource(t, 2), &script{answers: []answer{x.answer, x.answer}, began: time.Now()}
+				s, transport := newSource(t, 2), &script{answers: []answer{tc.answer, tc.answer}, started: time.Now()}
 				opt := Defaults()
 				opt.URL = "http://127.0.0.1/"
-				e, err := New(opt, s, sc, slog.New(slog.DiscardHandler))
+				e, err := New(opt, s, transport, slog.New(slog.DiscardHandler))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -161,11 +162,11 @@
 				time.Sleep(3 * time.Hour)
 				stop()
 				synctest.Wait()
-				if s.acked != 2 || len(sc.bodies) != 4 || !bytes.Equal(sc.bodies[0], sc.bodies[1]) || !bytes.Equal(sc.bodies[1], sc.bodies[2]) || bytes.Equal(sc.bodies[2], sc.bodies[3]) {
-					t.Fatalf("%d acknowledged after %d sendings", s.acked, len(sc.bodies))
+				if s.acknowledged != 2 || len(transport.bodies) != 4 || !bytes.Equal(transport.bodies[0], transport.bodies[1]) || !bytes.Equal(transport.bodies[1], transport.bodies[2]) || bytes.Equal(transport.bodies[2], transport.bodies[3]) {
+					t.Fatalf("%d batches acknowledged after %d requests", s.acknowledged, len(transport.bodies))
 				}
 				for i := range 2 {
-					if gap := sc.at[i+1] - sc.at[i]; gap < x.least || gap > x.least+time.Minute {
+					if gap := transport.times[i+1] - transport.times[i]; gap < tc.minDelay || gap > tc.minDelay+time.Minute {
 						t.Errorf("sent again after %v", gap)
 					}
 				}
@@ -174,28 +175,28 @@
 	}
 }
 
-// An acknowledgement that cannot be noted is no acknowledgement: the same bytes go again.
+// If an acknowledgement cannot be recorded durably, the same bytes are sent again.
 func TestAcknowledgementIsDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, sc := newSource(t, 1), &script{began: time.Now()}
-		s.failAck = errors.New("disk full")
-		e, err := New(Defaults(), s, sc, slog.New(slog.DiscardHandler))
+		s, transport := newSource(t, 1), &script{started: time.Now()}
+		s.ackErr = errors.New("disk full")
+		e, err := New(Defaults(), s, transport, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx := t.Context()
-		e.once(ctx)
-		e.once(ctx)
-		s.failAck = nil
-		e.once(ctx)
-		if pause := e.once(ctx); pause != idleAgain || len(sc.bodies) != 3 || !bytes.Equal(sc.bodies[0], sc.bodies[2]) {
-			t.Errorf("%d sendings, then a pause of %v", len(sc.bodies), pause)
+		e.sendNext(ctx)
+		e.sendNext(ctx)
+		s.ackErr = nil
+		e.sendNext(ctx)
+		if pause := e.sendNext(ctx); pause != idleInterval || len(transport.bodies) != 3 || !bytes.Equal(transport.bodies[0], transport.bodies[2]) {
+			t.Errorf("%d requests, then a pause of %v", len(transport.bodies), pause)
 		}
 	})
 }
 
-// Both sides show certificates; a new one in the file is used without a restart, and a collector of another
-// authority gets nothing.
+// Both sides authenticate by certificates. A new client certificate in the file is used without a restart, and a
+// collector with a certificate of another authority gets no batch.
 func TestMutualTLS(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
@@ -204,9 +205,9 @@
 	certFile, keyFile, _ := certs.New(t, dir, "n1", ca)
 	pool := x509.NewCertPool()
 	pool.AddCert(ca.Leaf)
-	var names []string
+	var serials []string
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		names = append(names, fmt.Sprint(r.TLS.PeerCertificates[0].SerialNumber))
+		serials = append(serials, fmt.Sprint(r.TLS.PeerCertificates[0].SerialNumber))
 		body, _ := io.ReadAll(r.Body)
 		b, err := ledger.DecodeBatch(body)
 		if err != nil {
@@ -230,15 +231,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.once(t.Context())
+		e.sendNext(t.Context())
 		e.client.CloseIdleConnections()
 		if i == 0 {
 			certs.New(t, dir, "n1", ca)
 			os.Chtimes(certFile, time.Now(), time.Now().Add(time.Minute))
 		}
 	}
-	if s.acked != 2 || len(names) != 2 || names[0] == names[1] {
-		t.Errorf("%d acknowledged, shown: %v", s.acked, names)
+	if s.acknowledged != 2 || len(serials) != 2 || serials[0] == serials[1] {
+		t.Errorf("%d batches acknowledged, certificates %v", s.acknowledged, serials)
 	}
 	otherFile, _, _ := certs.New(t, dir, "other", nil)
 	opt.CA = otherFile
@@ -246,8 +247,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := e.send(t.Context(), s.batches[0], ledger.Sealed{Seq: 1}); err == nil || len(names) != 2 {
-		t.Errorf("another authority's collector: %v", err)
+	if _, err := e.send(t.Context(), s.batches[0], ledger.Sealed{Seq: 1}); err == nil || len(serials) != 2 {
+		t.Errorf("collector of another authority: %v", err)
 	}
 	e.client.CloseIdleConnections()
 }
