--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,12 +1,12 @@
-// Package admin is the operators' door: a second address that speaks HTTP/1.1, one call a connection.
+// Package admin is the admin endpoint for operators: HTTP/1.1 on a second address, one request per connection.
 //
-//	GET /healthcheck       200 once this process serves and no drain was called, else 503
-//	GET /stats             200, the figures as name=value lines
-//	PUT /healthcheck/fail  200; health answers 503 from now on: the platform sends the balancers away
-//	PUT /healthcheck/ok    200; health answers as the process stands again
+//	GET /healthcheck       200 if this process serves and its health is not held down, else 503
+//	GET /stats             200, the metrics as name=value lines
+//	PUT /healthcheck/fail  200; health answers 503 from now on, so that the platform moves the balancers away
+//	PUT /healthcheck/ok    200; health reports the state of the process again
 //
-// The door reads only what the core loop publishes, and never waits on the loop: a drain reaches it as a Hold
-// event, sent by a goroutine of the door's own.
+// The endpoint reads only what the core loop publishes and never waits for the loop: a change of the health is sent to
+// it as a core.Hold event by the goroutine of the Holder.
 package admin
 
 import (
@@ -25,59 +25,61 @@
 	"larchscale/internal/core"
 )
 
-// Bounds of the door.
+// Limits of the endpoint.
 const (
-	MaxConns    = 32          // connections at a time; beyond, the oldest silent one goes
-	MaxHead     = 4 << 10     // bytes of a request's head; more is answered 431
-	headWithin  = time.Second // a request head has to come whole within
-	writeWithin = time.Second // an answer has to leave within
+	MaxConns       = 32          // open connections; a further one replaces the oldest that has sent nothing
+	MaxHead        = 4 << 10     // bytes of a request header; a longer one is answered 431
+	requestTimeout = time.Second // time limit for a request
+	writeTimeout   = time.Second // time limit for writing an answer
 )
 
-// Sizes of the answer of /stats, which it gets room for at once.
+// Expected size of the answer of /stats, for which memory is allocated at once.
 const (
-	linesPerClass = 4
-	expectedLine  = 32 // bytes
+	linesPerClass   = 4
+	expectedLineLen = 32 // bytes
 )
 
-// Door answers the operators' calls.
+// Door is the HTTP server of the admin endpoint.
 type Door struct {
 	classes []string
 	figures func() *core.Figures
 	holder  *Holder
 	log     *slog.Logger
 	server  *http.Server
-	more    func() []byte // further figures; nil = none
+	extra   func() []byte // returns further metrics; nil for none
 }
 
-// New makes a door for the figures of classes, in the order of Site.Classes. A drain or its end goes to holder.
+// New returns a server for the metrics of classes, in the order of Site.Classes. Operators hold the health down and
+// release it through holder.
 func New(classes []string, figures func() *core.Figures, holder *Holder, log *slog.Logger) *Door {
 	d := &Door{classes: classes, figures: figures, log: log, holder: holder}
 	mux := http.NewServeMux()
-	mux.HandleFunc("/healthcheck", d.health)
-	mux.HandleFunc("/healthcheck/fail", d.hold(true))
-	mux.HandleFunc("/healthcheck/ok", d.hold(false))
-	mux.HandleFunc("/stats", d.stats)
+	mux.HandleFunc("/healthcheck", d.getHealth)
+	mux.HandleFunc("/healthcheck/fail", d.setHealth(true))
+	mux.HandleFunc("/healthcheck/ok", d.setHealth(false))
+	mux.HandleFunc("/stats", d.getStats)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no such call", http.StatusNotFound) })
-	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: headWithin, ReadTimeout: headWithin,
-		WriteTimeout: writeWithin, IdleTimeout: headWithin, MaxHeaderBytes: MaxHead,
+	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout,
+		WriteTimeout: writeTimeout, IdleTimeout: requestTimeout, MaxHeaderBytes: MaxHead,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	d.server.SetKeepAlivesEnabled(false)
 	return d
 }
 
-// Serve answers on l until Close.
+// Serve serves on l until Close.
 func (d *Door) Serve(l net.Listener) error {
-	err := d.server.Serve(&bounded{Listener: l, room: MaxConns})
+	err := d.server.Serve(&limitListener{Listener: l, limit: MaxConns})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// Close stops the door and the calls in hand.
+// Close closes the listener and the open connections.
 func (d *Door) Close() error { return d.server.Close() }
 
-func only(method string, w http.ResponseWriter, r *http.Request) bool {
+// requireMethod reports whether a request has the given method, and answers 405 otherwise.
+func requireMethod(method string, w http.ResponseWriter, r *http.Request) bool {
 	if r.Method == method {
 		return true
 	}
@@ -86,8 +88,9 @@
 	return false
 }
 
-func (d *Door) health(w http.ResponseWriter, r *http.Request) {
-	if !only(http.MethodGet, w, r) {
+// getHealth answers /healthcheck.
+func (d *Door) getHealth(w http.ResponseWriter, r *http.Request) {
+	if !requireMethod(http.MethodGet, w, r) {
 		return
 	}
 	switch {
@@ -100,9 +103,10 @@
 	}
 }
 
-func (d *Door) hold(held bool) http.HandlerFunc {
+// setHealth returns the handler that holds the health down or releases it.
+func (d *Door) setHealth(held bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !only(http.MethodPut, w, r) {
+		if !requireMethod(http.MethodPut, w, r) {
 			return
 		}
 		if d.holder.Hold(ByOperator, held) {
@@ -112,110 +116,116 @@
 	}
 }
 
-func (d *Door) stats(w http.ResponseWriter, r *http.Request) {
-	if !only(http.MethodGet, w, r) {
+// getStats answers /stats.
+func (d *Door) getStats(w http.ResponseWriter, r *http.Request) {
+	if !requireMethod(http.MethodGet, w, r) {
 		return
 	}
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Write(Lines(d.classes, d.figures()))
-	if d.more != nil {
-		w.Write(d.more())
+	if d.extra != nil {
+		w.Write(d.extra())
 	}
 }
 
-// Also has the figures end with those that more gives, which is called from any goroutine. It is set before Serve.
-func (d *Door) Also(more func() []byte) { d.more = more }
+// Also appends the lines that extra returns to the metrics. It must be called before Serve; extra is called
+// concurrently.
+func (d *Door) Also(extra func() []byte) { d.extra = extra }
 
-// Lines writes figures as the operators read them: svc.ok.C, svc.shed.C, svc.errors.C, svc.tries.C for each
-// class C, then svc.active and the calls below, one name=value a line.
+// Lines formats the metrics: svc.ok.C, svc.shed.C, svc.errors.C and svc.tries.C for each class C, then svc.active and
+// the metrics of downstream calls, one name=value per line.
 func Lines(classes []string, f *core.Figures) []byte {
-	var b bytes.Buffer
-	b.Grow(len(classes) * linesPerClass * expectedLine)
-	for _, set := range []struct {
+	var out bytes.Buffer
+	out.Grow(len(classes) * linesPerClass * expectedLineLen)
+	for _, metric := range []struct {
 		name   string
 		counts []uint64
 	}{{"ok", f.OK}, {"shed", f.Shed}, {"errors", f.Errors}, {"tries", f.Tries}} {
 		for i, c := range classes {
-			b.WriteString("svc.")
-			b.WriteString(set.name)
-			b.WriteByte('.')
-			b.WriteString(c)
-			b.WriteByte('=')
-			b.Write(strconv.AppendUint(b.AvailableBuffer(), set.counts[i], 10))
-			b.WriteByte('\n')
+			out.WriteString("svc.")
+			out.WriteString(metric.name)
+			out.WriteByte('.')
+			out.WriteString(c)
+			out.WriteByte('=')
+			out.Write(strconv.AppendUint(out.AvailableBuffer(), metric.counts[i], 10))
+			out.WriteByte('\n')
 		}
 	}
-	b.WriteString("svc.active=" + strconv.Itoa(f.Active) + "\n")
-	fmt.Fprintf(&b, "calls.hand=%d\ncalls.wait=%d\ncalls.lost=%d\n", f.Calls, f.Waiting, f.Lost)
-	return b.Bytes()
+	out.WriteString("svc.active=" + strconv.Itoa(f.Active) + "\n")
+	fmt.Fprintf(&out, "calls.hand=%d\ncalls.wait=%d\ncalls.lost=%d\n", f.Calls, f.Waiting, f.Lost)
+	return out.Bytes()
 }
 
-// bounded keeps up to its room of connections. A newcomer beyond it takes the place of the oldest that has sent
-// nothing yet, or is closed unseen where all have: callers who say nothing hold up nobody else.
-type bounded struct {
+// limitListener keeps up to limit connections open. A further one replaces the oldest that has sent nothing yet, or is
+// closed at once if all have sent something. Thus silent clients do not keep others out.
+type limitListener struct {
 	net.Listener
-	room  int
+	limit int
 	mu    sync.Mutex
-	slots []*slot // in the order they came
+	conns []*limitedConn // oldest first
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+// Accept implements net.Listener.
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
-		c, err := b.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if s := b.take(c); s != nil {
-			return s, nil
+		if conn := l.add(c); conn != nil {
+			return conn, nil
 		}
 		c.Close()
 	}
 }
 
-func (b *bounded) take(c net.Conn) *slot {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.slots) >= b.room {
-		i := slices.IndexFunc(b.slots, func(s *slot) bool { return !s.heard.Load() })
+// add registers a connection; nil if there is no room for it.
+func (l *limitListener) add(c net.Conn) *limitedConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.conns) >= l.limit {
+		i := slices.IndexFunc(l.conns, func(conn *limitedConn) bool { return !conn.active.Load() })
 		if i < 0 {
 			return nil
 		}
-		old := b.slots[i]
-		b.slots = slices.Delete(b.slots, i, i+1)
-		old.gone.Store(true)
-		old.Conn.Close()
+		oldest := l.conns[i]
+		l.conns = slices.Delete(l.conns, i, i+1)
+		oldest.removed.Store(true)
+		oldest.Conn.Close()
 	}
-	s := &slot{Conn: c, of: b}
-	b.slots = append(b.slots, s)
-	return s
+	conn := &limitedConn{Conn: c, listener: l}
+	l.conns = append(l.conns, conn)
+	return conn
 }
 
-func (b *bounded) drop(s *slot) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if i := slices.Index(b.slots, s); i >= 0 {
-		b.slots = slices.Delete(b.slots, i, i+1)
+// remove forgets a closed connection.
+func (l *limitListener) remove(conn *limitedConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if i := slices.Index(l.conns, conn); i >= 0 {
+		l.conns = slices.Delete(l.conns, i, i+1)
 	}
 }
 
-type slot struct {
+// limitedConn is a connection of a limitListener.
+type limitedConn struct {
 	net.Conn
-	of    *bounded
-	heard atomic.Bool // a byte came
-	gone  atomic.Bool // out of the room
+	listener *limitListener
+	active   atomic.Bool // has sent a byte
+	removed  atomic.Bool // removed from conns
 }
 
-func (s *slot) Read(p []byte) (int, error) {
-	n, err := s.Conn.Read(p)
+func (c *limitedConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
 	if n > 0 {
-		s.heard.Store(true)
+		c.active.Store(true)
 	}
 	return n, err
 }
 
-func (s *slot) Close() error {
-	if !s.gone.Swap(true) {
-		s.of.drop(s)
+func (c *limitedConn) Close() error {
+	if !c.removed.Swap(true) {
+		c.listener.remove(c)
 	}
-	return s.Conn.Close()
+	return c.Conn.Close()
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,18 +15,20 @@
 	"larchscale/internal/core"
 )
 
-func open(t *testing.T, f *atomic.Pointer[core.Figures]) string {
+// start starts an endpoint for the metrics of f and returns its address.
+func start(t *testing.T, f *atomic.Pointer[core.Figures]) string {
 	t.Helper()
-	return openTelling(t, f, func(core.Event) {})
+	return startWithSink(t, f, func(core.Event) {})
 }
 
-func openTelling(t *testing.T, f *atomic.Pointer[core.Figures], tell func(core.Event)) string {
+// startWithSink is start with a sink for the events to the core.
+func startWithSink(t *testing.T, f *atomic.Pointer[core.Figures], sink func(core.Event)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := admin.NewHolder(tell)
+	h := admin.NewHolder(sink)
 	t.Cleanup(h.Close)
 	d := admin.New([]string{"quote", "book"}, f.Load, h, slog.New(slog.DiscardHandler))
 	go d.Serve(l)
@@ -34,7 +36,7 @@
 	return l.Addr().String()
 }
 
-// call makes one raw call and gives the status line.
+// call sends one raw request and returns the status line.
 func call(t *testing.T, addr, request string) string {
 	t.Helper()
 	c, err := net.DialTimeout("tcp4", addr, time.Second)
@@ -51,17 +53,18 @@
 	return strings.TrimSpace(line)
 }
 
-func figures(serves bool) *atomic.Pointer[core.Figures] {
+// metrics returns metrics with some counts.
+func metrics(serves bool) *atomic.Pointer[core.Figures] {
 	var p atomic.Pointer[core.Figures]
 	p.Store(&core.Figures{OK: []uint64{812, 3}, Shed: []uint64{1, 0}, Errors: []uint64{0, 2}, Tries: []uint64{815, 5}, Active: 14, Serves: serves})
 	return &p
 }
 
-// Health follows the process and the drain: fail holds it bad, ok gives it back.
+// Health follows the state of the process, unless fail holds it down; ok releases it.
 func TestHealthAndDrain(t *testing.T) {
-	f := figures(false)
-	told := make(chan core.Event, 4)
-	addr := openTelling(t, f, func(e core.Event) { told <- e })
+	f := metrics(false)
+	events := make(chan core.Event, 4)
+	addr := startWithSink(t, f, func(e core.Event) { events <- e })
 	get := "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n"
 	for _, step := range []struct {
 		serves bool
@@ -81,15 +84,15 @@
 		}
 	}
 	for _, want := range []core.Hold{{On: true}, {On: false}} {
-		if got := <-told; got != want {
-			t.Fatalf("the loop was told %#v, want %#v", got, want)
+		if got := <-events; got != want {
+			t.Fatalf("the core received %#v, want %#v", got, want)
 		}
 	}
 }
 
-// The figures come as name=value lines under the operators' names.
+// The metrics are name=value lines under their documented names.
 func TestStats(t *testing.T) {
-	addr := open(t, figures(true))
+	addr := start(t, metrics(true))
 	res, err := http.Get("http://" + addr + "/stats")
 	if err != nil {
 		t.Fatal(err)
@@ -103,9 +106,9 @@
 	}
 }
 
-// Bad calls get their codes and touch nothing.
-func TestBadCalls(t *testing.T) {
-	addr := open(t, figures(true))
+// Invalid requests get their status codes and change nothing.
+func TestInvalidRequests(t *testing.T) {
+	addr := start(t, metrics(true))
 	for request, want := range map[string]string{
 		"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n":                           "HTTP/1.1 404 Not Found",
 		"POST /healthcheck HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n": "HTTP/1.1 405 Method Not Allowed",
@@ -118,14 +121,14 @@
 		}
 	}
 	if got := call(t, addr, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n"); got != "HTTP/1.1 200 OK" {
-		t.Fatalf("health after bad calls: %s", got)
+		t.Fatalf("health after invalid requests: %s", got)
 	}
 }
 
-// Callers that connect and say nothing hold up nobody: a health check among them is answered at once, and
-// beyond the door's room they are closed unseen.
-func TestSilentCallersHoldUpNobody(t *testing.T) {
-	addr := open(t, figures(true))
+// Silent connections do not block others: a health check among them is answered at once, and those beyond the limit are
+// closed.
+func TestSilentConnectionsDoNotBlockOthers(t *testing.T) {
+	addr := start(t, metrics(true))
 	for range admin.MaxConns + 8 {
 		c, err := net.Dial("tcp4", addr)
 		if err != nil {
@@ -133,8 +136,8 @@
 		}
 		defer c.Close()
 	}
-	time.Sleep(50 * time.Millisecond) // the door has taken them all in; what it closes frees room at once
-	began := time.Now()
+	time.Sleep(50 * time.Millisecond) // until all are accepted; those closed free their room at once
+	started := time.Now()
 	c, err := net.Dial("tcp4", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +146,7 @@
 	c.SetDeadline(time.Now().Add(3 * time.Second))
 	io.WriteString(c, "GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n")
 	line, err := bufio.NewReader(c).ReadString('\n')
-	if took := time.Since(began); err != nil || took > 1100*time.Millisecond {
-		t.Fatalf("health among %d silent callers: %q, %v after %v; want within 1 s", admin.MaxConns+8, line, err, took)
+	if elapsed := time.Since(started); err != nil || elapsed > 1100*time.Millisecond {
+		t.Fatalf("health among %d silent connections: %q, %v after %v; want within 1 s", admin.MaxConns+8, line, err, elapsed)
 	}
 }
--- a/internal/admin/hold.go
+++ b/internal/admin/hold.go
@@ -6,29 +6,29 @@
 	"larchscale/internal/core"
 )
 
-// Who may hold a box: its health says no as long as one of them does.
+// Those who may hold the health of the server down: it fails as long as one of them does.
 const (
-	ByOperator = 1 << iota // a call at the door
-	ByFleet                // a grant that the boxes have agreed on
+	ByOperator = 1 << iota // a request to the admin endpoint
+	ByFleet                // a maintenance grant that the fleet has agreed on
 )
 
-// Holder keeps who holds the box and tells the core, from a goroutine of its own, the newest state first: nobody who
-// calls it ever waits.
+// Holder records who holds the health down. It reports changes to the core from its own goroutine, so that its callers
+// never block; of several changes in a row only the newest state may be reported.
 type Holder struct {
-	mu    sync.Mutex
-	by    int
-	moved chan struct{} // it changed since it was last told
-	stop  chan struct{}
+	mu      sync.Mutex
+	holders int           // bits of those who hold it
+	changed chan struct{} // signals a change since the last report
+	stop    chan struct{}
 }
 
-// NewHolder makes a holder that tells tell.
-func NewHolder(tell func(core.Event)) *Holder {
-	h := &Holder{moved: make(chan struct{}, 1), stop: make(chan struct{})}
+// NewHolder returns a holder that reports changes to report.
+func NewHolder(report func(core.Event)) *Holder {
+	h := &Holder{changed: make(chan struct{}, 1), stop: make(chan struct{})}
 	go func() {
 		for {
 			select {
-			case <-h.moved:
-				tell(core.Hold{On: h.Held()})
+			case <-h.changed:
+				report(core.Hold{On: h.Held()})
 			case <-h.stop:
 				return
 			}
@@ -37,30 +37,30 @@
 	return h
 }
 
-// Held tells that somebody holds the box.
+// Held reports whether the health is held down by anyone.
 func (h *Holder) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.by != 0
+	return h.holders != 0
 }
 
-// Hold has one of them hold the box, or not any longer; true = that was a change.
+// Hold has who hold the health down, or release it, and reports whether that is a change.
 func (h *Holder) Hold(who int, on bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	was := h.by
-	if h.by |= who; !on {
-		h.by &^= who
+	previous := h.holders
+	if h.holders |= who; !on {
+		h.holders &^= who
 	}
-	if h.by == was {
+	if h.holders == previous {
 		return false
 	}
 	select {
-	case h.moved <- struct{}{}:
+	case h.changed <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// Close ends the holder's goroutine.
+// Close stops reporting changes. It must be called only once.
 func (h *Holder) Close() { close(h.stop) }
--- a/internal/admin/hold_test.go
+++ b/internal/admin/hold_test.go
@@ -8,15 +8,15 @@
 	"larchscale/internal/core"
 )
 
-// A box is held as long as either holds it, and the core hears of changes alone, the newest last.
-func TestTwoMayHoldABox(t *testing.T) {
+// The health is held down as long as either holds it, and the core is sent only changes, the newest last.
+func TestHealthIsHeldByEither(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []bool
-		h := admin.NewHolder(func(e core.Event) { told = append(told, e.(core.Hold).On) })
-		for _, k := range []struct {
-			who         int
-			on          bool
-			change, now bool
+		var reported []bool
+		h := admin.NewHolder(func(e core.Event) { reported = append(reported, e.(core.Hold).On) })
+		for _, step := range []struct {
+			who           int
+			on            bool
+			changed, held bool
 		}{
 			{admin.ByFleet, true, true, true},
 			{admin.ByFleet, true, false, true},
@@ -25,15 +25,15 @@
 			{admin.ByOperator, false, true, false},
 			{admin.ByOperator, false, false, false},
 		} {
-			if got := h.Hold(k.who, k.on); got != k.change || h.Held() != k.now {
-				t.Errorf("%+v: change %v, held %v", k, got, h.Held())
+			if got := h.Hold(step.who, step.on); got != step.changed || h.Held() != step.held {
+				t.Errorf("%+v: change %v, held %v", step, got, h.Held())
 			}
 			synctest.Wait()
 		}
 		h.Close()
 		synctest.Wait()
-		if len(told) != 4 || told[len(told)-1] {
-			t.Errorf("told %v", told)
+		if len(reported) != 4 || reported[len(reported)-1] {
+			t.Errorf("reported %v", reported)
 		}
 	})
 }
--- a/internal/admin/lines_test.go
+++ b/internal/admin/lines_test.go
@@ -9,18 +9,18 @@
 	"larchscale/internal/core"
 )
 
-// Each class has its four lines with its own counts, however many classes there are.
+// With many classes each has its four lines with its own counts.
 func TestLinesOfManyClasses(t *testing.T) {
 	classes, figures := manyClasses(4500)
 	lines := strings.Split(string(admin.Lines(classes, figures)), "\n")
-	const afterClasses = 5 // svc.active, three of calls, and what follows the last line's end
+	const afterClasses = 5 // svc.active, three of calls, and the empty text after the last newline
 	if len(lines) != 4*len(classes)+afterClasses {
 		t.Fatalf("%d lines for %d classes", len(lines), len(classes))
 	}
-	for set, name := range []string{"ok", "shed", "errors", "tries"} {
+	for metric, name := range []string{"ok", "shed", "errors", "tries"} {
 		for i, class := range classes {
-			want := fmt.Sprintf("svc.%s.%s=%d", name, class, (set+1)*10_000+i)
-			if got := lines[set*len(classes)+i]; got != want {
+			want := fmt.Sprintf("svc.%s.%s=%d", name, class, (metric+1)*10_000+i)
+			if got := lines[metric*len(classes)+i]; got != want {
 				t.Fatalf("line %q, want %q", got, want)
 			}
 		}
@@ -38,14 +38,14 @@
 	}
 }
 
-// manyClasses makes classes whose counts differ from each other.
+// manyClasses returns classes whose counts all differ.
 func manyClasses(count int) ([]string, *core.Figures) {
 	classes := make([]string, count)
 	counts := make([][]uint64, 4)
 	for i := range classes {
 		classes[i] = fmt.Sprintf("class-%05d", i)
-		for set := range counts {
-			counts[set] = append(counts[set], uint64((set+1)*10_000+i))
+		for metric := range counts {
+			counts[metric] = append(counts[metric], uint64((metric+1)*10_000+i))
 		}
 	}
 	return classes, &core.Figures{OK: counts[0], Shed: counts[1], Errors: counts[2], Tries: counts[3]}
