--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -6,7 +6,7 @@
 //	PUT /healthcheck/ok    200; health reports the state of the process again
 //
 // The endpoint reads only what the core loop publishes and never waits for the loop: a change of the health is sent to
-// it as a core.Hold event by the goroutine of the Holder.
+// it as a core.Hold event by a goroutine of its own.
 package admin
 
 import (
--- a/internal/jsonrpc/front.go
+++ b/internal/jsonrpc/front.go
@@ -55,7 +55,7 @@
 	err := f.serve(s, started.Add(firstMessageTimeout))
 	if errors.Is(err, io.EOF) && s.hasUnanswered() {
 		// The client may have closed only its writing half and wait for its answers. If it is gone altogether, it
-		// answers this message with a reset, which Broken detects.
+		// answers this message with a reset, which awaitAnswers detects.
 		s.Drain(0)
 		s.awaitAnswers()
 	}
--- a/internal/jsonrpc/session.go
+++ b/internal/jsonrpc/session.go
@@ -156,7 +156,7 @@
 
 // readLine reads a line, which must be complete by a deadline; zero is none, since the core closes idle connections. A
 // line that has begun always has a time limit, so that half a line cannot hold a connection. A line that is too long is
-// skipped in pieces, each of which returns sock.ErrLong.
+// skipped in pieces, each of which returns an error.
 func (s *session) readLine(deadline time.Time) ([]byte, error) {
 	for begun := s.in.Buffered() > 0; ; begun = true {
 		if begun && deadline.IsZero() {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -222,7 +222,7 @@
 	return l.wrap(c), nil
 }
 
-// limitListener is the listener that Limit returns.
+// limitListener bounds the connections that are open at a time.
 type limitListener struct {
 	net.Listener
 	slots chan struct{}
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -16,7 +16,7 @@
 
 // These tests force the order of two concurrent events on the link to the worker pool.
 
-// maintainedLink is a link that Keep maintains to a stand-in worker pool.
+// maintainedLink is a link that is kept up to a stand-in worker pool.
 type maintainedLink struct {
 	*pool.Link
 	t        *testing.T
--- a/internal/pool/heir.go
+++ b/internal/pool/heir.go
@@ -29,7 +29,7 @@
 // Came is an event of a run that a successor has taken over: its end, or a call whose reply it waits for.
 type Came struct {
 	Handle string
-	Call   bool   // the run waits for the reply to a call, to be sent by Heir.Reply
+	Call   bool   // the run waits for the reply to a call, to be sent by Reply
 	OK     bool   // the run completed
 	Body   []byte // of the call, or the result of a completed run
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -40,9 +40,9 @@
 	sink     func(core.Event)
 	log      *slog.Logger
 	moved    chan struct{}
-	lastRead atomic.Uint64 // number of the last notice read; written only by the goroutine that runs Keep
+	lastRead atomic.Uint64 // number of the last notice read; written only by the goroutine that maintains the link
 
-	// Only the goroutine that runs Keep uses these.
+	// Only the goroutine that maintains the link uses these.
 	dialed    time.Time // when the current connection was made
 	bound     time.Time // when the last connection on which the pool answered was made; the pool was running by then
 	restarted bool      // the pool has restarted since and may number its notices from 1
@@ -54,7 +54,7 @@
 	supplied map[string]bool // handles of runs that got a reply on this link and have sent no notice since
 }
 
-// New returns a link that passes the notices of the worker pool to sink. Keep connects it.
+// New returns a link that passes the notices of the worker pool to sink. It does not connect yet.
 func New(addr string, sink func(core.Event), log *slog.Logger) *Link {
 	return &Link{addr: addr, sink: sink, log: log, moved: make(chan struct{}, 1)}
 }
--- a/internal/sock/lines.go
+++ b/internal/sock/lines.go
@@ -11,7 +11,7 @@
 var ErrLong = errors.New("line too long")
 
 // Line reads a line and returns it without its end, LF or CR LF. The result is valid until the next read. A line that
-// does not fit in the reader's buffer is ErrLong.
+// does not fit in the reader's buffer is an error.
 func Line(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Peers that do not read use up the shared budget; a peer with at most Budget.Spare bytes queued is still served.
+// Peers that do not read use up the shared budget; a peer within its guaranteed bytes is still served.
 func TestPeersThatDoNotReadDoNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget := &Budget{All: 100, Spare: 10}
--- a/internal/sock/writequeue.go
+++ b/internal/sock/writequeue.go
@@ -24,7 +24,7 @@
 // Budget bounds the bytes queued for writing to the peers of a server.
 type Budget struct {
 	Peer, All int // bytes, for one peer and for all together
-	Spare     int // bytes that each peer may have queued even if All is used up
+	Spare     int // bytes that each peer may have queued even if the total is used up
 	used      atomic.Int64
 }
 
@@ -80,7 +80,7 @@
 }
 
 // exceedsBudget reports whether added bytes, which bring this queue to size, exceed the budget of all peers together.
-// Peers that do not read may use up that budget; a queue of at most Budget.Spare bytes is still accepted.
+// Peers that do not read may use up that budget; a queue within its guaranteed bytes is still accepted.
 func (q *WriteQueue) exceedsBudget(size, added int) bool {
 	return q.budget != nil && size > q.budget.Spare && q.budget.used.Load()+int64(added) > int64(q.budget.All)
 }
--- a/internal/uwsgi/packet.go
+++ b/internal/uwsgi/packet.go
@@ -63,7 +63,7 @@
 }
 
 // readPacket reads one request and returns its variables and body. If the input ends before the first byte it returns
-// io.EOF. With ErrLarge the variables are valid.
+// io.EOF. If the body is too large, the variables are valid.
 func readPacket(in *bufio.Reader, maxBody int) (vars, []byte, error) {
 	var head [headLen]byte
 	if _, err := io.ReadFull(in, head[:1]); err != nil {
