--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -14,92 +14,94 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Ticks of raft. One is 100 ms in service: a leader that is gone is replaced within 0.8 to 1.6 s.
+// Ticks of raft: one is 100 ms in service, so a failed leader is replaced within 0.8 to 1.6 s.
 const (
 	heartbeatTicks = 1
 	electionTicks  = 8
-	learnerTicks   = 10       // of heartbeats to those that do not vote: at 300 boxes nearly all; entries go at once
-	maxMessage     = 1 << 20  // bytes of entries in one message
-	maxUncommitted = 4 << 20  // bytes of proposals that no majority has
-	maxInflight    = 64       // messages to one box
-	MaxFrame       = 16 << 20 // bytes of a message that is taken
+	// Heartbeats to learners, which are nearly all members of a fleet of 300, go once in so many ticks. Entries are
+	// sent to them at once.
+	learnerHeartbeatTicks   = 10
+	maxEntryBytesPerMessage = 1 << 20  // bytes of entries in one message
+	maxUncommittedBytes     = 4 << 20  // bytes of proposals that no majority has yet
+	maxInflightMessages     = 64       // messages in flight to one node
+	MaxFrame                = 16 << 20 // bytes; larger messages are refused
 )
 
-// Store is where a node keeps what it must not forget.
+// Store is a node's persistent raft state.
 type Store interface {
 	raft.Storage
 	ID() uint64
-	Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error
+	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error
 	Full() bool
-	Compact(applied uint64, conf *raftpb.ConfState, state []byte) error
+	Compact(applied uint64, confState *raftpb.ConfState, state []byte) error
 }
 
-// Node is one box's part in the fleet. It is not safe for concurrent use. After an error of Flush it takes no part
-// any longer.
+// Node is one member of the raft group that replicates the fleet's state. It is not safe for concurrent use. After
+// Flush has returned an error, it stops participating for good.
 type Node struct {
-	raw     *raft.RawNode
-	store   Store
-	state   State
-	parts   map[string]Part
-	reads   []raft.ReadState // confirmed, of entries that are not applied yet
-	conf    *raftpb.ConfState
-	applied uint64
-	ticks   uint64
-	failed  error
+	raw          *raft.RawNode
+	store        Store
+	state        State
+	machines     map[string]Part
+	pendingReads []raft.ReadState // confirmed, but of entries that are not applied yet
+	confState    *raftpb.ConfState
+	applied      uint64
+	ticks        uint64
+	fatalErr     error
 }
 
-// Message is for the box with an id. Of one that is a snapshot SnapshotSent has to tell whether it came: until then
-// raft sends that box nothing more.
+// Message is a raft message to the node with the given id. The result of sending a snapshot has to be reported with
+// ReportSnapshot: until then raft sends that node nothing more.
 type Message struct {
 	To       uint64
 	Snapshot bool
 	Data     []byte
 }
 
-// Applied is an entry that has taken hold here, or what kept it from it.
+// Applied is a committed entry that this node has applied, or the error that kept it from taking effect.
 type Applied struct {
 	Index    uint64
 	Proposer uint64
 	Token    uint64
-	Entry    *takeout.Entry // nil = another part's, or a change of membership
-	Part     string         // whose entry it is; "" = of plans, or a change of membership
+	Entry    *takeout.Entry // nil = an entry of another state machine, or a change of membership
+	Part     string         // the entry's state machine; "" = maintenance plans, or a change of membership
 	Change   *Change
 	Err      error
 }
 
-// Output is what a Flush has to say. What it rests on is on the disk.
+// Output is the result of a Flush. The state that the messages depend on is already on disk.
 type Output struct {
 	Messages []Message
 	Applied  []Applied
-	Reads    []uint64 // ids of Read that are confirmed
-	Restored bool     // the state was replaced by another box's snapshot
+	Reads    []uint64 // ids of reads that are confirmed
+	Restored bool     // the state was replaced by another node's snapshot
 }
 
-// Found begins a fleet on an empty store, with this box as its only voter.
+// Found initializes an empty store as a new fleet, with this node as its only voter.
 func Found(store Store, m Member) error {
 	if last, err := store.LastIndex(); err != nil || last > 0 {
-		return fmt.Errorf("a fleet is found once: the log has %d entries: %w", last, errors.Join(err, ErrMember))
+		return fmt.Errorf("the log already has %d entries, a new fleet needs an empty one: %w", last, errors.Join(err, ErrMember))
 	}
 	m.ID, m.Voter = store.ID(), true
 	s := State{Members: []Member{m}}
 	if err := s.Work.Apply(1, &takeout.Entry{Kind: takeout.Join, Box: m.Name, Zone: m.Zone}); err != nil {
 		return err
 	}
-	data, err := codec.Marshal(&s)
+	data, err := encoder.Marshal(&s)
 	if err != nil {
-		return fmt.Errorf("found: %w", err)
+		return fmt.Errorf("initializing the fleet: %w", err)
 	}
-	hard := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
-	return store.Save(hard, nil, &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
+	hardState := &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)}
+	return store.Save(hardState, nil, &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 		ConfState: &raftpb.ConfState{Voters: []uint64{m.ID}}}}, true)
 }
 
-// New starts a box's part from its store. One whose store is empty waits until a leader has let it in.
-// Its parts beside members and plans are empty when they are given.
-func New(store Store, log raft.Logger, parts ...Part) (*Node, error) {
-	n := &Node{store: store, conf: &raftpb.ConfState{}, parts: map[string]Part{}}
-	for _, p := range parts {
-		n.parts[p.Name()] = p
+// New starts a node from its store. With an empty store the node waits until a leader admits it. The additional state
+// machines have to be empty.
+func New(store Store, logger raft.Logger, machines ...Part) (*Node, error) {
+	n := &Node{store: store, confState: &raftpb.ConfState{}, machines: map[string]Part{}}
+	for _, machine := range machines {
+		n.machines[machine.Name()] = machine
 	}
 	snap, err := store.Snapshot()
 	if err != nil {
@@ -111,8 +113,8 @@
 		}
 	}
 	n.raw, err = raft.NewRawNode(&raft.Config{ID: store.ID(), ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks, Storage: store,
-		Applied: n.applied, MaxSizePerMsg: maxMessage, MaxUncommittedEntriesSize: maxUncommitted, MaxInflightMsgs: maxInflight,
-		CheckQuorum: true, PreVote: true, Logger: log})
+		Applied: n.applied, MaxSizePerMsg: maxEntryBytesPerMessage, MaxUncommittedEntriesSize: maxUncommittedBytes, MaxInflightMsgs: maxInflightMessages,
+		CheckQuorum: true, PreVote: true, Logger: logger})
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
@@ -123,17 +125,18 @@
 	if err := n.load(s.GetData()); err != nil {
 		return fmt.Errorf("fleet: snapshot of %d: %w", s.GetMetadata().GetIndex(), err)
 	}
-	n.applied, n.conf = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
+	n.applied, n.confState = s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
 	return nil
 }
 
-// State is what this box has applied; it is the node's own.
+// State returns the state as of the last applied entry. It belongs to the node and must not be changed.
 func (n *Node) State() *State { return &n.state }
 
-// Applied returns the index of the last entry that this box has applied.
+// Applied returns the index of the last entry that this node has applied.
 func (n *Node) Applied() uint64 { return n.applied }
 
-// Digest is a sum over the state with all its parts: boxes that have applied the same entries have the same.
+// Digest returns a hash of the state, including all state machines. It is equal on all nodes that have applied the
+// same entries.
 func (n *Node) Digest() (uint64, error) {
 	b, err := n.save()
 	if err != nil {
@@ -142,35 +145,35 @@
 	return xxhash.Sum64(b), nil
 }
 
-// ID is how raft knows this box.
+// ID returns the raft id of this node.
 func (n *Node) ID() uint64 { return n.store.ID() }
 
-// Leads tells that this box leads as far as it knows, and in which term.
+// Leads reports whether this node is the leader as far as it knows, and returns its current term.
 func (n *Node) Leads() (term uint64, leads bool) {
 	s := n.raw.BasicStatus()
 	return s.GetTerm(), s.RaftState == raft.StateLeader
 }
 
-// Leader is the id of the leader as far as this box knows; 0 = none.
+// Leader returns the id of the leader as far as this node knows; 0 = none.
 func (n *Node) Leader() uint64 { return n.raw.BasicStatus().Lead }
 
-// Tick tells that 100 ms have passed.
+// Tick advances raft's clock by one tick.
 func (n *Node) Tick() {
 	n.ticks++
 	n.raw.Tick()
 }
 
-// Receive takes a message of a peer. What is none is an error and changes nothing.
+// Receive processes a message of a peer. A malformed or misdirected message returns an error and changes nothing.
 func (n *Node) Receive(data []byte) error {
 	if len(data) > MaxFrame {
-		return fmt.Errorf("fleet: a message of %d bytes", len(data))
+		return fmt.Errorf("fleet: message of %d bytes is too large", len(data))
 	}
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(data, m); err != nil {
-		return fmt.Errorf("fleet: a message: %w", err)
+		return fmt.Errorf("fleet: decoding a message: %w", err)
 	}
 	if m.GetTo() != n.ID() || m.GetFrom() == 0 {
-		return fmt.Errorf("fleet: a message from %x to %x came to %x", m.GetFrom(), m.GetTo(), n.ID())
+		return fmt.Errorf("fleet: message from %x to %x was received by %x", m.GetFrom(), m.GetTo(), n.ID())
 	}
 	if err := n.raw.Step(m); err != nil && !errors.Is(err, raft.ErrProposalDropped) {
 		return fmt.Errorf("fleet: %w", err)
@@ -178,39 +181,41 @@
 	return nil
 }
 
-// Unreachable tells that a message to a box could not be sent.
+// Unreachable reports that a message to a node could not be sent.
 func (n *Node) Unreachable(id uint64) { n.raw.ReportUnreachable(id) }
 
-// SnapshotSent tells whether a snapshot reached a box.
+// SnapshotSent reports whether a snapshot reached a node.
 func (n *Node) SnapshotSent(id uint64, ok bool) {
-	how := raft.SnapshotFinish
+	status := raft.SnapshotFinish
 	if !ok {
-		how = raft.SnapshotFailure
+		status = raft.SnapshotFailure
 	}
-	n.raw.ReportSnapshot(id, how)
+	n.raw.ReportSnapshot(id, status)
 }
 
-// Propose asks the fleet for an entry, under a token that Applied brings back here. One that only the leader derives
-// counts in its term alone: held up and sent on, it is void. An error tells that it was not even asked.
+// Propose proposes an entry. The token comes back in the AppliedEntry on this node. Entries that only the
+// leader derives are valid in its current term alone: one that is delayed and committed in a later term is void. An
+// error means that the entry was not proposed at all.
 func (n *Node) Propose(token uint64, e *takeout.Entry) error {
-	derived := e.Kind == takeout.Grant || e.Kind == takeout.Arrange || e.Kind == takeout.Expire
-	return n.propose(command{Proposer: n.ID(), Token: token, Entry: *e}, derived)
+	leaderOnly := e.Kind == takeout.Grant || e.Kind == takeout.Arrange || e.Kind == takeout.Expire
+	return n.propose(command{Proposer: n.ID(), Token: token, Entry: *e}, leaderOnly)
 }
 
-// ProposePart asks for an entry of a part, as Propose does. derived tells that it is one that only the leader derives.
-func (n *Node) ProposePart(token uint64, part string, entry []byte, derived bool) error {
-	return n.propose(command{Proposer: n.ID(), Token: token, Part: part, Data: entry}, derived)
+// ProposePart proposes an entry of an additional state machine, as Propose does. leaderOnly marks an entry that only
+// the leader derives.
+func (n *Node) ProposePart(token uint64, part string, entry []byte, leaderOnly bool) error {
+	return n.propose(command{Proposer: n.ID(), Token: token, Part: part, Data: entry}, leaderOnly)
 }
 
-func (n *Node) propose(c command, derived bool) error {
-	if derived {
+func (n *Node) propose(c command, leaderOnly bool) error {
+	if leaderOnly {
 		term, leads := n.Leads()
 		if !leads {
 			return ErrNoLeader
 		}
 		c.Term = term
 	}
-	data, err := codec.Marshal(&c)
+	data, err := encoder.Marshal(&c)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
@@ -222,7 +227,7 @@
 	return nil
 }
 
-// Change asks for a change of membership. The leader alone does, one at a time.
+// Change proposes a change of membership. Only the leader may propose one, and only one at a time.
 func (n *Node) Change(c *Change) error {
 	if _, leads := n.Leads(); !leads {
 		return ErrNoLeader
@@ -230,9 +235,9 @@
 	kind := map[ChangeKind]raftpb.ConfChangeType{Admit: raftpb.ConfChangeType_ConfChangeAddLearnerNode,
 		Promote: raftpb.ConfChangeType_ConfChangeAddNode, Remove: raftpb.ConfChangeType_ConfChangeRemoveNode}[c.Kind]
 	if m := n.state.Member(c.Member.ID); c.Kind == Admit && m != nil && m.Voter {
-		kind = raftpb.ConfChangeType_ConfChangeAddNode // it moved: it stays what it is
+		kind = raftpb.ConfChangeType_ConfChangeAddNode // only its address changes: it stays a voter
 	}
-	data, err := codec.Marshal(c)
+	data, err := encoder.Marshal(c)
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
@@ -243,8 +248,8 @@
 	return nil
 }
 
-// Read has the leader ask a majority whether it leads still. A Flush gives the id back once that is so, and all that was
-// committed before is applied; one that is lost is never given back.
+// Read has the leader confirm with a majority that it still leads. Flush returns the id once that is confirmed and
+// all entries committed before the call are applied. The id of a read that is lost is never returned.
 func (n *Node) Read(id uint64) error {
 	if _, leads := n.Leads(); !leads {
 		return ErrNoLeader
@@ -253,16 +258,16 @@
 	return nil
 }
 
-// Transfer hands the leadership to another voter, if this box has it.
+// Transfer hands the leadership to another voter, if this node is the leader.
 func (n *Node) Transfer(id uint64) { n.raw.TransferLeader(id) }
 
-// Campaign asks for the leadership at once.
+// Campaign starts an election at once.
 func (n *Node) Campaign() error { return n.raw.Campaign() }
 
-// Flush keeps what is to be kept, applies what is committed, and gives what is to be sent.
+// Flush persists what raft requires, applies committed entries, and returns the messages to send.
 func (n *Node) Flush() (out Output, err error) {
-	if n.failed != nil {
-		return out, n.failed
+	if n.fatalErr != nil {
+		return out, n.fatalErr
 	}
 	for n.raw.HasReady() {
 		rd := n.raw.Ready()
@@ -276,7 +281,7 @@
 			out.Restored = true
 		}
 		for _, m := range rd.Messages {
-			if m.GetType() == raftpb.MessageType_MsgHeartbeat && n.ticks%learnerTicks != 0 && slices.Contains(n.conf.GetLearners(), m.GetTo()) {
+			if m.GetType() == raftpb.MessageType_MsgHeartbeat && n.ticks%learnerHeartbeatTicks != 0 && slices.Contains(n.confState.GetLearners(), m.GetTo()) {
 				continue
 			}
 			data, err := proto.Marshal(m)
@@ -295,26 +300,26 @@
 			}
 			n.applied = e.GetIndex()
 		}
-		n.reads = append(n.reads, rd.ReadStates...)
+		n.pendingReads = append(n.pendingReads, rd.ReadStates...)
 		n.raw.Advance(rd)
 	}
-	n.reads = slices.DeleteFunc(n.reads, func(r raft.ReadState) bool {
+	n.pendingReads = slices.DeleteFunc(n.pendingReads, func(r raft.ReadState) bool {
 		if r.Index > n.applied {
 			return false
 		}
 		out.Reads = append(out.Reads, binary.BigEndian.Uint64(r.RequestCtx))
 		return true
 	})
-	// A box that was let in takes no snapshot that does not name it: the one kept by who may lead has to be newer than
-	// its entry.
-	voter := slices.Contains(n.conf.GetVoters(), n.ID())
+	// A node ignores a snapshot whose configuration does not contain it. A node that may lead therefore makes a
+	// snapshot that is newer than the entry which admitted the member.
+	voter := slices.Contains(n.confState.GetVoters(), n.ID())
 	admitted := slices.ContainsFunc(out.Applied, func(a Applied) bool {
 		return a.Change != nil && (a.Change.Kind == Admit && voter || a.Change.Kind == Promote && a.Change.Member.ID == n.ID())
 	})
 	if n.store.Full() || admitted {
 		data, err := n.save()
 		if err == nil {
-			err = n.store.Compact(n.applied, n.conf, data)
+			err = n.store.Compact(n.applied, n.confState, data)
 		}
 		if err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) && !errors.Is(err, raft.ErrCompacted) {
 			return Output{}, n.fail(err)
@@ -324,11 +329,11 @@
 }
 
 func (n *Node) fail(err error) error {
-	n.failed = fmt.Errorf("fleet: this box takes no part any longer: %w", err)
-	return n.failed
+	n.fatalErr = fmt.Errorf("fleet: this node no longer takes part: %w", err)
+	return n.fatalErr
 }
 
-// apply carries out a committed entry; false = there is nothing in it.
+// apply applies a committed entry; false = the entry is empty.
 func (n *Node) apply(e *raftpb.Entry) (a Applied, ok bool) {
 	a.Index = e.GetIndex()
 	if e.GetType() != raftpb.EntryType_EntryNormal {
@@ -336,35 +341,35 @@
 		if a.Err = proto.Unmarshal(e.GetData(), cc); a.Err != nil {
 			return a, true
 		}
-		n.conf = n.raw.ApplyConfChange(cc)
+		n.confState = n.raw.ApplyConfChange(cc)
 		a.Change = new(Change)
-		if a.Err = bounded.Unmarshal(cc.GetContext(), a.Change); a.Err == nil {
+		if a.Err = boundedDecoder.Unmarshal(cc.GetContext(), a.Change); a.Err == nil {
 			a.Err = n.state.change(a.Index, a.Change)
 		}
 		return a, true
 	}
-	if len(e.GetData()) == 0 { // a new leader's first
+	if len(e.GetData()) == 0 { // the first entry of a new leader
 		return a, false
 	}
 	var c command
-	if a.Err = bounded.Unmarshal(e.GetData(), &c); a.Err != nil {
+	if a.Err = boundedDecoder.Unmarshal(e.GetData(), &c); a.Err != nil {
 		return a, true
 	}
 	a.Proposer, a.Token, a.Part = c.Proposer, c.Token, c.Part
-	p := n.parts[c.Part]
+	machine := n.machines[c.Part]
 	switch {
 	case c.Part == "":
 		a.Entry = &c.Entry
-	case p == nil:
-		a.Err = fmt.Errorf("entry %d is of part %q: %w", a.Index, c.Part, ErrNewer)
+	case machine == nil:
+		a.Err = fmt.Errorf("entry %d is of the unknown state machine %q: %w", a.Index, c.Part, ErrNewer)
 		return a, true
 	}
 	if c.Term != 0 && c.Term != e.GetTerm() {
-		a.Err = fmt.Errorf("proposed in term %d, came in %d: %w", c.Term, e.GetTerm(), ErrStale)
+		a.Err = fmt.Errorf("proposed in term %d, committed in term %d: %w", c.Term, e.GetTerm(), ErrStale)
 		return a, true
 	}
-	if p != nil {
-		a.Err = p.Apply(a.Index, c.Data)
+	if machine != nil {
+		a.Err = machine.Apply(a.Index, c.Data)
 	} else {
 		a.Err = n.state.Work.Apply(a.Index, &c.Entry)
 	}
--- a/internal/fleet/agree/parts.go
+++ b/internal/fleet/agree/parts.go
@@ -7,98 +7,100 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrNewer is an entry or a snapshot that this program cannot read: taken for less than it says, the boxes' states
-// would part. The box's part in the fleet ends with it.
+// ErrNewer is returned for an entry or a snapshot of a format that this version of the program cannot read. Skipping
+// the unknown content would let the nodes' states diverge, so the node stops participating.
 var ErrNewer = errors.New("of another version of the program")
 
-// Part is one part of the agreed state beside members and plans. It changes by nothing but its entries and what Load
-// gives it, alike on every box. A part that later programs write otherwise gets another name.
+// Part is a replicated state machine in addition to members and maintenance plans. Its state changes only by entries
+// and by Load, in the same way on every node. An incompatible format in a later version of the program needs a new
+// name.
 type Part interface {
-	// Name is how entries, snapshots and reports name it.
+	// Name returns the name by which entries, snapshots and reports identify the state machine.
 	Name() string
-	// Apply carries out an entry. An error that wraps ErrNewer ends this box's part; any other is the entry's own, the
-	// same on every box.
+	// Apply applies an entry. An error that wraps ErrUnknownVersion stops this node; any other error is the result of the
+	// entry and is the same on every node.
 	Apply(index uint64, entry []byte) error
-	// Save gives the whole state, the same on every box; nil = no entry has ever come.
+	// Save returns the encoded state, the same on every node; nil = no entry has been applied yet.
 	Save() ([]byte, error)
-	// Load replaces the state by one that was saved; nil = the empty one.
+	// Load replaces the state by a saved one; nil = the empty state.
 	Load(state []byte) error
 }
 
-// machine is what a module of agreed state has to be: *S.
-type machine[S, E any] interface {
+// applier is the constraint on a state type: *S applies entries of type E.
+type applier[S, E any] interface {
 	*S
 	Apply(index uint64, e *E) error
 }
 
-// Agreed makes a part of a state module: S is its state, E its entry. The state is read and never changed by others.
-type Agreed[S, E any, P machine[S, E]] struct {
-	State S
-	name  string
-	began bool
+// Agreed implements StateMachine for a state S with entries E. Only the node changes the state; others may read it.
+type Agreed[S, E any, P applier[S, E]] struct {
+	State       S
+	name        string
+	initialized bool
 }
 
-// NewAgreed makes an empty part.
-func NewAgreed[S, E any, P machine[S, E]](name string) *Agreed[S, E, P] {
+// NewAgreed returns an empty state machine.
+func NewAgreed[S, E any, P applier[S, E]](name string) *Agreed[S, E, P] {
 	return &Agreed[S, E, P]{name: name}
 }
 
-// Name implements Part.
+// Name implements StateMachine.
 func (a *Agreed[S, E, P]) Name() string { return a.name }
 
-// Began tells that an entry has come.
-func (a *Agreed[S, E, P]) Began() bool { return a.began }
+// Began reports whether an entry has been applied.
+func (a *Agreed[S, E, P]) Began() bool { return a.initialized }
 
-// Apply implements Part. What does not decode is not this version's.
+// Apply implements StateMachine. An entry that does not decode is taken for one of another version.
 func (a *Agreed[S, E, P]) Apply(index uint64, entry []byte) error {
 	var e E
-	if err := strict.Unmarshal(entry, &e); err != nil {
+	if err := strictDecoder.Unmarshal(entry, &e); err != nil {
 		return fmt.Errorf("%s: entry %d: %w: %w", a.name, index, ErrNewer, err)
 	}
-	a.began = true
+	a.initialized = true
 	return P(&a.State).Apply(index, &e)
 }
 
-// Save implements Part.
+// Save implements StateMachine.
 func (a *Agreed[S, E, P]) Save() ([]byte, error) {
-	if !a.began {
+	if !a.initialized {
 		return nil, nil
 	}
-	return codec.Marshal(&a.State)
+	return encoder.Marshal(&a.State)
 }
 
-// Load implements Part.
+// Load implements StateMachine.
 func (a *Agreed[S, E, P]) Load(state []byte) error {
 	var s S
 	if state != nil {
-		if err := strict.Unmarshal(state, &s); err != nil {
+		if err := strictDecoder.Unmarshal(state, &s); err != nil {
 			return fmt.Errorf("%s: %w: %w", a.name, ErrNewer, err)
 		}
 	}
-	a.State, a.began = s, state != nil
+	a.State, a.initialized = s, state != nil
 	return nil
 }
 
-// Encode writes an entry as Apply reads it.
-func Encode(entry any) ([]byte, error) { return codec.Marshal(entry) }
+// Encode returns an entry in the format that Apply reads.
+func Encode(entry any) ([]byte, error) { return encoder.Marshal(entry) }
 
-// savedVersion is of the snapshot below.
-const savedVersion = 1
+// snapshotVersion is the version of the format below.
+const snapshotVersion = 1
 
-// saved is a snapshot of a fleet whose parts have begun. It is an array, not a map: a program that knows no parts does
-// not read it, and says so, where it would drop them in silence.
-type saved struct {
+// snapshotData is the content of a snapshot of a fleet in which an additional state machine has entries. It is
+// encoded as an array, not a map: a program that knows no such state machines fails to read it, where it would
+// silently drop the unknown keys of a map.
+type snapshotData struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint
 	State   State
 	Parts   map[string][]byte
 }
 
-// save gives what a snapshot holds.
+// save returns the content of a snapshot.
 func (n *Node) save() ([]byte, error) {
 	parts := map[string][]byte{}
-	for name, p := range n.parts {
-		data, err := p.Save()
+	for name, machine := range n.machines {
+		data, err := machine.Save()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
@@ -107,51 +109,51 @@
 		}
 	}
 	if len(parts) == 0 {
-		return codec.Marshal(&n.state)
+		return encoder.Marshal(&n.state)
 	}
-	return codec.Marshal(&saved{Version: savedVersion, State: n.state, Parts: parts})
+	return encoder.Marshal(&snapshotData{Version: snapshotVersion, State: n.state, Parts: parts})
 }
 
-// load takes what a snapshot holds. One without a part that has begun here was made by a program that knows none, and
-// is refused.
+// load restores the content of a snapshot. A snapshot that lacks a state machine which has entries here was made by a
+// program that does not know it, and is refused.
 func (n *Node) load(data []byte) error {
-	got := saved{Version: savedVersion}
-	if len(data) > 0 && data[0]>>5 == arrayType {
-		var head []cbor.RawMessage
-		if err := bounded.Unmarshal(data, &head); err != nil {
+	decoded := snapshotData{Version: snapshotVersion}
+	if len(data) > 0 && data[0]>>5 == cborArray {
+		var fields []cbor.RawMessage
+		if err := boundedDecoder.Unmarshal(data, &fields); err != nil {
 			return err
 		}
-		if len(head) == 0 || bounded.Unmarshal(head[0], &got.Version) != nil || got.Version != savedVersion {
-			return fmt.Errorf("snapshot of version %d: %w", got.Version, ErrNewer)
+		if len(fields) == 0 || boundedDecoder.Unmarshal(fields[0], &decoded.Version) != nil || decoded.Version != snapshotVersion {
+			return fmt.Errorf("snapshot of version %d: %w", decoded.Version, ErrNewer)
 		}
-		if err := bounded.Unmarshal(data, &got); err != nil {
+		if err := boundedDecoder.Unmarshal(data, &decoded); err != nil {
 			return err
 		}
-	} else if err := bounded.Unmarshal(data, &got.State); err != nil {
+	} else if err := boundedDecoder.Unmarshal(data, &decoded.State); err != nil {
 		return err
 	}
-	for name := range got.Parts {
-		if n.parts[name] == nil {
-			return fmt.Errorf("a snapshot with part %q: %w", name, ErrNewer)
+	for name := range decoded.Parts {
+		if n.machines[name] == nil {
+			return fmt.Errorf("snapshot with the unknown state machine %q: %w", name, ErrNewer)
 		}
 	}
-	for name, p := range n.parts {
-		has, err := p.Save()
-		if err == nil && has != nil && got.Parts[name] == nil {
-			err = fmt.Errorf("a snapshot without part %q, which has begun: %w", name, ErrNewer)
+	for name, machine := range n.machines {
+		saved, err := machine.Save()
+		if err == nil && saved != nil && decoded.Parts[name] == nil {
+			err = fmt.Errorf("snapshot without state machine %q, which has entries: %w", name, ErrNewer)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	for name, p := range n.parts {
-		if err := p.Load(got.Parts[name]); err != nil {
+	for name, machine := range n.machines {
+		if err := machine.Load(decoded.Parts[name]); err != nil {
 			return err
 		}
 	}
-	n.state = got.State
+	n.state = decoded.State
 	return nil
 }
 
-// arrayType is CBOR's major type of an array.
-const arrayType = 4
+// cborArray is CBOR's major type of an array.
+const cborArray = 4
--- a/internal/fleet/agree/parts_test.go
+++ b/internal/fleet/agree/parts_test.go
@@ -13,17 +13,17 @@
 	"larchscale/internal/fleet/raftlog"
 )
 
-// tally is a small part: a sum, and what it refuses.
+// sum is a small replicated state; its Apply refuses odd numbers.
 type (
-	tally struct{ Sum, Index uint64 }
-	add   struct{ N uint64 }
-	// wider is the entry of a later program.
-	wider struct{ N, More uint64 }
+	sum struct{ Sum, Index uint64 }
+	add struct{ N uint64 }
+	// newerAdd is the entry of a later version of the program, with an additional field.
+	newerAdd struct{ N, More uint64 }
 )
 
 var errOdd = errors.New("odd")
 
-func (t *tally) Apply(index uint64, e *add) error {
+func (t *sum) Apply(index uint64, e *add) error {
 	if t.Index = index; e.N%2 == 1 {
 		return errOdd
 	}
@@ -31,16 +31,16 @@
 	return nil
 }
 
-func alone(t *testing.T, disk *faultfs.Disk, found bool, parts ...Part) (*Node, error) {
+func startSingleNode(t *testing.T, disk *faultfs.Disk, bootstrap bool, machines ...Part) (*Node, error) {
 	t.Helper()
 	store, err := raftlog.Open(disk, "n1", func() uint64 { return 1 }, 4<<10)
-	if err == nil && found {
+	if err == nil && bootstrap {
 		err = Found(store, Member{Name: "n1", Zone: "a", Addr: "n1"})
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := New(store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}, parts...)
+	n, err := New(store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}, machines...)
 	if err == nil {
 		for range 50 {
 			n.Tick()
@@ -50,14 +50,14 @@
 	return n, err
 }
 
-func TestAPartIsAgreedKeptAndRefusedByAProgramThatDoesNotKnowIt(t *testing.T) {
+func TestStateMachineIsReplicatedRestoredAndRefusedByOtherVersions(t *testing.T) {
 	disk := faultfs.New(1)
-	part := NewAgreed[tally, add]("tally")
-	n, err := alone(t, disk, true, part)
+	machine := NewAgreed[sum, add]("tally")
+	n, err := startSingleNode(t, disk, true, machine)
 	if err != nil {
 		t.Fatal(err)
 	}
-	say := func(n *Node, e any) (Output, error) {
+	propose := func(n *Node, e any) (Output, error) {
 		data, err := Encode(e)
 		if err == nil {
 			err = n.ProposePart(7, "tally", data, true)
@@ -67,15 +67,15 @@
 		}
 		return n.Flush()
 	}
-	was, _ := n.Digest()
+	before, _ := n.Digest()
 	for i, want := range []error{nil, errOdd} {
-		out, err := say(n, add{uint64(2 + i)})
+		out, err := propose(n, add{uint64(2 + i)})
 		if err != nil || len(out.Applied) != 1 || !errors.Is(out.Applied[0].Err, want) || out.Applied[0].Part != "tally" || out.Applied[0].Entry != nil {
 			t.Fatalf("%d: %+v, %v", i, out.Applied, err)
 		}
 	}
-	if now, _ := n.Digest(); now == was || part.State.Sum != 2 {
-		t.Errorf("sum %d, digest %x and %x", part.State.Sum, was, now)
+	if after, _ := n.Digest(); after == before || machine.State.Sum != 2 {
+		t.Errorf("sum %d, digest %x before and %x after", machine.State.Sum, before, after)
 	}
 	if err := n.Read(9); err != nil {
 		t.Fatal(err)
@@ -83,33 +83,33 @@
 	if out, err := n.Flush(); err != nil || !slices.Equal(out.Reads, []uint64{9}) {
 		t.Errorf("reads %v, %v", out.Reads, err)
 	}
-	for part.State.Sum < 400 { // until a snapshot holds it
-		if _, err := say(n, add{2}); err != nil {
+	for machine.State.Sum < 400 { // until a snapshot contains it
+		if _, err := propose(n, add{2}); err != nil {
 			t.Fatal(err)
 		}
 	}
 	disk.Restart()
-	again := NewAgreed[tally, add]("tally")
-	if n, err = alone(t, disk, false, again); err != nil || again.State != part.State {
-		t.Fatalf("%+v after %+v: %v", again.State, part.State, err)
+	restarted := NewAgreed[sum, add]("tally")
+	if n, err = startSingleNode(t, disk, false, restarted); err != nil || restarted.State != machine.State {
+		t.Fatalf("state %+v after a restart, %+v before: %v", restarted.State, machine.State, err)
 	}
-	if _, err := say(n, wider{2, 2}); !errors.Is(err, ErrNewer) {
-		t.Errorf("an entry with more in it: %v", err)
+	if _, err := propose(n, newerAdd{2, 2}); !errors.Is(err, ErrNewer) {
+		t.Errorf("an entry with an unknown field: %v", err)
 	}
 	if _, err := n.Flush(); !errors.Is(err, ErrNewer) {
-		t.Errorf("after it: %v", err)
+		t.Errorf("Flush after the failure: %v", err)
 	}
 	disk.Restart()
-	if _, err = alone(t, disk, false); !errors.Is(err, ErrNewer) {
-		t.Errorf("a program without the part: %v", err)
+	if _, err = startSingleNode(t, disk, false); !errors.Is(err, ErrNewer) {
+		t.Errorf("start without the state machine: %v", err)
 	}
-	plain := &Node{parts: map[string]Part{"tally": part}}
-	data, _ := codec.Marshal(&plain.state)
-	if err := plain.load(data); !errors.Is(err, ErrNewer) || part.State.Sum == 0 {
-		t.Errorf("a snapshot of a program without the part: %v", err)
+	other := &Node{machines: map[string]Part{"tally": machine}}
+	data, _ := encoder.Marshal(&other.state)
+	if err := other.load(data); !errors.Is(err, ErrNewer) || machine.State.Sum == 0 {
+		t.Errorf("snapshot of a program without the state machine: %v", err)
 	}
 	var state State
-	if data, _ = plain.save(); bounded.Unmarshal(data, &state) == nil {
-		t.Error("a program that knows no parts reads a snapshot with one")
+	if data, _ = other.save(); boundedDecoder.Unmarshal(data, &state) == nil {
+		t.Error("a program without additional state machines reads a snapshot that has one")
 	}
 }
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/agree/sim_test.go
@@ -24,466 +24,469 @@
 )
 
 var (
-	seeds = flag.Uint64("seeds", 12, "histories of the simulation")
-	first = flag.Uint64("first", 1, "seed of the first, to play one again")
-	big   = flag.Uint64("big", 0, "histories of 300 boxes")
+	seeds = flag.Uint64("seeds", 12, "number of simulated scenarios")
+	first = flag.Uint64("first", 1, "seed of the first scenario, to repeat one that failed")
+	big   = flag.Uint64("big", 0, "number of scenarios with 300 nodes")
 )
 
 const (
-	tickMs   = 100
-	silentMs = 3000
-	voters   = 5
-	most     = 2 // boxes that may be missing
+	tickMs         = 100
+	silentMs       = 3000
+	wantedVoters   = 5
+	maxUnavailable = 2 // nodes that may be unavailable at once
 )
 
-// box is one box of the simulation: its disk lives over its processes.
-type box struct {
-	name, zone string
-	disk       *faultfs.Disk
-	store      *raftlog.Log
-	node       *Node // nil = no process
-	inc        uint64
-	since      int    // when its process began
-	drained    int    // when it began to drain; 0 = it does not
-	asked      int    // when it last proposed something of itself
-	out        int    // how often it was out, by the log
-	worked     bool   // staff work on it now
-	down       int    // until when no process is started
-	checked    uint64 // the entry as of which its state was looked at
+// host is a machine that runs one node of the fleet. Its disk outlives its processes.
+type host struct {
+	name, zone       string
+	disk             *faultfs.Disk
+	store            *raftlog.Log
+	node             *Node // nil = no process is running
+	incarnation      uint64
+	startedAt        int    // step at which its process started
+	drainSince       int    // step at which it began to drain; 0 = not draining
+	lastProposed     int    // step at which it last proposed a step of its own
+	outCount         int    // how often it was out, according to the log
+	underMaintenance bool   // the operators are working on the machine
+	restartAt        int    // step before which no process is started
+	checkedIndex     uint64 // applied index at which its state was last checked
 }
 
 type packet struct {
-	from, to int // places of boxes
-	at       int
+	from, to  int // indexes of hosts
+	deliverAt int
 	Message
 }
 
-// world is a fleet in virtual time: a step is a tick of all boxes. Everything comes from its seed.
+// world simulates a fleet in virtual time: a step is one tick of all nodes. Everything is derived from its seed.
 type world struct {
-	t       *testing.T
-	rnd     *rand.Rand
-	now     int
-	boxes   []*box
-	net     []packet
-	cut     [][]bool // messages from one to another are lost
-	loss    int      // in a hundred
-	ids     uint64
-	digests map[uint64]uint64 // by index applied
-	leaders map[uint64]uint64 // by term
-	history []string
-	outs    map[string]bool // processes that were out
-	ops     []op            // what was proposed, by token - 1
-	since   int             // ops before it are not looked at
-	from    takeout.State   // as it was then
+	t             *testing.T
+	rnd           *rand.Rand
+	now           int
+	hosts         []*host
+	inFlight      []packet
+	blocked       [][]bool // blocked[i][j]: messages from i to j are lost
+	lossPercent   int      // of messages that are lost or duplicated
+	lastID        uint64
+	digestByIndex map[uint64]uint64 // by applied index
+	leaderByTerm  map[uint64]uint64 // by term
+	events        []string
+	countedOut    map[string]bool // processes whose phase out has been counted
+	ops           []op            // proposed entries, by token - 1
+	firstOp       int             // the first operation that checkLinearizable looks at
+	initial       takeout.State   // the state before that operation
 }
 
-// op is an entry that somebody proposed. All that is not applied anywhere in the end never took hold.
+// op is a proposed entry. One that has not been applied anywhere by the end never took effect.
 type op struct {
-	by      int
-	entry   takeout.Entry
-	call    int64
-	heard   int64 // when its proposer knew; 0 = it never did
-	applied bool
-	err     error
+	proposer   int
+	entry      takeout.Entry
+	calledAt   int64
+	returnedAt int64 // when its proposer had applied it; 0 = never
+	applied    bool
+	err        error
 }
 
-// propose is a box's proposal, on the record.
+// propose proposes an entry on a host's node and records it.
 func (w *world) propose(i int, e *takeout.Entry) bool {
-	n := w.boxes[i].node
+	n := w.hosts[i].node
 	if err := n.Propose(uint64(len(w.ops)+1), e); err != nil {
 		return false
 	}
-	w.ops = append(w.ops, op{by: i, entry: *e, call: 2 * int64(w.now)})
+	w.ops = append(w.ops, op{proposer: i, entry: *e, calledAt: 2 * int64(w.now)})
 	return true
 }
 
-// linear checks that all that was proposed and took hold did so at one moment between its call and what its proposer
-// heard of it, by the rules of one state that all changed in turn (porcupine).
-func (w *world) linear() {
+// checkLinearizable checks that all entries which took effect did so one after the other on a single state, each
+// between its proposal and the time its proposer applied it (porcupine).
+func (w *world) checkLinearizable() {
 	var history []porcupine.Operation
 	end := 2*int64(w.now) + 3
-	for _, o := range w.ops[w.since:] {
+	for _, o := range w.ops[w.firstOp:] {
 		if !o.applied {
 			continue
 		}
-		ret := o.heard
-		if ret == 0 {
-			ret = end
+		returnedAt := o.returnedAt
+		if returnedAt == 0 {
+			returnedAt = end
 		}
-		history = append(history, porcupine.Operation{ClientId: len(history), Input: o.entry, Call: o.call, Output: o.err, Return: ret})
+		history = append(history, porcupine.Operation{ClientId: len(history), Input: o.entry, Call: o.calledAt, Output: o.err, Return: returnedAt})
 	}
 	model := porcupine.Model{
-		Init: func() any { return w.from },
+		Init: func() any { return w.initial },
 		Step: func(state, input, output any) (bool, any) {
-			was := state.(takeout.State)
+			previous := state.(takeout.State)
 			err, _ := output.(error)
 			if errors.Is(err, ErrStale) {
-				return true, was
+				return true, previous
 			}
-			s, e := was.Clone(), input.(takeout.Entry)
-			got := s.Apply(0, &e)
-			if s.Index = 0; got != nil {
-				s = was
+			s, e := previous.Clone(), input.(takeout.Entry)
+			applyErr := s.Apply(0, &e)
+			if s.Index = 0; applyErr != nil {
+				s = previous
 			}
-			return (got == nil) == (err == nil) && (err == nil || errors.Is(err, errors.Unwrap(got))), s
+			return (applyErr == nil) == (err == nil) && (err == nil || errors.Is(err, errors.Unwrap(applyErr))), s
 		},
 		Equal: func(a, b any) bool { return reflect.DeepEqual(a, b) },
 	}
-	for i := range w.from.Boxes { // indexes of entries are not what is compared
-		w.from.Boxes[i].Index = 0
+	for i := range w.initial.Boxes { // indexes of entries are not compared
+		w.initial.Boxes[i].Index = 0
 	}
-	w.from.Index = 0
+	w.initial.Index = 0
 	switch porcupine.CheckOperationsTimeout(model, history, 20*time.Second) {
 	case porcupine.Illegal:
-		w.fatal("%d operations cannot be put in an order", len(history))
+		w.fatal("%d operations are not linearizable", len(history))
 	case porcupine.Unknown:
-		w.fatal("%d operations: no order found in time", len(history))
+		w.fatal("%d operations: linearizability not decided in time", len(history))
 	}
 }
 
-func (w *world) note(f string, a ...any) {
-	w.history = append(w.history, fmt.Sprintf("%5d ", w.now)+fmt.Sprintf(f, a...))
+func (w *world) logf(f string, a ...any) {
+	w.events = append(w.events, fmt.Sprintf("%5d ", w.now)+fmt.Sprintf(f, a...))
 }
 
 func (w *world) fatal(f string, a ...any) {
 	w.t.Helper()
-	n := max(0, len(w.history)-400)
-	w.t.Fatalf("%s\n%s", fmt.Sprintf(f, a...), strings.Join(w.history[n:], "\n"))
+	n := max(0, len(w.events)-400)
+	w.t.Fatalf("%s\n%s", fmt.Sprintf(f, a...), strings.Join(w.events[n:], "\n"))
 }
 
 func newWorld(t *testing.T, seed uint64, n, zones int) *world {
 	cryptotest.SetGlobalRandom(t, seed) // raft's election timeouts
-	w := &world{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), digests: map[uint64]uint64{}, leaders: map[uint64]uint64{}, outs: map[string]bool{}, cut: make([][]bool, n)}
+	w := &world{t: t, rnd: rand.New(rand.NewPCG(seed, 1)), digestByIndex: map[uint64]uint64{}, leaderByTerm: map[uint64]uint64{}, countedOut: map[string]bool{}, blocked: make([][]bool, n)}
 	for i := range n {
-		w.cut[i] = make([]bool, n)
-		w.boxes = append(w.boxes, &box{name: fmt.Sprintf("n%03d", i), zone: string(rune('a' + i%zones)), disk: faultfs.New(seed + uint64(i))})
+		w.blocked[i] = make([]bool, n)
+		w.hosts = append(w.hosts, &host{name: fmt.Sprintf("n%03d", i), zone: string(rune('a' + i%zones)), disk: faultfs.New(seed + uint64(i))})
 	}
-	for i, b := range w.boxes {
-		w.start(b, i == 0)
+	for i, h := range w.hosts {
+		w.start(h, i == 0)
 	}
 	return w
 }
 
-// start is a new process of a box.
-func (w *world) start(b *box, found bool) {
+// start starts a new process on a host.
+func (w *world) start(h *host, bootstrap bool) {
 	var err error
-	b.store, err = raftlog.Open(b.disk, b.name, func() uint64 { w.ids++; return w.ids }, 4<<10)
+	h.store, err = raftlog.Open(h.disk, h.name, func() uint64 { w.lastID++; return w.lastID }, 4<<10)
 	if err != nil {
-		w.fatal("%s: %v", b.name, err)
+		w.fatal("%s: %v", h.name, err)
 	}
-	if found {
-		if err := Found(b.store, Member{Name: b.name, Zone: b.zone, Addr: b.name}); err != nil {
+	if bootstrap {
+		if err := Found(h.store, Member{Name: h.name, Zone: h.zone, Addr: h.name}); err != nil {
 			w.fatal("%v", err)
 		}
 	}
-	if b.node, err = New(b.store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}); err != nil {
-		w.fatal("%s: %v", b.name, err)
+	if h.node, err = New(h.store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}); err != nil {
+		w.fatal("%s: %v", h.name, err)
 	}
-	b.inc++
-	b.since, b.drained, b.asked, b.worked, b.checked = w.now, 0, 0, false, 0
-	w.note("%s starts as %x, incarnation %d", b.name, b.store.ID(), b.inc)
+	h.incarnation++
+	h.startedAt, h.drainSince, h.lastProposed, h.underMaintenance, h.checkedIndex = w.now, 0, 0, false, 0
+	w.logf("%s starts with id %x, incarnation %d", h.name, h.store.ID(), h.incarnation)
 }
 
-// kill ends a process with what its disk has not synced in doubt; lose takes the disk too.
-func (w *world) kill(b *box, lose bool) {
-	if b.node == nil {
+// kill ends a process. Data that its disk has not synced may be lost; loseDisk replaces the disk by an empty one.
+func (w *world) kill(h *host, loseDisk bool) {
+	if h.node == nil {
 		return
 	}
-	w.note("%s is killed, disk lost %v", b.name, lose)
-	b.node = nil
-	b.disk.CutPower()
-	b.disk.Restart()
-	if lose {
-		b.disk, b.store = faultfs.New(w.rnd.Uint64()), nil
+	w.logf("%s is killed, disk lost: %v", h.name, loseDisk)
+	h.node = nil
+	h.disk.CutPower()
+	h.disk.Restart()
+	if loseDisk {
+		h.disk, h.store = faultfs.New(w.rnd.Uint64()), nil
 	}
 }
 
-// mayLose tells that a majority of the voters keeps its disks without b's: with fewer nothing is ever agreed again.
-func (w *world) mayLose(b *box) bool {
+// canLoseDisk reports whether a majority of the voters keeps its disks without h's. Without one nothing can ever be
+// committed again.
+func (w *world) canLoseDisk(h *host) bool {
 	var newest *Node
-	for _, o := range w.boxes {
+	for _, o := range w.hosts {
 		if o.node != nil && (newest == nil || o.node.applied > newest.applied) {
 			newest = o.node
 		}
 	}
-	voters, kept := 0, 0
+	voters, withDisk := 0, 0
 	for _, m := range newest.state.Members {
 		if m.Voter {
 			voters++
-			if slices.ContainsFunc(w.boxes, func(o *box) bool { return o != b && o.store != nil && o.store.ID() == m.ID }) {
-				kept++
+			if slices.ContainsFunc(w.hosts, func(o *host) bool { return o != h && o.store != nil && o.store.ID() == m.ID }) {
+				withDisk++
 			}
 		}
 	}
-	return kept > voters/2
+	return withDisk > voters/2
 }
 
-func (w *world) place(id uint64) int {
-	return slices.IndexFunc(w.boxes, func(b *box) bool { return b.node != nil && b.store.ID() == id })
+func (w *world) hostIndex(id uint64) int {
+	return slices.IndexFunc(w.hosts, func(h *host) bool { return h.node != nil && h.store.ID() == id })
 }
 
-// hears tells that reports of one box reach another.
-func (w *world) hears(from, to int) bool {
-	return w.boxes[from].node != nil && w.boxes[to].node != nil && !w.cut[from][to]
+// canReach reports whether reports of one host reach another.
+func (w *world) canReach(from, to int) bool {
+	return w.hosts[from].node != nil && w.hosts[to].node != nil && !w.blocked[from][to]
 }
 
 func (w *world) step() {
 	w.now++
-	for _, b := range w.boxes {
-		if b.node != nil {
-			b.node.Tick()
-		} else if b.down > 0 && w.now >= b.down {
-			b.down = 0
-			w.start(b, false)
+	for _, h := range w.hosts {
+		if h.node != nil {
+			h.node.Tick()
+		} else if h.restartAt > 0 && w.now >= h.restartAt {
+			h.restartAt = 0
+			w.start(h, false)
 		}
 	}
-	due := w.net
-	w.net = nil
+	due := w.inFlight
+	w.inFlight = nil
 	for _, p := range due {
-		switch b := w.boxes[p.to]; {
-		case p.at > w.now:
-			w.net = append(w.net, p)
-		case b.node == nil || b.store.ID() != p.To || w.cut[p.from][p.to] || w.rnd.IntN(100) < w.loss:
-			w.sent(p, false)
+		switch h := w.hosts[p.to]; {
+		case p.deliverAt > w.now:
+			w.inFlight = append(w.inFlight, p)
+		case h.node == nil || h.store.ID() != p.To || w.blocked[p.from][p.to] || w.rnd.IntN(100) < w.lossPercent:
+			w.reportSnapshot(p, false)
 		default:
-			w.sent(p, true)
-			if w.rnd.IntN(100) < w.loss {
-				w.net = append(w.net, p) // it comes once more
+			w.reportSnapshot(p, true)
+			if w.rnd.IntN(100) < w.lossPercent {
+				w.inFlight = append(w.inFlight, p) // a duplicate
 			}
-			if err := b.node.Receive(p.Data); err != nil {
-				w.note("%s: %v", b.name, err)
+			if err := h.node.Receive(p.Data); err != nil {
+				w.logf("%s: %v", h.name, err)
 			}
 		}
 	}
-	for i, b := range w.boxes {
-		if b.node != nil {
-			w.act(i, b)
-			w.flush(i, b)
+	for i, h := range w.hosts {
+		if h.node != nil {
+			w.runNode(i, h)
+			w.flush(i, h)
 		}
 	}
-	w.check()
+	w.checkInvariants()
 }
 
-// sent tells the sender of a snapshot whether it came.
-func (w *world) sent(p packet, ok bool) {
-	if from := w.boxes[p.from]; p.Snapshot && from.node != nil {
+// reportSnapshot tells the sender of a snapshot whether it arrived.
+func (w *world) reportSnapshot(p packet, ok bool) {
+	if from := w.hosts[p.from]; p.Snapshot && from.node != nil {
 		from.node.SnapshotSent(p.To, ok)
 	}
 }
 
-// act is what a box does of its own: its steps, and as the leader what follows from all reports.
-func (w *world) act(i int, b *box) {
-	s := b.node.State()
-	if me := s.Member(b.store.ID()); me != nil {
-		w.steps(i, s)
-		if b.node == nil { // it is out
+// runNode proposes a host's own next step, and on the leader everything that follows from the reports.
+func (w *world) runNode(i int, h *host) {
+	s := h.node.State()
+	if me := s.Member(h.store.ID()); me != nil {
+		w.proposeOwnStep(i, s)
+		if h.node == nil { // its process has ended for maintenance
 			return
 		}
 	}
-	if _, leads := b.node.Leads(); !leads || w.now%3 != 0 {
+	if _, leads := h.node.Leads(); !leads || w.now%3 != 0 {
 		return
 	}
-	v := takeout.View{Now: int64(w.now) * tickMs, Self: b.name, Silent: silentMs, Reports: map[string]takeout.Report{}, Voters: map[string]bool{}}
+	view := takeout.View{Now: int64(w.now) * tickMs, Self: h.name, Silent: silentMs, Reports: map[string]takeout.Report{}, Voters: map[string]bool{}}
 	for _, m := range s.Members {
-		v.Voters[m.Name] = m.Voter
+		view.Voters[m.Name] = m.Voter
 	}
-	heard := func(id uint64) bool {
-		p := w.place(id)
-		return p >= 0 && w.hears(p, i)
+	reporting := func(id uint64) bool {
+		p := w.hostIndex(id)
+		return p >= 0 && w.canReach(p, i)
 	}
-	for j, o := range w.boxes {
-		if w.hears(j, i) || i == j {
-			x := s.Work.Box(o.name)
-			warm := x != nil && x.Phase == takeout.In && x.Incarnation == o.inc
-			v.Reports[o.name] = takeout.Report{Incarnation: o.inc, Heard: v.Now, Capacity: 100, Load: 40, Warm: warm}
+	for j, o := range w.hosts {
+		if w.canReach(j, i) || i == j {
+			agreed := s.Work.Box(o.name)
+			warm := agreed != nil && agreed.Phase == takeout.In && agreed.Incarnation == o.incarnation
+			view.Reports[o.name] = takeout.Report{Incarnation: o.incarnation, Heard: view.Now, Capacity: 100, Load: 40, Warm: warm}
 		}
-		if w.hears(j, i) && o.node != nil && s.Member(o.store.ID()) == nil { // it knocks
-			if c, err := s.Knock(Member{ID: o.store.ID(), Name: o.name, Zone: o.zone, Addr: o.name}, heard); err == nil && c != nil {
-				b.node.Change(c)
+		if w.canReach(j, i) && o.node != nil && s.Member(o.store.ID()) == nil { // it sends a join request
+			if c, err := s.Knock(Member{ID: o.store.ID(), Name: o.name, Zone: o.zone, Addr: o.name}, reporting); err == nil && c != nil {
+				h.node.Change(c)
 				return
 			}
 		}
 	}
-	if c := s.Voters(voters, heard); c != nil {
-		b.node.Change(c)
+	if c := s.Voters(wantedVoters, reporting); c != nil {
+		h.node.Change(c)
 		return
 	}
-	d := takeout.Next(&s.Work, v)
-	if d.Transfer != "" {
-		if m := s.Named(d.Transfer); m != nil {
-			b.node.Transfer(m.ID)
+	decision := takeout.Next(&s.Work, view)
+	if decision.Transfer != "" {
+		if m := s.Named(decision.Transfer); m != nil {
+			h.node.Transfer(m.ID)
 		}
 	}
-	for _, e := range d.Entries {
+	for _, e := range decision.Entries {
 		w.propose(i, &e)
 	}
 }
 
-// steps are a box's words on itself: nothing is done before the log has it.
-func (w *world) steps(i int, s *State) {
-	b := w.boxes[i]
-	x := s.Work.Box(b.name)
-	if x == nil || w.now-b.asked < 15 {
+// proposeOwnStep does what the state says of a host, and proposes its next phase. A phase counts only once the log
+// has it.
+func (w *world) proposeOwnStep(i int, s *State) {
+	h := w.hosts[i]
+	agreed := s.Work.Box(h.name)
+	if agreed == nil || w.now-h.lastProposed < 15 {
 		return
 	}
-	a := takeout.Agent(&s.Work, b.name, takeout.Local{Incarnation: b.inc, Warm: w.now-b.since > 20, Held: int64(b.drained) * tickMs, DrainFor: 2000}, int64(w.now)*tickMs)
+	a := takeout.Agent(&s.Work, h.name, takeout.Local{Incarnation: h.incarnation, Warm: w.now-h.startedAt > 20, Held: int64(h.drainSince) * tickMs, DrainFor: 2000}, int64(w.now)*tickMs)
 	switch {
-	case a.Hold && b.drained == 0:
-		b.drained = w.now
-		w.note("%s drains", b.name)
+	case a.Hold && h.drainSince == 0:
+		h.drainSince = w.now
+		w.logf("%s drains", h.name)
 	case !a.Hold:
-		b.drained = 0
+		h.drainSince = 0
 	}
 	if a.Speak {
-		b.asked = w.now
-		w.propose(i, &takeout.Entry{Kind: takeout.Step, Box: b.name, Incarnation: b.inc, Phase: a.Say})
+		h.lastProposed = w.now
+		w.propose(i, &takeout.Entry{Kind: takeout.Step, Box: h.name, Incarnation: h.incarnation, Phase: a.Say})
 	}
-	if x.Phase == takeout.Out && x.Incarnation == b.inc { // staff end the process and work on the machine
-		w.note("%s is worked on", b.name)
-		w.kill(b, false)
-		b.worked = true
-		b.down = w.now + 30
+	// The operators end the process and work on the machine.
+	if agreed.Phase == takeout.Out && agreed.Incarnation == h.incarnation {
+		w.logf("%s is under maintenance", h.name)
+		w.kill(h, false)
+		h.underMaintenance = true
+		h.restartAt = w.now + 30
 	}
 }
 
-func (w *world) flush(i int, b *box) {
-	if b.node == nil {
+func (w *world) flush(i int, h *host) {
+	if h.node == nil {
 		return
 	}
-	out, err := b.node.Flush()
+	out, err := h.node.Flush()
 	if err != nil {
-		w.fatal("%s: %v", b.name, err)
+		w.fatal("%s: %v", h.name, err)
 	}
 	for _, a := range out.Applied {
-		if k := int(a.Token) - 1; k >= 0 && a.Entry != nil {
-			if o := &w.ops[k]; !o.applied {
+		if opIndex := int(a.Token) - 1; opIndex >= 0 && a.Entry != nil {
+			if o := &w.ops[opIndex]; !o.applied {
 				o.applied, o.err = true, a.Err
 			}
-			if o := &w.ops[k]; o.by == i && o.heard == 0 {
-				o.heard = 2*int64(w.now) + 1
+			if o := &w.ops[opIndex]; o.proposer == i && o.returnedAt == 0 {
+				o.returnedAt = 2*int64(w.now) + 1
 			}
 		}
 		if a.Entry != nil && a.Err == nil && a.Entry.Kind == takeout.Grant {
-			w.note("%s applies the grant of %s at %d", b.name, a.Entry.Box, a.Index)
+			w.logf("%s applies the grant of %s at %d", h.name, a.Entry.Box, a.Index)
 		}
-		if a.Entry != nil && a.Err == nil && a.Entry.Kind == takeout.Step && a.Entry.Phase == takeout.Out && !w.outs[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] {
-			w.outs[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] = true
-			w.boxes[slices.IndexFunc(w.boxes, func(o *box) bool { return o.name == a.Entry.Box })].out++
+		if a.Entry != nil && a.Err == nil && a.Entry.Kind == takeout.Step && a.Entry.Phase == takeout.Out && !w.countedOut[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] {
+			w.countedOut[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] = true
+			w.hosts[slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == a.Entry.Box })].outCount++
 		}
 	}
 	for _, m := range out.Messages {
-		if p := w.place(m.To); p >= 0 {
-			w.net = append(w.net, packet{i, p, w.now + 1 + w.rnd.IntN(2), m})
+		if p := w.hostIndex(m.To); p >= 0 {
+			w.inFlight = append(w.inFlight, packet{i, p, w.now + 1 + w.rnd.IntN(2), m})
 		} else {
-			b.node.Unreachable(m.To)
-			w.sent(packet{i, i, 0, m}, false)
+			h.node.Unreachable(m.To)
+			w.reportSnapshot(packet{i, i, 0, m}, false)
 		}
 	}
 }
 
-// check holds what must be true at every moment.
-func (w *world) check() {
+// checkInvariants checks what must be true at every step.
+func (w *world) checkInvariants() {
 	busy := 0
-	for _, b := range w.boxes {
-		if b.drained > 0 && b.node != nil || b.worked {
+	for _, h := range w.hosts {
+		if h.drainSince > 0 && h.node != nil || h.underMaintenance {
 			busy++
 		}
-		if b.node == nil {
+		if h.node == nil {
 			continue
 		}
-		if term, leads := b.node.Leads(); leads {
-			if other, ok := w.leaders[term]; ok && other != b.store.ID() {
-				w.fatal("%x and %x lead in term %d", other, b.store.ID(), term)
+		if term, leads := h.node.Leads(); leads {
+			if other, ok := w.leaderByTerm[term]; ok && other != h.store.ID() {
+				w.fatal("%x and %x are both leader of term %d", other, h.store.ID(), term)
 			}
-			w.leaders[term] = b.store.ID()
+			w.leaderByTerm[term] = h.store.ID()
 		}
-		if b.checked == b.node.applied {
+		if h.checkedIndex == h.node.applied {
 			continue
 		}
-		b.checked = b.node.applied
-		sum, err := b.node.Digest()
+		h.checkedIndex = h.node.applied
+		digest, err := h.node.Digest()
 		if err != nil {
 			w.fatal("%v", err)
 		}
-		if was, ok := w.digests[b.node.applied]; ok && was != sum {
-			w.fatal("%s differs at index %d", b.name, b.node.applied)
+		if other, ok := w.digestByIndex[h.node.applied]; ok && other != digest {
+			w.fatal("the state of %s differs from another node's at index %d", h.name, h.node.applied)
 		}
-		w.digests[b.node.applied] = sum
+		w.digestByIndex[h.node.applied] = digest
 	}
-	if busy > most {
-		w.fatal("%d drain or are out with a bound of %d", busy, most)
+	if busy > maxUnavailable {
+		w.fatal("%d nodes are draining or out, at most %d may be", busy, maxUnavailable)
 	}
 }
 
-// until steps on until f holds.
-func (w *world) until(what string, most int, f func() bool) {
-	for range most {
+// until runs steps until f returns true.
+func (w *world) until(what string, maxSteps int, f func() bool) {
+	for range maxSteps {
 		if f() {
 			return
 		}
 		w.step()
 	}
 	states := ""
-	for _, b := range w.boxes {
-		if b.node != nil {
-			states += fmt.Sprintf("\n%s %x leader %x applied %d %v %+v", b.name, b.store.ID(), b.node.Leader(), b.node.applied, b.node.State().Members, b.node.State().Work.Box(b.name))
-			for _, p := range b.node.State().Work.Plans {
+	for _, h := range w.hosts {
+		if h.node != nil {
+			states += fmt.Sprintf("\n%s %x leader %x applied %d %v %+v", h.name, h.store.ID(), h.node.Leader(), h.node.applied, h.node.State().Members, h.node.State().Work.Box(h.name))
+			for _, p := range h.node.State().Work.Plans {
 				states += fmt.Sprintf("\n   %s %s order %v gone %v", p.ID, p.State, p.Order, p.Gone)
 			}
 		}
 	}
-	w.fatal("not %s after %d steps%s", what, most, states)
+	w.fatal("%s: not reached after %d steps%s", what, maxSteps, states)
 }
 
-func (w *world) all(f func(*box) bool) bool {
-	return !slices.ContainsFunc(w.boxes, func(b *box) bool { return b.node == nil || !f(b) })
+func (w *world) all(f func(*host) bool) bool {
+	return !slices.ContainsFunc(w.hosts, func(h *host) bool { return h.node == nil || !f(h) })
 }
 
-// ready tells that all are members and in.
+// ready reports whether all nodes are members and in service.
 func (w *world) ready() bool {
-	return w.all(func(b *box) bool {
-		s := b.node.State()
-		x := s.Work.Box(b.name)
-		return s.Member(b.store.ID()) != nil && len(s.Members) == len(w.boxes) && x != nil && x.Phase == takeout.In && x.Incarnation == b.inc
+	return w.all(func(h *host) bool {
+		s := h.node.State()
+		agreed := s.Work.Box(h.name)
+		return s.Member(h.store.ID()) != nil && len(s.Members) == len(w.hosts) && agreed != nil && agreed.Phase == takeout.In && agreed.Incarnation == h.incarnation
 	})
 }
 
-// fault is one thing that goes wrong, or is healed.
-func (w *world) fault() {
-	i := w.rnd.IntN(len(w.boxes))
-	b := w.boxes[i]
+// injectFault draws one fault, or ends those in effect.
+func (w *world) injectFault() {
+	i := w.rnd.IntN(len(w.hosts))
+	h := w.hosts[i]
 	switch w.rnd.IntN(9) {
 	case 0, 1:
-		if b.node != nil {
-			w.kill(b, w.rnd.IntN(6) == 0 && w.mayLose(b))
-			b.down = w.now + 5 + w.rnd.IntN(60)
+		if h.node != nil {
+			w.kill(h, w.rnd.IntN(6) == 0 && w.canLoseDisk(h))
+			h.restartAt = w.now + 5 + w.rnd.IntN(60)
 		}
-	case 2: // one way
-		w.note("nothing from %s is heard", b.name)
-		for j := range w.boxes {
-			w.cut[i][j] = true
+	case 2: // outgoing messages only
+		w.logf("all messages from %s are lost", h.name)
+		for j := range w.hosts {
+			w.blocked[i][j] = true
 		}
 	case 3:
-		w.note("%s hears nothing", b.name)
-		for j := range w.boxes {
-			w.cut[j][i] = true
+		w.logf("all messages to %s are lost", h.name)
+		for j := range w.hosts {
+			w.blocked[j][i] = true
 		}
 	case 4: // a partition
-		k := 1 + w.rnd.IntN(len(w.boxes)-1)
-		w.note("the first %d are cut off from the rest", k)
-		for x := range w.boxes {
-			for y := range w.boxes {
-				w.cut[x][y] = (x < k) != (y < k)
+		k := 1 + w.rnd.IntN(len(w.hosts)-1)
+		w.logf("the first %d nodes are partitioned from the rest", k)
+		for x := range w.hosts {
+			for y := range w.hosts {
+				w.blocked[x][y] = (x < k) != (y < k)
 			}
 		}
 	case 5:
-		w.loss = w.rnd.IntN(30)
+		w.lossPercent = w.rnd.IntN(30)
 	case 6:
-		for _, o := range w.boxes {
+		for _, o := range w.hosts {
 			if o.node != nil {
 				if _, leads := o.node.Leads(); leads {
 					w.kill(o, false)
-					o.down = w.now + 10 + w.rnd.IntN(40)
+					o.restartAt = w.now + 10 + w.rnd.IntN(40)
 				}
 			}
 		}
@@ -493,65 +496,65 @@
 }
 
 func (w *world) heal() {
-	w.note("healed")
-	w.loss = 0
-	for _, row := range w.cut {
+	w.logf("faults end")
+	w.lossPercent = 0
+	for _, row := range w.blocked {
 		clear(row)
 	}
 }
 
-// A fleet of 5 to 30 boxes that is taken out box by box while processes die, disks are lost and the net fails: never
-// more are busy than the bound, all hold the same history, what was proposed took hold in one order, and once all is
-// well the plan ends with each box out once.
+// A maintenance plan takes a fleet of 5 to 30 nodes out one after the other while processes die, disks are lost and
+// the network fails. At no time are more nodes unavailable than the plan allows, all apply the same log, and the
+// proposals take effect in one order. After the faults the plan completes with each node out exactly once.
 func TestAPlanUnderFaults(t *testing.T) {
 	for seed := *first; seed < *first+*seeds; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { history(t, seed, 5+int(seed*5%26), 0) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runScenario(t, seed, 5+int(seed*5%26), 0) })
 	}
 }
 
-// The same with 300 boxes, of which a dozen are taken out.
+// The same with 300 nodes, of which a dozen are taken out.
 func TestALargeFleetUnderFaults(t *testing.T) {
 	for seed := *first; seed < *first+*big; seed++ {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { history(t, seed, 300, 12) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runScenario(t, seed, 300, 12) })
 	}
 }
 
-// history takes some of n boxes out under faults; 0 = all.
-func history(t *testing.T, seed uint64, n, some int) {
+// runScenario runs a plan for the first planned of n nodes under faults; 0 = all nodes.
+func runScenario(t *testing.T, seed uint64, n, planned int) {
 	w := newWorld(t, seed, n, 3)
-	w.until("all in", 3000+100*n, w.ready)
-	w.from, w.since = w.boxes[0].node.State().Work.Clone(), len(w.ops)
-	at := w.rnd.IntN(n)
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Most: most, Floor: 0.1}
-	for _, b := range w.boxes[:cmp.Or(some, n)] {
-		plan.Boxes = append(plan.Boxes, b.name)
-	}
-	w.until("proposed", 200, func() bool {
-		return w.boxes[at].node.State().Work.Plan("disks") != nil || w.now%20 == 0 && w.propose(at, &takeout.Entry{Kind: takeout.Propose, Plan: plan}) && false
+	w.until("all nodes in service", 3000+100*n, w.ready)
+	w.initial, w.firstOp = w.hosts[0].node.State().Work.Clone(), len(w.ops)
+	proposer := w.rnd.IntN(n)
+	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Most: maxUnavailable, Floor: 0.1}
+	for _, h := range w.hosts[:cmp.Or(planned, n)] {
+		plan.Boxes = append(plan.Boxes, h.name)
+	}
+	w.until("plan proposed", 200, func() bool {
+		return w.hosts[proposer].node.State().Work.Plan("disks") != nil || w.now%20 == 0 && w.propose(proposer, &takeout.Entry{Kind: takeout.Propose, Plan: plan}) && false
 	})
 	for range 25 {
-		w.fault()
+		w.injectFault()
 		for range 10 + w.rnd.IntN(60) {
 			w.step()
 		}
 	}
 	w.heal()
-	over := func(b *box) bool {
-		p := b.node.State().Work.Plan("disks")
+	planDone := func(h *host) bool {
+		p := h.node.State().Work.Plan("disks")
 		return p != nil && p.State == takeout.Done
 	}
-	w.until("done", 20000+1000*n, func() bool { return w.all(over) && w.ready() })
-	if p := w.boxes[0].node.State().Work.Plan("disks"); len(p.Gone) != len(plan.Boxes) {
-		t.Errorf("gone %v", p.Gone)
+	w.until("plan done", 20000+1000*n, func() bool { return w.all(planDone) && w.ready() })
+	if p := w.hosts[0].node.State().Work.Plan("disks"); len(p.Gone) != len(plan.Boxes) {
+		t.Errorf("completed nodes %v", p.Gone)
 	}
-	for _, b := range w.boxes {
+	for _, h := range w.hosts {
 		want := 0
-		if slices.Contains(plan.Boxes, b.name) {
+		if slices.Contains(plan.Boxes, h.name) {
 			want = 1
 		}
-		if b.out != want {
-			w.fatal("%s was out %d times", b.name, b.out)
+		if h.outCount != want {
+			w.fatal("%s was out %d times", h.name, h.outCount)
 		}
 	}
-	w.linear()
+	w.checkLinearizable()
 }
--- a/internal/fleet/agree/state.go
+++ b/internal/fleet/agree/state.go
@@ -1,6 +1,6 @@
-// Package agree has the boxes of a fleet hold one state: who is a member, and what is being taken out. The state
-// changes only by entries of a log that raft (go.etcd.io/raft/v3) replicates; a Node is driven by ticks, messages and
-// proposals, and does no I/O but through its Store.
+// Package agree replicates the state of a fleet among its members: who is a member, and which maintenance plans
+// exist. The state changes only by entries of a log that raft (go.etcd.io/raft/v3) replicates. A Node is driven by
+// ticks, messages and proposals, and does no I/O except through its Store.
 package agree
 
 import (
@@ -14,29 +14,29 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Member is a box as the agreed state has it.
+// Member is a member of the fleet in the replicated state.
 type Member struct {
-	ID    uint64 // raft's, drawn when its disk was empty
+	ID    uint64 // raft's id, drawn when its disk was empty
 	Name  string
 	Zone  string
 	Addr  string // where its peers reach it
 	Voter bool
 }
 
-// State is all that the boxes agree on.
+// State is the replicated state of the fleet.
 type State struct {
-	Members []Member // by id
+	Members []Member // sorted by id
 	Work    takeout.State
 }
 
-// Errors of what is asked of a Node.
+// Errors that a Node returns.
 var (
 	ErrNoLeader = errors.New("no leader is known: a majority may be out of reach")
-	ErrStale    = errors.New("its proposer led in another term")
+	ErrStale    = errors.New("the proposer was the leader of another term")
 	ErrMember   = errors.New("membership")
 )
 
-// Member gives a member by its id; nil = unknown.
+// Member returns the member with an id; nil = unknown.
 func (s *State) Member(id uint64) *Member {
 	i := slices.IndexFunc(s.Members, func(m Member) bool { return m.ID == id })
 	if i < 0 {
@@ -45,7 +45,7 @@
 	return &s.Members[i]
 }
 
-// Named gives a member by its name; nil = unknown.
+// Named returns the member with a name; nil = unknown.
 func (s *State) Named(name string) *Member {
 	i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name })
 	if i < 0 {
@@ -54,14 +54,14 @@
 	return &s.Members[i]
 }
 
-// ChangeKind tells what a change of membership does.
+// ChangeKind is the kind of a change of membership.
 type ChangeKind uint8
 
-// The kinds of change.
+// Kinds of changes of membership.
 const (
-	Admit   ChangeKind = iota + 1 // as a learner
-	Promote                       // a learner to a voter
-	Remove                        // its id votes and hears no more
+	Admit   ChangeKind = iota + 1 // adds a member as a learner, or updates its address
+	Promote                       // makes a learner a voter
+	Remove                        // removes a member, which votes and receives nothing any longer
 )
 
 // Change is one change of membership.
@@ -70,7 +70,7 @@
 	Member Member
 }
 
-// change carries out a change that raft has taken.
+// change applies a committed change of membership.
 func (s *State) change(index uint64, c *Change) error {
 	m := s.Member(c.Member.ID)
 	switch c.Kind {
@@ -79,73 +79,73 @@
 			m.Addr = c.Member.Addr
 			return nil
 		}
-		n := c.Member
-		n.Voter = false
-		s.Members = append(s.Members, n)
+		added := c.Member
+		added.Voter = false
+		s.Members = append(s.Members, added)
 		slices.SortFunc(s.Members, func(a, b Member) int {
 			if a.ID < b.ID {
 				return -1
 			}
 			return 1
 		})
-		return s.Work.Apply(index, &takeout.Entry{Kind: takeout.Join, Box: n.Name, Zone: n.Zone})
+		return s.Work.Apply(index, &takeout.Entry{Kind: takeout.Join, Box: added.Name, Zone: added.Zone})
 	case Promote:
 		if m != nil {
 			m.Voter = true
 		}
 	case Remove:
-		s.Members = slices.DeleteFunc(s.Members, func(x Member) bool { return x.ID == c.Member.ID })
+		s.Members = slices.DeleteFunc(s.Members, func(m Member) bool { return m.ID == c.Member.ID })
 	default:
-		return fmt.Errorf("change of kind %d: %w", c.Kind, ErrMember)
+		return fmt.Errorf("unknown change of kind %d: %w", c.Kind, ErrMember)
 	}
 	return nil
 }
 
-// Knock derives what lets a box in that asks under a name and an id: nil = it is in already. Who is heard of holds
-// its name.
-func (s *State) Knock(m Member, heard func(id uint64) bool) (*Change, error) {
+// Knock derives the change that a join request calls for; nil = the node is a member already. A name stays taken for
+// as long as its member reports.
+func (s *State) Knock(m Member, reporting func(id uint64) bool) (*Change, error) {
 	if m.ID == 0 || m.Name == "" || m.Addr == "" {
-		return nil, fmt.Errorf("box %q with id %x at %q: %w", m.Name, m.ID, m.Addr, ErrMember)
+		return nil, fmt.Errorf("invalid join request: node %q with id %x at %q: %w", m.Name, m.ID, m.Addr, ErrMember)
 	}
-	if is := s.Member(m.ID); is != nil {
-		if is.Name != m.Name {
-			return nil, fmt.Errorf("box %s knocks with the id of %s: %w", m.Name, is.Name, ErrMember)
+	if existing := s.Member(m.ID); existing != nil {
+		if existing.Name != m.Name {
+			return nil, fmt.Errorf("node %s asks to join with the id of %s: %w", m.Name, existing.Name, ErrMember)
 		}
-		if is.Addr == m.Addr {
+		if existing.Addr == m.Addr {
 			return nil, nil
 		}
 		return &Change{Admit, m}, nil
 	}
-	if was := s.Named(m.Name); was != nil {
-		if heard(was.ID) {
-			return nil, fmt.Errorf("another box named %s is heard of at %s: %w", m.Name, was.Addr, ErrMember)
+	if sameName := s.Named(m.Name); sameName != nil {
+		if reporting(sameName.ID) {
+			return nil, fmt.Errorf("another node named %s is reporting from %s: %w", m.Name, sameName.Addr, ErrMember)
 		}
-		return &Change{Remove, *was}, nil // the new id is let in at its next knock
+		return &Change{Remove, *sameName}, nil // the new id is admitted at its next join request
 	}
 	if len(s.Members) >= limits.MaxMeshServers {
-		return nil, fmt.Errorf("%d boxes are the most: %w", limits.MaxMeshServers, ErrMember)
+		return nil, fmt.Errorf("the fleet has the maximum of %d members: %w", limits.MaxMeshServers, ErrMember)
 	}
 	return &Change{Admit, m}, nil
 }
 
-// Voters derives the next change towards so many voters: a learner that is heard of becomes one, of the zone with the
-// fewest voters first; nil = there are enough, or nobody is fit.
-func (s *State) Voters(want int, heard func(id uint64) bool) *Change {
-	zones := map[string]int{}
-	n := 0
+// Voters derives the next change towards the wanted number of voters. It promotes a learner that reports, of the zone
+// with the fewest voters first; nil = there are enough voters, or no learner qualifies.
+func (s *State) Voters(want int, reporting func(id uint64) bool) *Change {
+	votersByZone := map[string]int{}
+	voterCount := 0
 	for _, m := range s.Members {
 		if m.Voter {
-			zones[m.Zone]++
-			n++
+			votersByZone[m.Zone]++
+			voterCount++
 		}
 	}
-	if n >= want {
+	if voterCount >= want {
 		return nil
 	}
 	var best *Member
 	for i := range s.Members {
 		m := &s.Members[i]
-		if !m.Voter && heard(m.ID) && (best == nil || zones[m.Zone] < zones[best.Zone] || zones[m.Zone] == zones[best.Zone] && m.Name < best.Name) {
+		if !m.Voter && reporting(m.ID) && (best == nil || votersByZone[m.Zone] < votersByZone[best.Zone] || votersByZone[m.Zone] == votersByZone[best.Zone] && m.Name < best.Name) {
 			best = m
 		}
 	}
@@ -155,8 +155,8 @@
 	return &Change{Promote, *best}
 }
 
-// Gone derives the change that takes a member out of the log's members which the agreed state has no longer; nil =
-// there is none but perhaps self, which leads and cannot take itself out.
+// Gone derives the change that removes from raft a member which the maintenance state no longer contains; nil = there
+// is none, except perhaps self: the leader cannot remove itself.
 func (s *State) Gone(self uint64) *Change {
 	for _, m := range s.Members {
 		if m.ID != self && s.Work.Box(m.Name) == nil {
@@ -166,34 +166,35 @@
 	return nil
 }
 
-// command is a normal entry of the log.
+// command is the content of a normal entry of the log.
 type command struct {
 	Proposer uint64 // raft's id
-	Token    uint64 // of the proposer's choice
-	Term     uint64 // it counts only in this one; 0 = in any
+	Token    uint64 // chosen by the proposer
+	Term     uint64 // the entry is valid only in this term; 0 = in any
 	Entry    takeout.Entry
-	Part     string `cbor:",omitempty"` // whose Data is the entry; "" = Entry is
+	Part     string `cbor:",omitempty"` // the state machine that reads Data; "" = Entry applies
 	Data     []byte `cbor:",omitempty"`
 }
 
-var codec = func() cbor.EncMode {
+var encoder = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // constant options
 	}
 	return m
 }()
 
-// bounded keeps what a peer sends from sizing memory; strict takes nothing that has more in it than this version wrote.
+// boundedDecoder limits the memory that a peer's message can make this node allocate. strictDecoder also refuses
+// fields that this version does not know.
 var (
-	bounded = reader(cbor.ExtraDecErrorNone)
-	strict  = reader(cbor.ExtraDecErrorUnknownField)
+	boundedDecoder = newDecoder(cbor.ExtraDecErrorNone)
+	strictDecoder  = newDecoder(cbor.ExtraDecErrorUnknownField)
 )
 
-func reader(refuse cbor.ExtraDecErrorCond) cbor.DecMode {
-	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16, ExtraReturnErrors: refuse}.DecMode()
+func newDecoder(extraErrors cbor.ExtraDecErrorCond) cbor.DecMode {
+	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16, ExtraReturnErrors: extraErrors}.DecMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // constant options
 	}
 	return m
 }
