--- a/internal/fleet/driver/client.go
+++ b/internal/fleet/driver/client.go
@@ -12,78 +12,78 @@
 	"larchscale/internal/link"
 )
 
-// State asks a box how the fleet stands.
+// State asks a server for its status.
 func State(ctx context.Context, c *link.Client) (s Status, err error) {
-	text, err := c.Get(ctx, "/fleet/state", nil)
+	body, err := c.Get(ctx, "/fleet/state", nil)
 	if err == nil {
-		err = json.Unmarshal(text, &s)
+		err = json.Unmarshal(body, &s)
 	}
 	return s, err
 }
 
-// Stands asks a box how a module's part stands, into s.
-func Stands(ctx context.Context, c *link.Client, part string, s any) error {
-	text, err := c.Get(ctx, "/fleet/state", url.Values{"part": {part}})
+// Stands asks a server for the status of a module, and decodes it into s.
+func Stands(ctx context.Context, c *link.Client, module string, s any) error {
+	body, err := c.Get(ctx, "/fleet/state", url.Values{"part": {module}})
 	if err == nil {
-		err = json.Unmarshal(text, s)
+		err = json.Unmarshal(body, s)
 	}
 	return err
 }
 
-// Item asks a box for one item of a module's part, into s; false = there is none.
-func Item(ctx context.Context, c *link.Client, part, key string, s any) (found bool, err error) {
-	text, err := c.Get(ctx, "/fleet/state", url.Values{"part": {part}, "key": {key}})
+// Item asks a server for one item of a module's state, and decodes it into s; false = there is none.
+func Item(ctx context.Context, c *link.Client, module, key string, s any) (found bool, err error) {
+	body, err := c.Get(ctx, "/fleet/state", url.Values{"part": {module}, "key": {key}})
 	if errors.Is(err, link.ErrNotFound) {
 		return false, nil
 	}
 	if err == nil {
-		err = json.Unmarshal(text, s)
+		err = json.Unmarshal(body, s)
 	}
 	return err == nil, err
 }
 
-// Say gives a box an operator's word. An error tells what became of it, or that the box did not answer.
-func Say(ctx context.Context, c *link.Client, w Word) error {
-	body, err := json.Marshal(w)
+// Say sends a command of an operator to a server. It returns the command's error, or that the server did not answer.
+func Say(ctx context.Context, c *link.Client, command Word) error {
+	request, err := json.Marshal(command)
 	if err != nil {
 		return err
 	}
-	text, err := c.Post(ctx, "/fleet/command", body)
+	body, err := c.Post(ctx, "/fleet/command", request)
 	if err != nil {
 		return err
 	}
-	var a Answer
-	if err := json.Unmarshal(text, &a); err != nil {
+	var answer Answer
+	if err := json.Unmarshal(body, &answer); err != nil {
 		return err
 	}
-	if a.Error != "" {
-		return errors.New(a.Error)
+	if answer.Error != "" {
+		return errors.New(answer.Error)
 	}
 	return nil
 }
 
-// Would tells what follows from a plan, were it asked for now: its order and what the first box would wait for, as
-// far as the asked box's reports go. Nothing is changed.
-func Would(s Status, p takeout.Plan, now time.Time) (d struct {
+// Would predicts what a plan would lead to if it were proposed now: the order of its servers, and what its first
+// grant would wait for, as far as the reports in the status tell. Nothing is changed.
+func Would(status Status, plan takeout.Plan, now time.Time) (outcome struct {
 	Order []takeout.Place
 	Waits []takeout.Wait
 }, err error) {
-	work := s.State.Clone()
-	if err := work.Apply(s.Index+1, &takeout.Entry{Kind: takeout.Propose, Plan: p}); err != nil {
-		return d, err
+	work := status.State.Clone()
+	if err := work.Apply(status.Index+1, &takeout.Entry{Kind: takeout.Propose, Plan: plan}); err != nil {
+		return outcome, err
 	}
-	v := takeout.View{Now: now.UnixMilli(), Self: s.Leader, Silent: int64(s.SilentMs), Reports: s.Reports}
-	for range 2 { // its order first, then the grant
-		next := takeout.Next(&work, v)
-		d.Waits = slices.DeleteFunc(next.Waits, func(w takeout.Wait) bool { return w.Plan != p.ID })
+	view := takeout.View{Now: now.UnixMilli(), Self: status.Leader, Silent: int64(status.SilentMs), Reports: status.Reports}
+	for range 2 { // the first round arranges the order, the second one grants
+		next := takeout.Next(&work, view)
+		outcome.Waits = slices.DeleteFunc(next.Waits, func(w takeout.Wait) bool { return w.Plan != plan.ID })
 		for i := range next.Entries {
-			if e := &next.Entries[i]; e.Kind == takeout.Arrange && e.Plan.ID == p.ID {
-				d.Order = e.Order
+			if e := &next.Entries[i]; e.Kind == takeout.Arrange && e.Plan.ID == plan.ID {
+				outcome.Order = e.Order
 				if err := work.Apply(work.Index+1, e); err != nil {
-					return d, err
+					return outcome, err
 				}
 			}
 		}
 	}
-	return d, nil
+	return outcome, nil
 }
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -1,7 +1,7 @@
-// Package driver runs one box's part in the fleet: it gives the node of package agree its ticks, carries messages and
-// reports over the link between boxes, does what the agreed state says of this box, and as the leader proposes what
-// follows. All of it happens on one goroutine; what comes from outside waits in a bounded queue. The box serves on
-// whatever becomes of it.
+// Package driver runs a server's membership of the fleet. It drives the consensus node with ticks, carries messages
+// and reports over the links between servers, does what the replicated state says of this server, and as the leader
+// proposes what follows from that state. All of it happens on one goroutine, the loop; events from outside wait in a
+// bounded queue. A failure of the membership does not stop the server from serving requests.
 package driver
 
 import (
@@ -24,73 +24,74 @@
 )
 
 const (
-	tick            = 100 * time.Millisecond
-	reportEach      = 10 // ticks
-	actEach         = 2
-	sayEach         = 10               // a proposal that is not in the log yet is made again
-	maxQueue        = 1024             // of what came from outside
-	maxFrames       = 256              // waiting for one box
-	segment         = 1 << 20          // bytes of the log after which it is made small
-	outcome         = 10 * time.Second // an operator waits for what becomes of a command
-	incarnationName = "incarnation"
+	tick              = 100 * time.Millisecond
+	reportTicks       = 10 // ticks between reports to the voters
+	actTicks          = 2
+	reproposeTicks    = 10               // after so many ticks a phase that the log does not have yet is proposed again
+	maxQueuedEvents   = 1024             // events from outside the loop
+	maxQueuedMessages = 256              // queued messages to one server
+	segmentBytes      = 1 << 20          // size of a log segment, after which the log is compacted
+	commandTimeout    = 10 * time.Second // how long an operator waits for the outcome of a command
+	incarnationFile   = "incarnation"
 )
 
-// pending is a proposal whose outcome somebody waits for.
-type pending struct {
-	answer chan error // room for one
-	until  int        // ticks
+// pendingProposal is a proposal for whose outcome somebody waits.
+type pendingProposal struct {
+	result        chan error // with a buffer of one
+	expiresAtTick int        // the tick after which nobody waits any longer
 }
 
-// Body is the box as the driver sees it. Its methods must not block.
+// Body is this process as the driver sees it. Its methods must not block.
 type Body interface {
-	// Look tells how the box stands. What the driver knows itself (its incarnation, when) is left out.
+	// Look returns the current report on this process. The driver fills in its incarnation and the time.
 	Look() takeout.Report
-	// Hold has its health say no, or lets it say what it says by itself.
+	// Hold makes the health check fail, or ends that.
 	Hold(on bool)
 }
 
-// Driver is one box's part.
+// Driver is a server's membership of the fleet.
 type Driver struct {
-	opt   Options
-	self  agree.Member
-	boxes []link.Box        // who to knock at
-	ways  map[string]string // by name, how this box reaches others; who is not in it is reached where the log says
-	link  *link.Link
-	body  Body
-	log   *slog.Logger
-	in    chan func()
-	done  chan struct{}
-	lock  io.Closer // of the directory
-	hello []byte    // self, as it goes before messages
-	ctx   context.Context
+	opt           Options
+	self          agree.Member
+	joinTargets   []link.Box        // servers of the configuration, asked in turn to admit this one
+	addrOverrides map[string]string // addresses by server name that replace those of the replicated state
+	link          *link.Link
+	process       Body
+	log           *slog.Logger
+	queue         chan func()
+	done          chan struct{}
+	lock          io.Closer // of the directory
+	selfFrame     []byte    // self, encoded: the first frame of each request
+	ctx           context.Context
 
-	// Of the loop.
-	modules  []Module
-	knows    map[uint64][]string // parts that a member has told of
-	asked    map[uint64]reading
-	node     *agree.Node
-	store    *raftlog.Log
-	inc      uint64
-	ticks    int
-	reports  map[string]takeout.Report
-	lines    map[uint64]*line // to the members
-	heldAt   time.Time
-	said     takeout.Phase // what was last proposed, and when
-	saidAt   int
-	stood    takeout.Report // as last told
-	token    uint64
-	handed   uint64 // raft's id of whom HandOver chose; 0 = nobody
-	waiting  map[uint64]pending
-	leader   agree.Member // who sent last, for a box that does not know the members yet
-	knocking *line
-	knocks   int
-	last     takeout.Decision
-	act      takeout.Act
-	shown    atomic.Pointer[Figures]
+	// The loop alone uses the fields below, except for metrics.
+	modules          []Module
+	supportedModules map[uint64][]string // by member id, the names of the modules that the member's program has
+	pendingReads     map[uint64]pendingRead
+	node             *agree.Node
+	store            *raftlog.Log
+	incarnation      uint64
+	ticks            int
+	reports          map[string]takeout.Report
+	senders          map[uint64]*sender // to the members, by id
+	healthHeldSince  time.Time
+	proposedPhase    takeout.Phase // the newest proposal for this server
+	proposedAtTick   int
+	lastReport       takeout.Report // as last sent
+	lastToken        uint64
+	transferTarget   uint64 // raft's id of the voter that transfer chose; 0 = none
+	pendingProposals map[uint64]pendingProposal
+	lastSender       agree.Member // the sender of the newest messages, who gets the replies until the members are known
+	joinSender       *sender
+	joinAttempts     int
+	decision         takeout.Decision
+	action           takeout.Act
+	metrics          atomic.Pointer[Figures]
 }
 
-// New opens the fleet's log of a box. addr is where the others reach it; modules are new, and its own from here on.
-func New(opt Options, name, addr string, boxes []link.Box, l *link.Link, body Body, log *slog.Logger, modules ...Module) (*Driver, error) {
+// New opens the fleet's log of a server. addr is where other servers reach it. The modules have to be new; the driver
+// owns them from here on.
+func New(opt Options, name, addr string, joinTargets []link.Box, l *link.Link, process Body, log *slog.Logger, modules ...Module) (*Driver, error) {
 	dir := wal.Dir(opt.Dir)
 	if err := dir.Make(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -99,13 +100,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	ways := map[string]string{}
-	for _, b := range boxes {
-		ways[b.Name] = b.Addr
+	addrOverrides := map[string]string{}
+	for _, server := range joinTargets {
+		addrOverrides[server.Name] = server.Addr
 	}
-	d := &Driver{opt: opt, self: agree.Member{Name: name, Zone: opt.Zone, Addr: addr}, boxes: boxes, ways: ways, link: l, body: body, log: log, lock: lock,
-		in: make(chan func(), maxQueue), done: make(chan struct{}), reports: map[string]takeout.Report{}, lines: map[uint64]*line{}, waiting: map[uint64]pending{}, knocks: rand.IntN(max(1, len(boxes))),
-		modules: modules, knows: map[uint64][]string{}, asked: map[uint64]reading{}}
+	d := &Driver{opt: opt, self: agree.Member{Name: name, Zone: opt.Zone, Addr: addr}, joinTargets: joinTargets, addrOverrides: addrOverrides, link: l, process: process, log: log, lock: lock,
+		queue: make(chan func(), maxQueuedEvents), done: make(chan struct{}), reports: map[string]takeout.Report{}, senders: map[uint64]*sender{}, pendingProposals: map[uint64]pendingProposal{}, joinAttempts: rand.IntN(max(1, len(joinTargets))),
+		modules: modules, supportedModules: map[uint64][]string{}, pendingReads: map[uint64]pendingRead{}}
 	if err := d.open(); err != nil {
 		lock.Close()
 		return nil, err
@@ -113,22 +114,22 @@
 	return d, nil
 }
 
-// open reads what the directory keeps.
+// open loads what the directory stores.
 func (d *Driver) open() (err error) {
-	if d.inc, err = nextIncarnation(d.opt.Dir, uint64(time.Now().UnixMilli())); err != nil {
+	if d.incarnation, err = nextIncarnation(d.opt.Dir, uint64(time.Now().UnixMilli())); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	if d.store, err = raftlog.Open(wal.Dir(d.opt.Dir), d.self.Name, newID, segment); err != nil {
+	if d.store, err = raftlog.Open(wal.Dir(d.opt.Dir), d.self.Name, newID, segmentBytes); err != nil {
 		return err
 	}
 	d.self.ID = d.store.ID()
-	if d.hello, err = cbor.Marshal(d.self); err != nil {
+	if d.selfFrame, err = cbor.Marshal(d.self); err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	return d.begin()
+	return d.startNode()
 }
 
-// newID draws raft's id of a box whose disk is empty.
+// newID draws the raft id of a server whose disk is empty.
 func newID() uint64 {
 	for {
 		if id := rand.Uint64(); id != 0 {
@@ -137,16 +138,16 @@
 	}
 }
 
-func (d *Driver) begin() (err error) {
-	parts := make([]agree.Part, len(d.modules))
+func (d *Driver) startNode() (err error) {
+	machines := make([]agree.Part, len(d.modules))
 	for i, m := range d.modules {
-		parts[i] = m
+		machines[i] = m
 	}
-	d.node, err = agree.New(d.store, quiet{d.log}, parts...)
+	d.node, err = agree.New(d.store, raftLogger{d.log}, machines...)
 	return err
 }
 
-// Run is the loop, until ctx ends. A panic in what agrees ends this box's part alone.
+// Run runs the loop until the context ends. A panic ends the server's membership, not its process.
 func (d *Driver) Run(ctx context.Context) {
 	defer close(d.done)
 	defer func() {
@@ -156,11 +157,11 @@
 		for _, m := range d.modules {
 			m.End()
 		}
-		for _, l := range d.lines {
-			l.close()
+		for _, s := range d.senders {
+			s.close()
 		}
-		if d.knocking != nil {
-			d.knocking.close()
+		if d.joinSender != nil {
+			d.joinSender.close()
 		}
 		d.store.Close()
 		d.lock.Close()
@@ -169,18 +170,18 @@
 	for _, m := range d.modules {
 		m.Begin(&Host{d, m.Name()})
 	}
-	clock := time.NewTicker(tick)
-	defer clock.Stop()
+	ticker := time.NewTicker(tick)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-clock.C:
+		case <-ticker.C:
 			d.tick(ctx)
-		case f := <-d.in:
+		case f := <-d.queue:
 			f()
-			for n := len(d.in); n > 0; n-- {
-				(<-d.in)()
+			for n := len(d.queue); n > 0; n-- {
+				(<-d.queue)()
 			}
 		}
 		if err := d.flush(ctx); err != nil {
@@ -190,15 +191,15 @@
 	}
 }
 
-// enter has f run on the loop; false = its queue is full, or it has ended.
-func (d *Driver) enter(f func()) bool {
+// enqueue queues a function for the loop; false = the queue is full, or the loop has ended.
+func (d *Driver) enqueue(f func()) bool {
 	select {
 	case <-d.done:
 		return false
 	default:
 	}
 	select {
-	case d.in <- f:
+	case d.queue <- f:
 		return true
 	default:
 		return false
@@ -211,69 +212,70 @@
 	s := d.node.State()
 	now := time.Now()
 	member := s.Member(d.self.ID)
-	if d.ticks%reportEach == 0 {
+	if d.ticks%reportTicks == 0 {
 		if member == nil || member.Addr != d.self.Addr {
-			d.knock(ctx)
+			d.sendJoinRequest(ctx)
 		}
-		d.report(ctx, now)
-		for token, w := range d.waiting { // nobody waits for these any longer
-			if d.ticks > w.until {
-				delete(d.waiting, token)
+		d.sendReport(ctx, now)
+		for token, p := range d.pendingProposals { // nobody waits for these any longer
+			if d.ticks > p.expiresAtTick {
+				delete(d.pendingProposals, token)
 			}
 		}
-		for id, r := range d.asked {
-			if d.ticks > r.until {
-				delete(d.asked, id)
+		for id, r := range d.pendingReads {
+			if d.ticks > r.expiresAtTick {
+				delete(d.pendingReads, id)
 			}
 		}
 	}
 	for _, m := range d.modules {
 		m.Tick(now)
 	}
-	if d.ticks%actEach != 0 {
+	if d.ticks%actTicks != 0 {
 		return
 	}
-	d.show(now)
+	d.publishMetrics(now)
 	if member == nil {
 		return
 	}
-	if r := d.body.Look(); r.Warm != d.stood.Warm || r.Failing != d.stood.Failing { // somebody may wait for it
-		d.report(ctx, now)
+	// A plan may be waiting for the change.
+	if r := d.process.Look(); r.Warm != d.lastReport.Warm || r.Failing != d.lastReport.Failing {
+		d.sendReport(ctx, now)
 	}
-	d.agent(now)
+	d.actOnState(now)
 	if _, leads := d.node.Leads(); leads {
-		d.leadOn(now)
+		d.lead(now)
 		for _, m := range d.modules {
 			m.Lead(now)
 		}
 	}
 }
 
-// propose asks the fleet for an entry; answer, if any, hears what became of it.
-func (d *Driver) propose(e *takeout.Entry, answer chan error) {
-	d.token++
-	token := d.token
-	if answer != nil {
-		d.waiting[token] = pending{answer, d.ticks + int(outcome/tick)}
+// propose proposes an entry. result, unless it is nil, receives the outcome.
+func (d *Driver) propose(e *takeout.Entry, result chan error) {
+	d.lastToken++
+	token := d.lastToken
+	if result != nil {
+		d.pendingProposals[token] = pendingProposal{result, d.ticks + int(commandTimeout/tick)}
 	}
-	if err := d.node.Propose(token, e); err != nil && answer != nil {
-		delete(d.waiting, token)
-		answer <- err
+	if err := d.node.Propose(token, e); err != nil && result != nil {
+		delete(d.pendingProposals, token)
+		result <- err
 	}
 }
 
-// flush sends what raft has to say and logs what has taken hold.
+// flush sends raft's messages and delivers what has been applied.
 func (d *Driver) flush(ctx context.Context) error {
 	out, err := d.node.Flush()
 	if err != nil {
 		return err
 	}
 	for _, a := range out.Applied {
-		if w, ok := d.waiting[a.Token]; ok && a.Proposer == d.self.ID && a.Change == nil {
-			delete(d.waiting, a.Token)
-			w.answer <- a.Err
+		if p, ok := d.pendingProposals[a.Token]; ok && a.Proposer == d.self.ID && a.Change == nil {
+			delete(d.pendingProposals, a.Token)
+			p.result <- a.Err
 		}
-		d.tell(a)
+		d.logApplied(a)
 	}
 	now := time.Now()
 	if len(out.Applied) > 0 || out.Restored {
@@ -281,9 +283,9 @@
 			m.Applied(now)
 		}
 	}
-	d.confirmed(out.Reads, now)
+	d.deliverReads(out.Reads, now)
 	for _, m := range out.Messages {
-		if !d.to(ctx, m.To).send(frame{m.Data, m.Snapshot}) {
+		if !d.senderTo(ctx, m.To).queueMessage(outgoingMessage{m.Data, m.Snapshot}) {
 			d.node.Unreachable(m.To)
 			if m.Snapshot {
 				d.node.SnapshotSent(m.To, false)
@@ -293,19 +295,20 @@
 	return nil
 }
 
-// command is an operator's word; back is for a box whose work did not end its process.
-func (d *Driver) command(e takeout.Entry, answer chan error) {
+// proposeCommand proposes an operator's entry. A step of this server itself, which ends maintenance without a restart
+// of the process, gets the incarnation of this process.
+func (d *Driver) proposeCommand(e takeout.Entry, result chan error) {
 	e.At = time.Now().UnixMilli()
 	if e.Kind == takeout.Step && e.Box == d.self.Name {
-		e.Incarnation = d.inc
+		e.Incarnation = d.incarnation
 	}
-	d.propose(&e, answer)
+	d.propose(&e, result)
 }
 
-// receive takes messages. A box that is being let in knows nobody: it answers where they came from.
-func (d *Driver) receive(from agree.Member, list [][]byte) {
-	d.leader = from
-	for _, m := range list {
+// receive processes raft messages. A server that is being admitted knows no members yet: it answers the sender.
+func (d *Driver) receive(from agree.Member, messages [][]byte) {
+	d.lastSender = from
+	for _, m := range messages {
 		if err := d.node.Receive(m); err != nil {
 			d.log.Debug("fleet", "do", "receive", "err", err)
 		}
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -18,41 +18,43 @@
 	"larchscale/internal/link"
 )
 
-// body is a box that is warm and has nothing open.
-type body struct{ held atomic.Bool }
+// fakeProcess is a process that is warm and has no open requests.
+type fakeProcess struct{ healthHeld atomic.Bool }
 
-func (b *body) Look() takeout.Report { return takeout.Report{Warm: true, Capacity: 100, Load: 30} }
-func (b *body) Hold(on bool)         { b.held.Store(on) }
+func (s *fakeProcess) Look() takeout.Report {
+	return takeout.Report{Warm: true, Capacity: 100, Load: 30}
+}
+func (s *fakeProcess) Hold(on bool) { s.healthHeld.Store(on) }
 
-// box is one box of the test, on a directory and an address that outlive its processes.
-type box struct {
+// testServer is a server with a directory and an address that outlive its processes.
+type testServer struct {
 	t               *testing.T
 	name, zone, dir string
 	addr            string
 	others          []string
-	body            body
+	process         fakeProcess
 	link            *link.Link
 	stop            func()
 }
 
-// start is a new process of the box.
-func (b *box) start() {
-	b.t.Helper()
+// start starts a new process of the server.
+func (s *testServer) start() {
+	s.t.Helper()
 	log := slog.New(slog.DiscardHandler)
-	l, err := link.New(link.Options{Listen: b.addr}, log)
+	l, err := link.New(link.Options{Listen: s.addr}, log)
 	if err != nil {
-		b.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	b.link = l
+	s.link = l
 	o := Defaults()
-	o.Dir, o.Zone, o.DrainMs = b.dir, b.zone, 300
-	d, err := New(o, b.name, b.addr, (&link.Options{Boxes: b.others}).Others(), l, &b.body, log)
+	o.Dir, o.Zone, o.DrainMs = s.dir, s.zone, 300
+	d, err := New(o, s.name, s.addr, (&link.Options{Boxes: s.others}).Others(), l, &s.process, log)
 	if err != nil {
-		b.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	in, err := l.Listen()
 	if err != nil {
-		b.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	ctx, end := context.WithCancel(context.Background())
 	served := make(chan struct{})
@@ -61,83 +63,84 @@
 		close(served)
 	}()
 	go d.Run(ctx)
-	b.stop = func() {
+	s.stop = func() {
 		end()
 		<-d.done
 		<-served
-		b.stop = nil
+		s.stop = nil
 	}
 }
 
-func (b *box) state() (Status, bool) {
-	c := b.link.Dial(b.name, b.addr)
-	defer c.Close()
-	s, err := State(context.Background(), c)
-	return s, err == nil
+func (s *testServer) state() (Status, bool) {
+	client := s.link.Dial(s.name, s.addr)
+	defer client.Close()
+	status, err := State(context.Background(), client)
+	return status, err == nil
 }
 
-// command gives what became of a word; "" = it is done.
-func (b *box) command(w Word) string {
-	c := b.link.Dial(b.name, b.addr)
-	defer c.Close()
-	if err := Say(b.t.Context(), c, w); err != nil {
+// command sends a command, and returns its error; "" = success.
+func (s *testServer) command(command Word) string {
+	client := s.link.Dial(s.name, s.addr)
+	defer client.Close()
+	if err := Say(s.t.Context(), client, command); err != nil {
 		return err.Error()
 	}
 	return ""
 }
 
-// until waits for what has to come; the time is reached only by a test that fails.
+// until waits for a condition, and fails the test after a minute.
 func until(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(60 * time.Second); !f(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not %s", what)
+			t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
-// Three boxes on real sockets: one founds the fleet, the others knock, two more become voters; a plan takes each out in
-// turn, held while it drains; the leader is ended in the middle, and a box returns as another process.
-func TestThreeBoxesTakeThemselvesOut(t *testing.T) {
+// Three servers on real sockets: one founds the fleet, the others are admitted and become voters. A plan drains each
+// in turn, with a failing health check, while the leader is restarted once and each server comes back as a new
+// process.
+func TestPlanDrainsThreeServersInTurn(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	defer http.DefaultClient.CloseIdleConnections()
-	var all []*box
+	var all []*testServer
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, &box{t: t, name: fmt.Sprint("n", i+1), zone: fmt.Sprint("z", i), dir: t.TempDir(), addr: l.Addr().String()})
+		all = append(all, &testServer{t: t, name: fmt.Sprint("n", i+1), zone: fmt.Sprint("z", i), dir: t.TempDir(), addr: l.Addr().String()})
 		l.Close()
 	}
-	for _, b := range all {
+	for _, s := range all {
 		for _, o := range all {
-			if o != b {
-				b.others = append(b.others, o.name+"="+o.addr)
+			if o != s {
+				s.others = append(s.others, o.name+"="+o.addr)
 			}
 		}
-		b.start()
+		s.start()
 	}
 	defer func() {
-		for _, b := range all {
-			if b.stop != nil {
-				b.stop()
+		for _, s := range all {
+			if s.stop != nil {
+				s.stop()
 			}
 		}
 	}()
-	if e := all[0].command(Word{Found: true}); e != "" {
-		t.Fatal(e)
+	if errText := all[0].command(Word{Found: true}); errText != "" {
+		t.Fatal(errText)
 	}
-	if e := all[0].command(Word{Found: true}); e == "" {
-		t.Fatal("found twice")
+	if errText := all[0].command(Word{Found: true}); errText == "" {
+		t.Fatal("a second fleet was founded on the same log")
 	}
-	until(t, "three voters that are in", func() bool {
-		for _, b := range all {
-			s, ok := b.state()
-			if !ok || len(s.Members) != 3 || slices.ContainsFunc(s.Boxes, func(x takeout.Box) bool { return x.Phase != takeout.In || x.Incarnation == 0 }) {
+	until(t, "three voters in service", func() bool {
+		for _, s := range all {
+			status, ok := s.state()
+			if !ok || len(status.Members) != 3 || slices.ContainsFunc(status.Boxes, func(x takeout.Box) bool { return x.Phase != takeout.In || x.Incarnation == 0 }) {
 				return false
 			}
-			for _, m := range s.Members {
+			for _, m := range status.Members {
 				if !m.Voter {
 					return false
 				}
@@ -146,111 +149,111 @@
 		return true
 	})
 	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{"n1", "n2", "n3"}, Most: 1, Floor: 0.1}
-	if e := all[2].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}); e != "" {
-		t.Fatal(e)
+	if errText := all[2].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}); errText != "" {
+		t.Fatal(errText)
 	}
-	if e := all[1].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); e == "" {
-		t.Fatal("a plan for an unknown box was taken")
+	if errText := all[1].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); errText == "" {
+		t.Fatal("a plan for an unknown server was accepted")
 	}
-	worked := map[string]int{}
-	killed := false
-	until(t, "done", func() bool {
+	outCount := map[string]int{}
+	leaderRestarted := false
+	until(t, "plan done", func() bool {
 		out := 0
-		for _, b := range all {
-			if b.stop == nil {
+		for _, s := range all {
+			if s.stop == nil {
 				continue
 			}
-			s, ok := b.state()
+			status, ok := s.state()
 			if !ok {
 				continue
 			}
-			for _, x := range s.Boxes {
-				if x.Name == b.name && x.Phase == takeout.Out && x.Incarnation == s.Incarnation {
-					if !b.body.held.Load() {
-						t.Fatalf("%s is out, and its health does not say no", b.name)
+			for _, x := range status.Boxes {
+				if x.Name == s.name && x.Phase == takeout.Out && x.Incarnation == status.Incarnation {
+					if !s.process.healthHeld.Load() {
+						t.Fatalf("%s is out, but its health check does not fail", s.name)
 					}
 					out++
-					worked[b.name]++
-					if !killed { // the leader dies while one is out
-						killed = true
+					outCount[s.name]++
+					if !leaderRestarted { // the leader is restarted while another server is out
+						leaderRestarted = true
 						for _, l := range all {
-							if l.name == s.Leader && l != b {
+							if l.name == status.Leader && l != s {
 								l.stop()
 								l.start()
 							}
 						}
 					}
-					b.stop()
-					b.start() // the work is done
+					s.stop()
+					s.start() // the maintenance is done
 				}
 			}
 			if out > 1 {
-				t.Fatalf("%d are out at once", out)
+				t.Fatalf("%d servers are out at once", out)
 			}
-			if i := slices.IndexFunc(s.Plans, func(p takeout.Plan) bool { return p.ID == "disks" }); i >= 0 && s.Plans[i].State == takeout.Done {
+			if i := slices.IndexFunc(status.Plans, func(p takeout.Plan) bool { return p.ID == "disks" }); i >= 0 && status.Plans[i].State == takeout.Done {
 				return true
 			}
 		}
 		return false
 	})
-	for _, b := range all {
-		if worked[b.name] != 1 {
-			t.Errorf("%s was out %d times", b.name, worked[b.name])
+	for _, s := range all {
+		if outCount[s.name] != 1 {
+			t.Errorf("%s was out %d times", s.name, outCount[s.name])
 		}
 	}
 }
 
-// What is no message, no report, no command is refused at once, and whoever is no member is not listened to.
-func TestTheDriverRefusesNonsense(t *testing.T) {
+// Malformed messages, reports and commands are refused at once, those of servers that are not members are ignored.
+func TestMalformedRequestsAreRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &box{t: t, name: "n1", zone: "a", dir: t.TempDir(), addr: l.Addr().String()}
+	s := &testServer{t: t, name: "n1", zone: "a", dir: t.TempDir(), addr: l.Addr().String()}
 	l.Close()
-	b.start()
-	defer func() { b.stop() }()
-	for _, k := range []struct {
+	s.start()
+	defer func() { s.stop() }()
+	for _, c := range []struct {
 		path, body string
 		code       int
 	}{
-		{"/fleet/messages", "\xff\xff\xff\xff\x0f", http.StatusBadRequest}, // longer than what follows
+		{"/fleet/messages", "\xff\xff\xff\xff\x0f", http.StatusBadRequest}, // the length is longer than what follows
 		{"/fleet/messages", "", http.StatusBadRequest},
-		{"/fleet/messages", "\x01\xa0\x03abc", http.StatusOK}, // whole, and not raft's: dropped
+		{"/fleet/messages", "\x01\xa0\x03abc", http.StatusOK}, // well-formed, but not a raft message: dropped
 		{"/fleet/report", "x", http.StatusBadRequest},
-		{"/fleet/knock", "\xa0", http.StatusServiceUnavailable}, // nobody leads
+		{"/fleet/knock", "\xa0", http.StatusServiceUnavailable}, // there is no leader
 		{"/fleet/command", `{"Foond":true}`, http.StatusBadRequest},
 		{"/fleet/elsewhere", "", http.StatusNotFound},
 	} {
-		res, err := http.Post("http://"+b.addr+k.path, "", bytes.NewReader([]byte(k.body)))
+		res, err := http.Post("http://"+s.addr+c.path, "", bytes.NewReader([]byte(c.body)))
 		if err != nil {
 			t.Fatal(err)
 		}
 		res.Body.Close()
-		if res.StatusCode != k.code {
-			t.Errorf("%s %q: %d, want %d", k.path, k.body, res.StatusCode, k.code)
+		if res.StatusCode != c.code {
+			t.Errorf("%s %q: %d, want %d", c.path, c.body, res.StatusCode, c.code)
 		}
 	}
-	if e := b.command(Word{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "p"}}}); e == "" {
-		t.Error("a command was taken with no leader")
+	if errText := s.command(Word{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "p"}}}); errText == "" {
+		t.Error("a command was accepted without a leader")
 	}
-	if _, ok := b.state(); !ok {
-		t.Error("it no longer answers")
+	if _, ok := s.state(); !ok {
+		t.Error("the server no longer answers")
 	}
 }
 
-// Each process of a box has a higher number than all before, also where the clock went back or the file is odd.
-func TestIncarnationsGoUp(t *testing.T) {
+// Each process of a server has a larger number than all earlier ones, even after the clock was set back.
+func TestIncarnationsIncrease(t *testing.T) {
 	dir := t.TempDir()
-	last := uint64(0)
+	previous := uint64(0)
 	for _, now := range []uint64{100, 50, 50, 200} {
 		n, err := nextIncarnation(dir, now)
-		if err != nil || n <= last || n < now {
-			t.Fatalf("%d after %d at %d: %v", n, last, now, err)
+		if err != nil || n <= previous || n < now {
+			t.Fatalf("%d after %d at %d: %v", n, previous, now, err)
 		}
-		last = n
+		previous = n
 	}
 	if _, err := nextIncarnation(dir+"/none", 1); err == nil {
-		t.Error("a directory that is not there was taken")
+		t.Error("a missing directory was accepted")
 	}
 }
--- a/internal/fleet/driver/figures.go
+++ b/internal/fleet/driver/figures.go
@@ -7,34 +7,34 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Figures are what the door tells of the fleet, as this box sees it.
+// Figures are the fleet's metrics on the admin endpoint, as this server sees the fleet.
 type Figures struct {
-	Leader  bool // this box leads
-	Known   bool // a leader is known: a majority hears each other
+	Leader  bool // this server is the leader
+	Known   bool // a leader is known: a majority is connected
 	Term    uint64
-	Index   uint64 // of the last entry applied
+	Index   uint64 // of the last applied entry
 	Members int
 	Voters  int
-	Out     int // boxes that are not in, by the log
-	Silent  int // members whose reports are missing, as a voter knows
-	Plans   int // that are not over
+	Out     int // servers that are not in service, according to the log
+	Silent  int // members without a recent report; only voters receive reports
+	Plans   int // plans that have not ended
 	Phase   takeout.Phase
-	modules []byte // their lines
+	modules []byte // metrics of the modules
 }
 
-// Lines writes the figures as the door's /stats does. It is safe from any goroutine.
+// Lines returns the metrics as lines of the admin endpoint. It is safe for concurrent use.
 func (d *Driver) Lines() []byte {
-	f := d.shown.Load()
+	f := d.metrics.Load()
 	if f == nil {
 		return nil
 	}
-	bit := map[bool]int{true: 1}
+	digit := map[bool]int{true: 1}
 	return append(fmt.Appendf(nil, "fleet.leader=%d\nfleet.known=%d\nfleet.term=%d\nfleet.index=%d\nfleet.members=%d\nfleet.voters=%d\nfleet.out=%d\nfleet.silent=%d\nfleet.plans=%d\nfleet.phase=%d\n",
-		bit[f.Leader], bit[f.Known], f.Term, f.Index, f.Members, f.Voters, f.Out, f.Silent, f.Plans, f.Phase), f.modules...)
+		digit[f.Leader], digit[f.Known], f.Term, f.Index, f.Members, f.Voters, f.Out, f.Silent, f.Plans, f.Phase), f.modules...)
 }
 
-// show publishes the figures.
-func (d *Driver) show(now time.Time) {
+// publishMetrics updates what Driver.Metrics returns.
+func (d *Driver) publishMetrics(now time.Time) {
 	s := d.node.State()
 	f := &Figures{Index: s.Work.Index, Members: len(s.Members), Out: s.Work.Away(), Known: d.node.Leader() != 0}
 	f.Term, f.Leader = d.node.Leads()
@@ -43,7 +43,7 @@
 		if m.Voter {
 			f.Voters++
 		}
-		if me != nil && me.Voter && !d.fresh(&m, now) {
+		if me != nil && me.Voter && !d.hasFreshReport(&m, now) {
 			f.Silent++
 		}
 	}
@@ -58,5 +58,5 @@
 	for _, m := range d.modules {
 		f.modules = append(f.modules, m.Lines(now)...)
 	}
-	d.shown.Store(f)
+	d.metrics.Store(f)
 }
--- a/internal/fleet/driver/http.go
+++ b/internal/fleet/driver/http.go
@@ -14,129 +14,129 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// maxBody bounds what another box or an operator sends at once.
-const maxBody = agree.MaxFrame + 1<<10
+// maxMessagesBody limits the raft messages of one request.
+const maxMessagesBody = agree.MaxFrame + 1<<10
 
-// maxNote bounds a report and a knock.
-const maxNote = 64 << 10
+// maxReportBytes limits a report and a join request.
+const maxReportBytes = 64 << 10
 
-// maxCommand bounds an operator's command: a document of 64 KB, as JSON has it, and some more.
-const maxCommand = 128 << 10
+// maxCommandBytes limits an operator's command: a JSON document of 64 KB, and its envelope.
+const maxCommandBytes = 128 << 10
 
-// noPart is what a box says whose part in the fleet has ended, or not begun.
-const noPart = "this box takes no part in the fleet now"
+// notParticipating is the answer of a server whose membership has ended, or not begun.
+const notParticipating = "this box takes no part in the fleet now"
 
-// Word is an operator's command as it is sent: found, a module's, or an entry.
+// Word is an operator's command as it is sent. It founds a fleet, goes to a module, or proposes an entry.
 type Word struct {
 	Found bool
-	Part  string          `json:",omitempty"` // of the module that reads Data; "" = none
+	Part  string          `json:",omitempty"` // the module that reads Data; "" = none
 	Data  json.RawMessage `json:",omitempty"`
 	Entry takeout.Entry
 }
 
-// Answer is what became of it.
+// Answer is the outcome of a command.
 type Answer struct {
-	Error string // "" = it is done
+	Error string // "" = success
 }
 
-// Handler serves the other boxes, and the operators of this one.
+// Handler serves the other servers, and the operators of this one. A frame is a message behind its length.
 //
-//	POST /fleet/messages  the sender, then raft's messages, each behind its length
-//	POST /fleet/part      the sender, then part and message in turn, of what modules say to each other
-//	POST /fleet/report    how a box stands
-//	POST /fleet/knock     a box that wants to be let in
-//	POST /fleet/passed    the same, at a box that may lead, by one that does not
-//	GET  /fleet/state     Status as JSON; with ?part= how that module's part stands; with &key= one item of it
-//	POST /fleet/command   a Word as JSON; the answer comes once it is agreed, or after 10 s
+//	POST /fleet/messages  a frame with the sender, then one for each raft message
+//	POST /fleet/part      a frame with the sender, then a module's name and its message in turn
+//	POST /fleet/report    a server's report on itself
+//	POST /fleet/knock     a join request
+//	POST /fleet/passed    a join request that a server which is not the leader forwards
+//	GET  /fleet/state     Status as JSON; with ?part= the status of that module; with &key= one item of its state
+//	POST /fleet/command   a Command as JSON; the answer comes once it is committed, or after 10 s
 func (d *Driver) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fleet/messages", func(w http.ResponseWriter, r *http.Request) {
-		list, err := frames(r.Body, maxBody)
+		frames, err := readFrames(r.Body, maxMessagesBody)
 		var from agree.Member
-		if err == nil && len(list) == 0 {
+		if err == nil && len(frames) == 0 {
 			err = errors.New("nobody's")
 		}
 		if err == nil {
-			err = cbor.Unmarshal(list[0], &from)
+			err = cbor.Unmarshal(frames[0], &from)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !d.enter(func() { d.receive(from, list[1:]) }) {
+		if !d.enqueue(func() { d.receive(from, frames[1:]) }) {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		}
 	})
 	mux.HandleFunc("POST /fleet/part", func(w http.ResponseWriter, r *http.Request) {
-		list, err := frames(r.Body, maxBatch+2*maxWord)
+		frames, err := readFrames(r.Body, maxBatch+2*maxModuleMessage)
 		var from agree.Member
-		var said []word
+		var messages []moduleMessage
 		if err == nil {
-			from, said, err = words(list)
+			from, messages, err = decodeModuleMessages(frames)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if !d.enter(func() {
-			if m := d.node.State().Member(from.ID); m != nil {
-				for _, x := range said {
-					d.hand(x, *m)
+		if !d.enqueue(func() {
+			if member := d.node.State().Member(from.ID); member != nil {
+				for _, m := range messages {
+					d.deliver(m, *member)
 				}
 			}
 		}) {
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		}
 	})
-	mux.HandleFunc("POST /fleet/report", noted(d, d.take))
-	mux.HandleFunc("POST /fleet/knock", noted(d, d.knocked))
-	mux.HandleFunc("POST /fleet/passed", noted(d, d.letIn))
+	mux.HandleFunc("POST /fleet/report", decodeAndRun(d, d.receiveReport))
+	mux.HandleFunc("POST /fleet/knock", decodeAndRun(d, d.handleJoinRequest))
+	mux.HandleFunc("POST /fleet/passed", decodeAndRun(d, d.admit))
 	mux.HandleFunc("GET /fleet/state", func(w http.ResponseWriter, r *http.Request) {
-		got := make(chan any, 1)
-		part, key := r.URL.Query().Get("part"), r.URL.Query().Get("key")
-		ask := func() { got <- d.stands(part) }
+		result := make(chan any, 1)
+		module, key := r.URL.Query().Get("part"), r.URL.Query().Get("key")
+		query := func() { result <- d.moduleStatus(module) }
 		if key != "" {
-			ask = func() { got <- d.item(part, key) }
+			query = func() { result <- d.item(module, key) }
 		}
-		if d.enter(ask) {
+		if d.enqueue(query) {
 			select {
-			case s := <-got:
-				if s == nil {
-					http.Error(w, fmt.Sprintf("this box has no part %q, or nothing of key %q in it", part, key), http.StatusNotFound)
+			case status := <-result:
+				if status == nil {
+					http.Error(w, fmt.Sprintf("this box has no part %q, or nothing of key %q in it", module, key), http.StatusNotFound)
 					return
 				}
-				json.NewEncoder(w).Encode(s)
+				json.NewEncoder(w).Encode(status)
 				return
 			case <-d.done:
 			case <-r.Context().Done():
 			}
 		}
-		http.Error(w, noPart, http.StatusServiceUnavailable)
+		http.Error(w, notParticipating, http.StatusServiceUnavailable)
 	})
-	mux.HandleFunc("POST /fleet/command", d.commanded)
+	mux.HandleFunc("POST /fleet/command", d.handleCommand)
 	return mux
 }
 
-// noted reads a small body, has f take it on the loop, and tells how that ended.
-func noted[T any](d *Driver, f func(T) error) http.HandlerFunc {
+// decodeAndRun reads a small body, passes it to f on the loop, and answers with the result.
+func decodeAndRun[T any](d *Driver, f func(T) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		var x T
-		b, err := io.ReadAll(io.LimitReader(r.Body, maxNote+1))
-		if err == nil && len(b) > maxNote {
+		var value T
+		body, err := io.ReadAll(io.LimitReader(r.Body, maxReportBytes+1))
+		if err == nil && len(body) > maxReportBytes {
 			err = errors.New("too large")
 		}
 		if err == nil {
-			err = cbor.Unmarshal(b, &x)
+			err = cbor.Unmarshal(body, &value)
 		}
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		got := make(chan error, 1)
+		result := make(chan error, 1)
 		err = errors.New("not now")
-		if d.enter(func() { got <- f(x) }) {
+		if d.enqueue(func() { result <- f(value) }) {
 			select {
-			case err = <-got:
+			case err = <-result:
 			case <-d.done:
 			}
 		}
@@ -146,41 +146,41 @@
 	}
 }
 
-func (d *Driver) commanded(w http.ResponseWriter, r *http.Request) {
-	var word Word
-	in := json.NewDecoder(io.LimitReader(r.Body, maxCommand))
-	in.DisallowUnknownFields()
-	if err := in.Decode(&word); err != nil {
+func (d *Driver) handleCommand(w http.ResponseWriter, r *http.Request) {
+	var command Word
+	decoder := json.NewDecoder(io.LimitReader(r.Body, maxCommandBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&command); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	got := make(chan error, 1)
-	err := errors.New(noPart)
-	if d.enter(func() {
-		if word.Found {
-			got <- d.found()
+	result := make(chan error, 1)
+	err := errors.New(notParticipating)
+	if d.enqueue(func() {
+		if command.Found {
+			result <- d.bootstrap()
 			return
 		}
-		if word.Part != "" {
-			d.ordered(word, got)
+		if command.Part != "" {
+			d.handleModuleCommand(command, result)
 			return
 		}
-		d.command(word.Entry, got)
+		d.proposeCommand(command.Entry, result)
 	}) {
-		late := time.NewTimer(outcome)
-		defer late.Stop()
+		timeout := time.NewTimer(commandTimeout)
+		defer timeout.Stop()
 		select {
-		case err = <-got:
+		case err = <-result:
 		case <-d.done:
-		case <-late.C: // it may take hold yet: given again it has no second effect
-			err = errors.New("not agreed within 10 s: a majority may be out of reach; it may still take hold")
+		case <-timeout.C: // the entry may still be committed; repeating the command is harmless
+			err = errors.New("not committed within 10 s: a majority may be unreachable; the command may still take effect")
 		case <-r.Context().Done():
 			return
 		}
 	}
-	a := Answer{}
+	answer := Answer{}
 	if err != nil {
-		a.Error = err.Error()
+		answer.Error = err.Error()
 	}
-	json.NewEncoder(w).Encode(a)
+	json.NewEncoder(w).Encode(answer)
 }
--- a/internal/fleet/driver/incarnation.go
+++ b/internal/fleet/driver/incarnation.go
@@ -11,27 +11,27 @@
 	"larchscale/internal/wal"
 )
 
-// nextIncarnation numbers this process: more than every earlier one of the box, also if the clock went back. It is on
-// the disk before anything is said under it.
+// nextIncarnation returns the number of this process. It is larger than that of every earlier process of the server,
+// even if the clock was set back, and is on disk before it is used.
 func nextIncarnation(dir string, now uint64) (uint64, error) {
-	path := filepath.Join(dir, incarnationName)
-	text, err := os.ReadFile(path)
+	path := filepath.Join(dir, incarnationFile)
+	content, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return 0, err
 	}
-	was, _ := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
-	n := max(now, was+1)
-	f, err := os.CreateTemp(dir, incarnationName+"-")
+	previous, _ := strconv.ParseUint(strings.TrimSpace(string(content)), 10, 64)
+	next := max(now, previous+1)
+	f, err := os.CreateTemp(dir, incarnationFile+"-")
 	if err != nil {
 		return 0, err
 	}
 	defer os.Remove(f.Name())
-	_, err = fmt.Fprintln(f, n)
+	_, err = fmt.Fprintln(f, next)
 	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
 		return 0, err
 	}
 	if err := os.Rename(f.Name(), path); err != nil {
 		return 0, err
 	}
-	return n, wal.Dir(dir).SyncDir()
+	return next, wal.Dir(dir).SyncDir()
 }
--- a/internal/fleet/driver/line.go
+++ b/internal/fleet/driver/line.go
@@ -11,153 +11,154 @@
 	"larchscale/internal/link"
 )
 
-// maxBatch bounds the bytes of one request, but for a message that is larger by itself.
+// maxBatch limits the bytes of one request, unless a single message is larger.
 const maxBatch = 1 << 20
 
-// frame is a message on its way.
-type frame struct {
+// outgoingMessage is a raft message to send.
+type outgoingMessage struct {
 	data     []byte
 	snapshot bool
 }
 
-// line carries messages and reports to one box, in order, over one connection. What does not fit is dropped: raft
-// says it again, and only the newest report counts.
-type line struct {
-	d      *Driver
-	addr   string
-	id     uint64
-	frames chan frame
-	words  chan word // of modules
-	notes  chan note // the newest
-	stop   context.CancelFunc
+// sender sends messages and reports to one server, over one connection. Messages that find no room in a queue are
+// dropped: raft sends them again, and of the reports only the newest counts.
+type sender struct {
+	d              *Driver
+	addr           string
+	id             uint64
+	messages       chan outgoingMessage
+	moduleMessages chan moduleMessage // from modules
+	reports        chan queuedReport  // only the newest
+	stop           context.CancelFunc
 }
 
-type note struct {
+type queuedReport struct {
 	path string
 	data []byte
 }
 
-func newLine(ctx context.Context, d *Driver, name, addr string, id uint64) *line {
+func newSender(ctx context.Context, d *Driver, name, addr string, id uint64) *sender {
 	ctx, stop := context.WithCancel(ctx)
-	l := &line{d: d, addr: addr, id: id, frames: make(chan frame, maxFrames), words: make(chan word, maxFrames), notes: make(chan note, 1), stop: stop}
-	go l.run(ctx, d.link.Dial(name, addr))
-	return l
+	s := &sender{d: d, addr: addr, id: id, messages: make(chan outgoingMessage, maxQueuedMessages), moduleMessages: make(chan moduleMessage, maxQueuedMessages), reports: make(chan queuedReport, 1), stop: stop}
+	go s.run(ctx, d.link.Dial(name, addr))
+	return s
 }
 
-func (l *line) close() { l.stop() }
+func (s *sender) close() { s.stop() }
 
-// send takes a message; false = there is no room, or nobody to send it to.
-func (l *line) send(f frame) bool {
-	if l == nil {
+// queueMessage queues a raft message; false = the queue is full, or there is no such server.
+func (s *sender) queueMessage(m outgoingMessage) bool {
+	if s == nil {
 		return false
 	}
 	select {
-	case l.frames <- f:
+	case s.messages <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// say takes a module's message; false = there is no room, or nobody to say it to.
-func (l *line) say(w word) bool {
-	if l == nil {
+// queueModuleMessage queues a module's message; false = the queue is full, or there is no such server.
+func (s *sender) queueModuleMessage(m moduleMessage) bool {
+	if s == nil {
 		return false
 	}
 	select {
-	case l.words <- w:
+	case s.moduleMessages <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// tell takes a report in the place of one that waits.
-func (l *line) tell(path string, data []byte) {
-	if l == nil {
+// queueReport queues a report, which replaces one that is still queued.
+func (s *sender) queueReport(path string, data []byte) {
+	if s == nil {
 		return
 	}
 	select {
-	case <-l.notes:
+	case <-s.reports:
 	default:
 	}
-	l.notes <- note{path, data}
+	s.reports <- queuedReport{path, data}
 }
 
-func (l *line) run(ctx context.Context, c *link.Client) {
+func (s *sender) run(ctx context.Context, c *link.Client) {
 	defer c.Close()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case n := <-l.notes:
-			l.post(ctx, c, n.path, n.data)
-		case w := <-l.words:
-			l.speak(ctx, c, w)
-		case f := <-l.frames:
-			l.carry(ctx, c, f)
+		case report := <-s.reports:
+			s.post(ctx, c, report.path, report.data)
+		case m := <-s.moduleMessages:
+			s.sendModuleMessages(ctx, c, m)
+		case m := <-s.messages:
+			s.sendMessages(ctx, c, m)
 		}
 	}
 }
 
-// speak sends what modules say in one request. What does not come is theirs to say again.
-func (l *line) speak(ctx context.Context, c *link.Client, w word) {
-	body := framed(nil, l.d.hello)
+// sendModuleMessages sends the queued messages of modules in one request. Modules have to repeat messages that are
+// lost.
+func (s *sender) sendModuleMessages(ctx context.Context, c *link.Client, m moduleMessage) {
+	body := appendFrame(nil, s.d.selfFrame)
 	for more := true; more; {
-		body = framed(framed(body, []byte(w.part)), w.data)
+		body = appendFrame(appendFrame(body, []byte(m.module)), m.data)
 		if len(body) > maxBatch {
 			break
 		}
 		select {
-		case w = <-l.words:
+		case m = <-s.moduleMessages:
 		default:
 			more = false
 		}
 	}
-	l.post(ctx, c, "/fleet/part", body)
+	s.post(ctx, c, "/fleet/part", body)
 }
 
-// framed puts a message behind its length.
-func framed(to, data []byte) []byte {
-	return append(binary.AppendUvarint(to, uint64(len(data))), data...)
+// appendFrame appends a message behind its length.
+func appendFrame(buf, data []byte) []byte {
+	return append(binary.AppendUvarint(buf, uint64(len(data))), data...)
 }
 
-func (l *line) post(ctx context.Context, c *link.Client, path string, body []byte) bool {
+func (s *sender) post(ctx context.Context, c *link.Client, path string, body []byte) bool {
 	ctx, stop := context.WithTimeout(ctx, link.Within)
 	defer stop()
 	_, err := c.Post(ctx, path, body)
 	return err == nil
 }
 
-// carry sends what waits in one request.
-func (l *line) carry(ctx context.Context, c *link.Client, f frame) {
-	body := framed(nil, l.d.hello)
+// sendMessages sends the queued raft messages in one request.
+func (s *sender) sendMessages(ctx context.Context, c *link.Client, m outgoingMessage) {
+	body := appendFrame(nil, s.d.selfFrame)
 	snapshot := false
 	for more := true; more; {
-		body = framed(body, f.data)
-		snapshot = snapshot || f.snapshot
+		body = appendFrame(body, m.data)
+		snapshot = snapshot || m.snapshot
 		if len(body) > maxBatch {
 			break
 		}
 		select {
-		case f = <-l.frames:
+		case m = <-s.messages:
 		default:
 			more = false
 		}
 	}
-	ok := l.post(ctx, c, "/fleet/messages", body)
+	ok := s.post(ctx, c, "/fleet/messages", body)
 	if ok && !snapshot || ctx.Err() != nil {
 		return
 	}
-	l.d.enter(func() {
+	s.d.enqueue(func() {
 		if !ok {
-			l.d.node.Unreachable(l.id)
+			s.d.node.Unreachable(s.id)
 		}
 		if snapshot {
-			l.d.node.SnapshotSent(l.id, ok)
+			s.d.node.SnapshotSent(s.id, ok)
 		}
 	})
-	if !ok { // a box that refuses at once is not asked again at full speed
+	if !ok { // a server that fails at once is not called again at full speed
 		select {
 		case <-ctx.Done():
 		case <-time.After(tick):
@@ -165,22 +166,22 @@
 	}
 }
 
-// frames reads the messages of one request, each behind its length.
-func frames(in io.Reader, limit int) (out [][]byte, err error) {
-	all, err := io.ReadAll(io.LimitReader(in, int64(limit)+1))
+// readFrames reads the messages of one request, each behind its length.
+func readFrames(r io.Reader, limit int) (out [][]byte, err error) {
+	body, err := io.ReadAll(io.LimitReader(r, int64(limit)+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(all) > limit {
+	if len(body) > limit {
 		return nil, fmt.Errorf("more than %d bytes", limit)
 	}
-	for len(all) > 0 {
-		n, k := binary.Uvarint(all)
-		if k <= 0 || n > uint64(len(all)-k) {
+	for len(body) > 0 {
+		size, headerLen := binary.Uvarint(body)
+		if headerLen <= 0 || size > uint64(len(body)-headerLen) {
 			return nil, errors.New("a message is cut short")
 		}
-		out = append(out, all[k:k+int(n)])
-		all = all[k+int(n):]
+		out = append(out, body[headerLen:headerLen+int(size)])
+		body = body[headerLen+int(size):]
 	}
 	return out, nil
 }
--- a/internal/fleet/driver/members.go
+++ b/internal/fleet/driver/members.go
@@ -10,49 +10,50 @@
 	"larchscale/internal/fleet/agree"
 )
 
-// found begins a fleet with this box.
-func (d *Driver) found() error {
+// bootstrap starts a new fleet with this server as its only member.
+func (d *Driver) bootstrap() error {
 	if err := agree.Found(d.store, d.self); err != nil {
 		return err
 	}
-	if err := d.begin(); err != nil {
+	if err := d.startNode(); err != nil {
 		return err
 	}
 	return d.node.Campaign()
 }
 
-// knock asks one box of the file after the other to be let in.
-func (d *Driver) knock(ctx context.Context) {
-	if len(d.boxes) == 0 {
+// sendJoinRequest asks the next of the configured servers to admit this one.
+func (d *Driver) sendJoinRequest(ctx context.Context) {
+	if len(d.joinTargets) == 0 {
 		return
 	}
-	d.knocks++
-	b := d.boxes[d.knocks%len(d.boxes)]
-	if d.knocking != nil {
-		d.knocking.close()
+	d.joinAttempts++
+	target := d.joinTargets[d.joinAttempts%len(d.joinTargets)]
+	if d.joinSender != nil {
+		d.joinSender.close()
 	}
-	d.knocking = newLine(ctx, d, b.Name, b.Addr, 0)
-	d.knocking.tell("/fleet/knock", d.hello)
+	d.joinSender = newSender(ctx, d, target.Name, target.Addr, 0)
+	d.joinSender.queueReport("/fleet/knock", d.selfFrame)
 }
 
-// knocked is a box that knocks. Only the leader lets it in; another passes it on, once.
-func (d *Driver) knocked(m agree.Member) error {
+// handleJoinRequest handles a join request. Only the leader admits a server; another server forwards the request to
+// the leader once.
+func (d *Driver) handleJoinRequest(m agree.Member) error {
 	if _, leads := d.node.Leads(); leads {
-		return d.letIn(m)
+		return d.admit(m)
 	}
 	data, err := cbor.Marshal(m)
 	if err != nil {
-		return fmt.Errorf("knock: %w", err)
+		return fmt.Errorf("join request: %w", err)
 	}
-	if l := d.lines[d.node.Leader()]; l != nil {
-		l.tell("/fleet/passed", data)
+	if s := d.senders[d.node.Leader()]; s != nil {
+		s.queueReport("/fleet/passed", data)
 	}
 	return agree.ErrNoLeader
 }
 
-// letIn takes what a leader may have been passed.
-func (d *Driver) letIn(m agree.Member) error {
-	s := d.node.State()
+// admit handles a join request that came directly or was forwarded.
+func (d *Driver) admit(m agree.Member) error {
+	state := d.node.State()
 	if _, leads := d.node.Leads(); !leads {
 		return agree.ErrNoLeader
 	}
@@ -60,24 +61,24 @@
 		return fmt.Errorf("%.70q is none of the nodes that the fleet is made of: %w", m.Name, agree.ErrMember)
 	}
 	now := time.Now()
-	c, err := s.Knock(m, func(id uint64) bool { return d.heard(s, id, now) })
+	c, err := state.Knock(m, func(id uint64) bool { return d.reporting(state, id, now) })
 	if err != nil {
 		d.log.Warn("fleet", "do", "knock", "box", m.Name, "addr", m.Addr, "err", err)
 		return err
 	}
 	if c != nil {
-		d.change(c)
+		d.proposeChange(c)
 	}
 	return nil
 }
 
-// heard tells that a member's reports are new.
-func (d *Driver) heard(s *agree.State, id uint64, now time.Time) bool {
-	m := s.Member(id)
-	return m != nil && d.fresh(m, now)
+// reporting reports whether a member's newest report is recent.
+func (d *Driver) reporting(state *agree.State, id uint64, now time.Time) bool {
+	m := state.Member(id)
+	return m != nil && d.hasFreshReport(m, now)
 }
 
-func (d *Driver) fresh(m *agree.Member, now time.Time) bool {
+func (d *Driver) hasFreshReport(m *agree.Member, now time.Time) bool {
 	if m.ID == d.self.ID {
 		return true
 	}
@@ -85,36 +86,36 @@
 	return ok && r.Fresh(now.UnixMilli(), int64(d.opt.SilentMs))
 }
 
-func (d *Driver) change(c *agree.Change) {
+func (d *Driver) proposeChange(c *agree.Change) {
 	if err := d.node.Change(c); err != nil {
 		d.log.Warn("fleet", "do", "change", "kind", c.Kind, "box", c.Member.Name, "err", err)
 	}
 }
 
-// to gives the line to a member. One that is not known any longer gets a line that takes nothing.
-func (d *Driver) to(ctx context.Context, id uint64) *line {
+// senderTo returns the sender for a member; nil = unknown or no longer a member.
+func (d *Driver) senderTo(ctx context.Context, id uint64) *sender {
 	m := d.node.State().Member(id)
-	if m == nil && id != 0 && d.leader.ID == id && d.node.State().Member(d.self.ID) == nil {
-		m = &d.leader
+	if m == nil && id != 0 && d.lastSender.ID == id && d.node.State().Member(d.self.ID) == nil {
+		m = &d.lastSender
 	}
-	l := d.lines[id]
+	s := d.senders[id]
 	if m == nil {
-		if l != nil {
-			l.close()
-			delete(d.lines, id)
+		if s != nil {
+			s.close()
+			delete(d.senders, id)
 		}
 		return nil
 	}
 	addr := m.Addr
-	if way, ok := d.ways[m.Name]; ok {
-		addr = way
+	if override, ok := d.addrOverrides[m.Name]; ok {
+		addr = override
 	}
-	if l == nil || l.addr != addr {
-		if l != nil {
-			l.close()
+	if s == nil || s.addr != addr {
+		if s != nil {
+			s.close()
 		}
-		l = newLine(ctx, d, m.Name, addr, id)
-		d.lines[id] = l
+		s = newSender(ctx, d, m.Name, addr, id)
+		d.senders[id] = s
 	}
-	return l
+	return s
 }
--- a/internal/fleet/driver/modules.go
+++ b/internal/fleet/driver/modules.go
@@ -12,72 +12,76 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Module is a further matter that the boxes settle among themselves: a part of the agreed state, and what this box
-// does about it. Its methods are called on the driver's loop, one at a time, and must not block.
+// Module is a replicated state machine together with what this server does about its state. Its methods are called on
+// the driver's loop, one at a time, and must not block.
 type Module interface {
 	agree.Part
-	// Begin gives it its box, once, before all else but Load and Apply of what the log holds.
+	// Begin is called once with the module's host, before all other methods except Load, and Apply for the entries of
+	// the log.
 	Begin(h *Host)
-	// Applied tells that the agreed state has changed, its own or the members.
+	// Applied is called after the replicated state has changed: the module's own, the members or the maintenance
+	// plans.
 	Applied(now time.Time)
-	// Tick comes every 100 ms.
+	// Tick is called every 100 ms.
 	Tick(now time.Time)
-	// Lead comes after every other Tick, on the leader: it proposes what follows.
+	// Lead is called on the leader after every other Tick, to propose what follows from the state.
 	Lead(now time.Time)
-	// Read tells that Host.Read is confirmed.
+	// Read is called once a Host.ReadIndex is confirmed.
 	Read(id uint64, now time.Time)
-	// Report is its part of what the voters are told every second, maxWord bytes at most; nil = nothing.
+	// Report returns what the voters are told every second, at most maxModuleMessage bytes; nil = nothing.
 	Report(now time.Time) []byte
-	// Heard takes such a part of another box.
+	// Heard receives the module's report of another server.
 	Heard(from agree.Member, report []byte, now time.Time)
-	// Receive takes what the module of another box, or of this one, sent with Host.Send.
+	// Receive receives a message that a module sent with Host.Send, on another server or on this one.
 	Receive(from agree.Member, message []byte, now time.Time)
-	// Lines are its figures for the door, "name=value" each, as of now.
+	// Lines returns the module's current metrics for the admin endpoint, one "name=value" a line.
 	Lines(now time.Time) []byte
-	// End tells that the loop has ended: this process takes no part any longer.
+	// End is called once the loop has ended: this process no longer takes part in the fleet.
 	End()
 }
 
-// Ordered is a module that operators give words to. Its methods are as Module's.
+// Ordered is a module that takes commands of operators. Its methods are called as those of Module are.
 type Ordered interface {
-	// Order reads an operator's word and gives the entry that follows, whose outcome is the operator's; an error = the
-	// word cannot be, in one line for people.
-	Order(word []byte) (entry any, err error)
-	// Stands is how the part stands, as JSON will have it. It shares nothing with what the module changes.
+	// Order decodes a command, and returns the entry to propose, whose outcome is the command's. An error refuses the
+	// command, with a one-line text for the operator.
+	Order(command []byte) (entry any, err error)
+	// Stands returns the status of the module, to be encoded as JSON. It shares no memory with what the module
+	// changes.
 	Stands() any
 }
 
-// Itemized is a module whose part has items that can be asked for by key.
+// Itemized is a module whose state has items that can be read by key.
 type Itemized interface {
-	// Item returns an item, as JSON will have it; nil = there is none. It shares nothing with what the module changes.
+	// Item returns an item, to be encoded as JSON; nil = there is none. It shares no memory with what the module
+	// changes.
 	Item(key string) any
 }
 
-// maxWord bounds one message of a module, and its part of a report.
-const maxWord = 48 << 10
+// maxModuleMessage limits a module's message, and its report, in bytes.
+const maxModuleMessage = 48 << 10
 
-// Host is the box as a module sees it. Only Enter may be called from outside the loop.
+// Host is the server as a module sees it. Only Enqueue may be called from outside the loop.
 type Host struct {
-	d    *Driver
-	part string
+	d      *Driver
+	module string
 }
 
-// Self is this box. Its Voter does not count.
+// Self returns this server. Its field Voter is not set.
 func (h *Host) Self() agree.Member { return h.d.self }
 
-// Incarnation numbers this process of the box.
-func (h *Host) Incarnation() uint64 { return h.d.inc }
+// Incarnation returns the number of this process among those of the server.
+func (h *Host) Incarnation() uint64 { return h.d.incarnation }
 
-// Members are those of the agreed state, by id; they are not to be changed.
+// Members returns the members in the replicated state, sorted by id. They must not be changed.
 func (h *Host) Members() []agree.Member { return h.d.node.State().Members }
 
-// Member tells that this box is let in.
+// Member reports whether this server has been admitted.
 func (h *Host) Member() bool { return h.d.node.State().Member(h.d.self.ID) != nil }
 
-// Leads tells that this box leads as far as it knows, and the term.
+// Leads reports whether this server is the leader as far as it knows, and returns its current term.
 func (h *Host) Leads() (term uint64, leads bool) { return h.d.node.Leads() }
 
-// Leader is the name of the leader as far as this box knows; "" = none.
+// Leader returns the name of the leader as far as this server knows; "" = none.
 func (h *Host) Leader() string {
 	if m := h.d.node.State().Member(h.d.node.Leader()); m != nil {
 		return m.Name
@@ -85,65 +89,66 @@
 	return ""
 }
 
-// Report is the newest report of a box, as a voter has it.
+// Report returns the newest report of a server, and whether it is recent. Only voters receive reports.
 func (h *Host) Report(name string) (r takeout.Report, fresh bool) {
 	m := h.d.node.State().Named(name)
 	if m == nil {
 		return r, false
 	}
-	return h.d.reports[name], h.d.fresh(m, time.Now())
+	return h.d.reports[name], h.d.hasFreshReport(m, time.Now())
 }
 
-// Ready tells that every member has told that its program knows the part: until then no entry of it may come, as
-// those that do not know it would end their part in the fleet.
+// Ready reports whether every member has announced that its program has the module. Until then no entry of the module
+// may be proposed: a member without the module would have to end its membership.
 func (h *Host) Ready() bool {
 	return !slices.ContainsFunc(h.d.node.State().Members, func(m agree.Member) bool {
-		return m.ID != h.d.self.ID && !slices.Contains(h.d.knows[m.ID], h.part)
+		return m.ID != h.d.self.ID && !slices.Contains(h.d.supportedModules[m.ID], h.module)
 	})
 }
 
-// Propose asks for an entry of the part; derived = it is one that only the leader derives. What becomes of it, shows
-// in the state; nil = it was asked.
-func (h *Host) Propose(entry any, derived bool) error {
+// Propose proposes an entry of the module; leaderOnly marks one that only the leader derives. The outcome shows in
+// the state; an error means that the entry was not proposed.
+func (h *Host) Propose(entry any, leaderOnly bool) error {
 	data, err := agree.Encode(entry)
 	if err != nil {
-		return fmt.Errorf("%s: %w", h.part, err)
+		return fmt.Errorf("%s: %w", h.module, err)
 	}
-	h.d.token++
-	return h.d.node.ProposePart(h.d.token, h.part, data, derived)
+	h.d.lastToken++
+	return h.d.node.ProposePart(h.d.lastToken, h.module, data, leaderOnly)
 }
 
-// Send has a message brought to the module of a box, this one too. False = there is no room, or no such box. It may
-// be lost all the same.
+// Send sends a message to the module of a server, possibly of this one; false = the queue is full, or there is no
+// such server. A message that was queued may still be lost.
 func (h *Host) Send(to string, message []byte) bool {
 	if to == h.d.self.Name {
-		return h.d.enter(func() { h.d.hand(word{h.part, message}, h.d.self) })
+		return h.d.enqueue(func() { h.d.deliver(moduleMessage{h.module, message}, h.d.self) })
 	}
 	m := h.d.node.State().Named(to)
-	return m != nil && len(message) <= maxWord && h.d.to(h.d.ctx, m.ID).say(word{h.part, message})
+	return m != nil && len(message) <= maxModuleMessage && h.d.senderTo(h.d.ctx, m.ID).queueModuleMessage(moduleMessage{h.module, message})
 }
 
-// Read has a majority asked whether this box leads still. Module.Read brings the id once it does, or never comes.
+// Read has the leader confirm with a majority that it still leads. Module.ReadConfirmed is called with the id once
+// that is confirmed, which may never be.
 func (h *Host) Read() (id uint64, err error) {
-	h.d.token++
-	if err := h.d.node.Read(h.d.token); err != nil {
+	h.d.lastToken++
+	if err := h.d.node.Read(h.d.lastToken); err != nil {
 		return 0, err
 	}
-	h.d.asked[h.d.token] = reading{h.part, h.d.ticks + readTicks}
-	return h.d.token, nil
+	h.d.pendingReads[h.d.lastToken] = pendingRead{h.module, h.d.ticks + readTimeoutTicks}
+	return h.d.lastToken, nil
 }
 
-// Index returns the index of the last entry that this box has applied.
+// Index returns the index of the last entry that this server has applied.
 func (h *Host) Index() uint64 { return h.d.node.Applied() }
 
-// Work returns the agreed state of plans; it is not to be changed.
+// Work returns the replicated state of maintenance plans, which must not be changed.
 func (h *Host) Work() *takeout.State { return &h.d.node.State().Work }
 
-// ProposeWork asks for an entry of the agreed state of plans. What becomes of it shows in that state.
+// ProposeWork proposes an entry of the maintenance plans. The outcome shows in their state.
 func (h *Host) ProposeWork(entry takeout.Entry) { h.d.propose(&entry, nil) }
 
-// SetReports takes the newest reports of servers that are no members of raft. Those of servers that the agreed state of
-// plans does not have any longer are dropped.
+// SetReports sets the newest reports of servers that are not members of the raft group. It drops the reports of
+// servers that the maintenance state no longer contains.
 func (h *Host) SetReports(reports map[string]takeout.Report) {
 	work := h.Work()
 	for name, report := range reports {
@@ -158,135 +163,138 @@
 	}
 }
 
-// Enter has f run on the loop; false = there is no room, or the loop has ended. It is safe from any goroutine.
-func (h *Host) Enter(f func()) bool { return h.d.enter(f) }
+// Enter queues a function for the loop; false = the queue is full, or the loop has ended. It is safe for concurrent
+// use.
+func (h *Host) Enter(f func()) bool { return h.d.enqueue(f) }
 
-// Log is the box's log.
+// Log returns the server's logger.
 func (h *Host) Log() *slog.Logger { return h.d.log }
 
-// ordered has a module read an operator's word, and proposes what follows; answer hears what became of it.
-func (d *Driver) ordered(w Word, answer chan error) {
-	m, ok := d.module(w.Part).(Ordered)
+// handleModuleCommand has a module decode a command, and proposes the resulting entry. result receives the outcome.
+func (d *Driver) handleModuleCommand(command Word, result chan error) {
+	m, ok := d.module(command.Part).(Ordered)
 	if !ok {
-		answer <- fmt.Errorf("this box has no part %q that takes a word", w.Part)
+		result <- fmt.Errorf("this server has no module %q that takes commands", command.Part)
 		return
 	}
-	entry, err := m.Order(w.Data)
+	entry, err := m.Order(command.Data)
 	var data []byte
 	if err == nil {
 		data, err = agree.Encode(entry)
 	}
 	if err != nil {
-		answer <- err
+		result <- err
 		return
 	}
-	d.token++
-	d.waiting[d.token] = pending{answer, d.ticks + int(outcome/tick)}
-	if err := d.node.ProposePart(d.token, w.Part, data, false); err != nil {
-		delete(d.waiting, d.token)
-		answer <- err
+	d.lastToken++
+	d.pendingProposals[d.lastToken] = pendingProposal{result, d.ticks + int(commandTimeout/tick)}
+	if err := d.node.ProposePart(d.lastToken, command.Part, data, false); err != nil {
+		delete(d.pendingProposals, d.lastToken)
+		result <- err
 	}
 }
 
-// stands is how the fleet stands, or a module's part; nil = there is no such part.
-func (d *Driver) stands(part string) any {
-	if part == "" {
+// moduleStatus returns the status of a module, or that of the driver without a name; nil = there is no such module.
+func (d *Driver) moduleStatus(name string) any {
+	if name == "" {
 		return d.status()
 	}
-	if m, ok := d.module(part).(Ordered); ok {
+	if m, ok := d.module(name).(Ordered); ok {
 		return m.Stands()
 	}
 	return nil
 }
 
-// item returns an item of a module's part; nil = there is none.
-func (d *Driver) item(part, key string) any {
-	if m, ok := d.module(part).(Itemized); ok {
+// item returns an item of a module's state; nil = there is none.
+func (d *Driver) item(module, key string) any {
+	if m, ok := d.module(module).(Itemized); ok {
 		return m.Item(key)
 	}
 	return nil
 }
 
-// reading is a read that a module waits for.
-type reading struct {
-	part  string
-	until int // ticks
+// pendingRead is a read that a module waits for.
+type pendingRead struct {
+	module        string
+	expiresAtTick int // the tick after which it counts as lost
 }
 
-const readTicks = 20
+const readTimeoutTicks = 20
 
-// word is a message between modules.
-type word struct {
-	part string
-	data []byte
+// moduleMessage is a message between modules of one name.
+type moduleMessage struct {
+	module string
+	data   []byte
 }
 
-// module gives a module by its part; nil = unknown.
-func (d *Driver) module(part string) Module {
-	i := slices.IndexFunc(d.modules, func(m Module) bool { return m.Name() == part })
+// module returns the module with a name; nil = unknown.
+func (d *Driver) module(name string) Module {
+	i := slices.IndexFunc(d.modules, func(m Module) bool { return m.Name() == name })
 	if i < 0 {
 		return nil
 	}
 	return d.modules[i]
 }
 
-// hand gives a message to the module that it is for; one of a part that is unknown here is dropped.
-func (d *Driver) hand(w word, from agree.Member) {
-	if m := d.module(w.part); m != nil {
-		m.Receive(from, w.data, time.Now())
+// deliver passes a message to its module. A message for an unknown module is dropped.
+func (d *Driver) deliver(message moduleMessage, from agree.Member) {
+	if m := d.module(message.module); m != nil {
+		m.Receive(from, message.data, time.Now())
 	}
 }
 
-// heardParts hands the parts of a report to their modules.
-func (d *Driver) heardParts(m agree.Member, parts map[string][]byte) {
+// deliverReports passes the reports of a member's modules to the modules here, and records which of them the member
+// has.
+func (d *Driver) deliverReports(member agree.Member, reports map[string][]byte) {
 	now := time.Now()
-	known := make([]string, 0, len(d.modules))
-	for _, mod := range d.modules {
-		if part, ok := parts[mod.Name()]; ok {
-			known = append(known, mod.Name())
-			mod.Heard(m, part, now)
+	supported := make([]string, 0, len(d.modules))
+	for _, m := range d.modules {
+		if report, ok := reports[m.Name()]; ok {
+			supported = append(supported, m.Name())
+			m.Heard(member, report, now)
 		}
 	}
-	d.knows[m.ID] = known
+	d.supportedModules[member.ID] = supported
 }
 
-// reportParts are what the modules have to tell. A part that is there, empty or not, tells that it is known.
-func (d *Driver) reportParts(now time.Time) map[string][]byte {
+// moduleReports returns the modules' reports. A module's name among them, even without a report, announces that this
+// program has the module.
+func (d *Driver) moduleReports(now time.Time) map[string][]byte {
 	if len(d.modules) == 0 {
 		return nil
 	}
 	out := map[string][]byte{}
 	for _, m := range d.modules {
-		part := m.Report(now)
-		if len(part) > maxWord {
-			d.log.Error("fleet", "do", "report", "part", m.Name(), "bytes", len(part))
-			part = nil
+		report := m.Report(now)
+		if len(report) > maxModuleMessage {
+			d.log.Error("fleet", "do", "report", "part", m.Name(), "bytes", len(report))
+			report = nil
 		}
-		out[m.Name()] = part
+		out[m.Name()] = report
 	}
 	return out
 }
 
-// confirmed hands reads to the modules that wait for them.
-func (d *Driver) confirmed(ids []uint64, now time.Time) {
+// deliverReads passes confirmed reads to the modules that wait for them.
+func (d *Driver) deliverReads(ids []uint64, now time.Time) {
 	for _, id := range ids {
-		if r, ok := d.asked[id]; ok {
-			delete(d.asked, id)
-			d.module(r.part).Read(id, now)
+		if r, ok := d.pendingReads[id]; ok {
+			delete(d.pendingReads, id)
+			d.module(r.module).Read(id, now)
 		}
 	}
 }
 
-// words reads the messages of one request: the sender, then part and message in turn.
-func words(list [][]byte) (from agree.Member, out []word, err error) {
-	if len(list)%2 == 0 {
-		return from, nil, fmt.Errorf("%d frames are no messages of modules", len(list))
+// decodeModuleMessages decodes the frames of one request: the sender, then a module's name and its message in turn.
+func decodeModuleMessages(frames [][]byte) (from agree.Member, out []moduleMessage, err error) {
+	if len(frames)%2 == 0 {
+		return from, nil, fmt.Errorf("%d frames are no messages of modules", len(frames))
 	}
-	if err := cbor.Unmarshal(list[0], &from); err != nil {
+	if err := cbor.Unmarshal(frames[0], &from); err != nil {
 		return from, nil, err
 	}
-	for i := 1; i < len(list); i += 2 {
-		out = append(out, word{string(list[i]), list[i+1]})
+	for i := 1; i < len(frames); i += 2 {
+		out = append(out, moduleMessage{string(frames[i]), frames[i+1]})
 	}
 	return from, out, nil
 }
--- a/internal/fleet/driver/part.go
+++ b/internal/fleet/driver/part.go
@@ -11,34 +11,34 @@
 	"larchscale/internal/wal"
 )
 
-// lockEach is how often a directory is asked for that another process of the box still has.
-const lockEach = 250 * time.Millisecond
+// lockRetryInterval is how often it is tried to lock a directory that another process of the server still has locked.
+const lockRetryInterval = 250 * time.Millisecond
 
-// Part is a box's part in the fleet over the life of its process, whether it has one or not. While the process before
-// it still has the directory, as in a replacement, it waits for it; with files that are another box's, damaged or a
-// newer program's it takes no part, says so, and the box serves on.
+// Part is a server's membership of the fleet over the lifetime of its process, whether there is one or not. While the
+// previous process still has the directory locked, as during a replacement, it waits. If the files belong to another
+// server, are damaged or are of a newer program, it logs that, and the server serves without a membership.
 type Part struct {
 	open    func() (*Driver, error)
 	log     *slog.Logger
-	current atomic.Pointer[served]
+	current atomic.Pointer[activeDriver]
 }
 
-type served struct {
+type activeDriver struct {
 	driver  *Driver
 	handler http.Handler
 }
 
-// NewPart makes a part that open opens.
+// NewPart returns a membership that is opened by open.
 func NewPart(open func() (*Driver, error), log *slog.Logger) *Part {
 	return &Part{open: open, log: log}
 }
 
-// Run opens the part and runs it, until ctx ends.
+// Run opens the membership and runs it until the context ends.
 func (p *Part) Run(ctx context.Context) {
-	for waits := false; ; waits = true {
+	for waiting := false; ; waiting = true {
 		d, err := p.open()
 		if err == nil {
-			p.current.Store(&served{d, d.Handler()})
+			p.current.Store(&activeDriver{d, d.Handler()})
 			d.Run(ctx)
 			return
 		}
@@ -46,27 +46,27 @@
 			p.log.Error("fleet", "do", "open", "err", err)
 			return
 		}
-		if !waits {
+		if !waiting {
 			p.log.Info("fleet", "do", "wait", "err", err)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(lockEach):
+		case <-time.After(lockRetryInterval):
 		}
 	}
 }
 
-// ServeHTTP serves other boxes and operators.
+// ServeHTTP serves other servers and operators.
 func (p *Part) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s := p.current.Load(); s != nil {
 		s.handler.ServeHTTP(w, r)
 		return
 	}
-	http.Error(w, noPart, http.StatusServiceUnavailable)
+	http.Error(w, notParticipating, http.StatusServiceUnavailable)
 }
 
-// Lines are the figures of the fleet for the door.
+// Lines returns the fleet's metrics for the admin endpoint.
 func (p *Part) Lines() []byte {
 	if s := p.current.Load(); s != nil {
 		return s.driver.Lines()
--- a/internal/fleet/driver/quiet.go
+++ b/internal/fleet/driver/quiet.go
@@ -7,20 +7,20 @@
 	"go.etcd.io/raft/v3"
 )
 
-// quiet gives raft's own log lines at levels that suit staff.
-type quiet struct{ log *slog.Logger }
+// raftLogger maps raft's log lines to levels that suit operators: informational lines are only for debugging.
+type raftLogger struct{ log *slog.Logger }
 
-func (q quiet) Debug(v ...any)              {}
-func (q quiet) Debugf(string, ...any)       {}
-func (q quiet) Info(v ...any)               { q.log.Debug("fleet", "raft", fmt.Sprint(v...)) }
-func (q quiet) Infof(f string, v ...any)    { q.log.Debug("fleet", "raft", fmt.Sprintf(f, v...)) }
-func (q quiet) Warning(v ...any)            { q.log.Debug("fleet", "raft", fmt.Sprint(v...)) }
-func (q quiet) Warningf(f string, v ...any) { q.log.Debug("fleet", "raft", fmt.Sprintf(f, v...)) }
-func (q quiet) Error(v ...any)              { q.log.Warn("fleet", "raft", fmt.Sprint(v...)) }
-func (q quiet) Errorf(f string, v ...any)   { q.log.Warn("fleet", "raft", fmt.Sprintf(f, v...)) }
-func (q quiet) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
-func (q quiet) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
-func (q quiet) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
-func (q quiet) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (l raftLogger) Debug(v ...any)              {}
+func (l raftLogger) Debugf(string, ...any)       {}
+func (l raftLogger) Info(v ...any)               { l.log.Debug("fleet", "raft", fmt.Sprint(v...)) }
+func (l raftLogger) Infof(f string, v ...any)    { l.log.Debug("fleet", "raft", fmt.Sprintf(f, v...)) }
+func (l raftLogger) Warning(v ...any)            { l.log.Debug("fleet", "raft", fmt.Sprint(v...)) }
+func (l raftLogger) Warningf(f string, v ...any) { l.log.Debug("fleet", "raft", fmt.Sprintf(f, v...)) }
+func (l raftLogger) Error(v ...any)              { l.log.Warn("fleet", "raft", fmt.Sprint(v...)) }
+func (l raftLogger) Errorf(f string, v ...any)   { l.log.Warn("fleet", "raft", fmt.Sprintf(f, v...)) }
+func (l raftLogger) Fatal(v ...any)              { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Fatalf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
+func (l raftLogger) Panic(v ...any)              { panic(fmt.Sprint(v...)) }
+func (l raftLogger) Panicf(f string, v ...any)   { panic(fmt.Sprintf(f, v...)) }
 
-var _ raft.Logger = quiet{}
+var _ raft.Logger = raftLogger{}
--- a/internal/fleet/driver/reports.go
+++ b/internal/fleet/driver/reports.go
@@ -11,38 +11,38 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// report tells all voters how this box stands: the leader is one of them, and the next one too.
-func (d *Driver) report(ctx context.Context, now time.Time) {
-	r := d.body.Look()
-	r.Incarnation, r.Heard = d.inc, now.UnixMilli()
-	d.reports[d.self.Name], d.stood = r, r
-	data, err := cbor.Marshal(said{d.self.ID, r, d.reportParts(now)})
+// sendReport reports on this server to all voters, as each of them may become the leader.
+func (d *Driver) sendReport(ctx context.Context, now time.Time) {
+	r := d.process.Look()
+	r.Incarnation, r.Heard = d.incarnation, now.UnixMilli()
+	d.reports[d.self.Name], d.lastReport = r, r
+	data, err := cbor.Marshal(reportMessage{d.self.ID, r, d.moduleReports(now)})
 	if err != nil {
 		d.log.Error("fleet", "do", "report", "err", err)
 		return
 	}
 	for _, m := range d.node.State().Members {
 		if m.Voter && m.ID != d.self.ID {
-			d.to(ctx, m.ID).tell("/fleet/report", data)
+			d.senderTo(ctx, m.ID).queueReport("/fleet/report", data)
 		}
 	}
 }
 
-// said is a report as it is sent.
-type said struct {
+// reportMessage is a report as it is sent.
+type reportMessage struct {
 	ID     uint64
 	Report takeout.Report
-	Parts  map[string][]byte `cbor:",omitempty"` // of the modules, by their names
+	Parts  map[string][]byte `cbor:",omitempty"` // of the modules, by name
 }
 
-// take notes a report. Its time is this box's.
-func (d *Driver) take(x said) error {
-	m := d.node.State().Member(x.ID)
+// receiveReport records a report, with the time of this server's clock.
+func (d *Driver) receiveReport(message reportMessage) error {
+	m := d.node.State().Member(message.ID)
 	if m == nil {
-		return fmt.Errorf("a report of %x, which is no member: %w", x.ID, agree.ErrMember)
+		return fmt.Errorf("a report of %x, which is no member: %w", message.ID, agree.ErrMember)
 	}
-	x.Report.Heard = time.Now().UnixMilli()
-	d.reports[m.Name] = x.Report
-	d.heardParts(*m, x.Parts)
+	message.Report.Heard = time.Now().UnixMilli()
+	d.reports[m.Name] = message.Report
+	d.deliverReports(*m, message.Parts)
 	return nil
 }
