--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -1,5 +1,5 @@
-// Package raftlog keeps what raft must not forget (its term, its vote, its entries, its newest snapshot) in a durable
-// log, and gives it back after a crash. Its owner calls it from one goroutine.
+// Package raftlog stores raft's state (its term, vote, entries and newest snapshot) in a durable log, and restores it
+// after a crash. It is not safe for concurrent use.
 package raftlog
 
 import (
@@ -15,101 +15,102 @@
 	"larchscale/internal/wal"
 )
 
-// The kinds of record, in the first byte of each.
+// Kinds of records; the kind is the first byte of each.
 const (
 	recIdentity byte = iota + 1
-	recHard
+	recHardState
 	recEntry
 	recSnapshot
 )
 
-const version = 1
+const formatVersion = 1
 
-// trail is how many entries that a snapshot covers stay in memory, for boxes that are a little behind: a snapshot of
-// 300 boxes is 25 KB, and costs who takes it 300² steps.
-const trail = 256
+// trailingEntries is the number of entries covered by a snapshot that stay in memory, for nodes that are slightly
+// behind: a snapshot of 300 servers takes 25 KB, and applying it takes 300² steps on the receiver.
+const trailingEntries = 256
 
-// ErrNewer is a log of a format that this program does not know.
+// ErrNewer means that a log has a format which this program does not know.
 var ErrNewer = errors.New("written by a newer program")
 
-// ErrDamaged is a record that is whole on the disk and says nothing sound.
+// ErrDamaged means that a record has a valid checksum, but its content makes no sense.
 var ErrDamaged = errors.New("damaged")
 
-// Log is raft's storage on one directory. The entries since the newest snapshot, and some before it, are also in
-// memory, where raft reads them.
+// Log implements raft's storage on one directory. The entries since the newest snapshot, and some before it, are also
+// in memory, from where raft reads them.
 type Log struct {
 	*raft.MemoryStorage
-	disk     *wal.Log
-	box      string
-	id       uint64
-	hard     *raftpb.HardState
-	snapshot *raftpb.Snapshot
-	failed   error
+	disk      *wal.Log
+	node      string
+	id        uint64
+	hardState *raftpb.HardState
+	snapshot  *raftpb.Snapshot
+	failed    error
 }
 
-// Open reads the log of a box, or begins one in an empty directory. A new log gets a new id, by which raft knows the
-// box: one that lost its disk may have voted in a term that it has forgotten, and is nobody that raft has met. A
-// log of another box, a newer program's or a damaged one is an error, and nothing is written.
-func Open(fs wal.FS, box string, newID func() uint64, segment int64) (*Log, error) {
-	l := &Log{MemoryStorage: raft.NewMemoryStorage(), box: box, hard: &raftpb.HardState{}}
+// Open opens the log of a node, or creates one in an empty directory. A new log gets a new raft id: a node that has
+// lost its disk may have voted in a term that it no longer knows, so it must not vote again under its old id. The log
+// of another node, of a newer program or a damaged one is an error, and nothing is written.
+func Open(fs wal.FS, node string, newID func() uint64, segmentBytes int64) (*Log, error) {
+	l := &Log{MemoryStorage: raft.NewMemoryStorage(), node: node, hardState: &raftpb.HardState{}}
 	var err error
-	l.disk, _, err = wal.Open(wal.Options{FS: fs, Owner: owner(box), Segment: segment}, func(_ uint64, _ wal.Position, r []byte) error { return l.read(r) })
+	l.disk, _, err = wal.Open(wal.Options{FS: fs, Owner: owner(node), Segment: segmentBytes}, func(_ uint64, _ wal.Position, r []byte) error { return l.read(r) })
 	if err != nil {
-		return nil, fmt.Errorf("fleet's log: %w", err)
+		return nil, fmt.Errorf("fleet log: %w", err)
 	}
 	if l.id == 0 {
 		if l.id = newID(); l.id == 0 {
-			return nil, fmt.Errorf("fleet's log: no id was given")
+			return nil, fmt.Errorf("fleet log: the new id is 0")
 		}
 	}
-	// The first thing written is a new segment: nothing follows a torn tail.
+	// A new segment comes before any other write: no records may follow a torn tail.
 	if err := l.roll(); err != nil {
-		return nil, fmt.Errorf("fleet's log: %w", err)
+		return nil, fmt.Errorf("fleet log: %w", err)
 	}
 	return l, nil
 }
 
-func owner(box string) (o wal.Owner) {
-	h := sha256.Sum256([]byte("fleet\x00" + box))
-	copy(o[:], h[:])
+func owner(node string) (o wal.Owner) {
+	sum := sha256.Sum256([]byte("fleet\x00" + node))
+	copy(o[:], sum[:])
 	return o
 }
 
-// ID is how raft knows this box, as long as it keeps its disk.
+// ID returns the raft id of this node, which stays the same as long as it keeps its disk.
 func (l *Log) ID() uint64 { return l.id }
 
-// Failed tells why nothing more can be kept; nil = all is well. A box whose log has failed takes no part any longer.
+// Failed returns why the log can no longer be written; nil = it can. A node whose log has failed no longer takes
+// part.
 func (l *Log) Failed() error { return l.failed }
 
-// read takes one record of the log that is opened.
+// read processes one record of a log that is opened.
 func (l *Log) read(r []byte) error {
 	if len(r) == 0 {
-		return fmt.Errorf("an empty record: %w", ErrDamaged)
+		return fmt.Errorf("empty record: %w", ErrDamaged)
 	}
 	kind, body := r[0], r[1:]
 	if l.id == 0 && kind != recIdentity {
-		return fmt.Errorf("a record of kind %d before the identity: %w", kind, ErrDamaged)
+		return fmt.Errorf("record of kind %d before the identity: %w", kind, ErrDamaged)
 	}
 	switch kind {
 	case recIdentity:
 		if len(body) < 10 {
-			return fmt.Errorf("the identity: %w", ErrDamaged)
+			return fmt.Errorf("identity record is too short: %w", ErrDamaged)
 		}
-		if v := binary.LittleEndian.Uint16(body); v != version {
+		if v := binary.LittleEndian.Uint16(body); v != formatVersion {
 			return fmt.Errorf("version %d: %w", v, ErrNewer)
 		}
 		l.id = binary.LittleEndian.Uint64(body[2:])
-	case recHard:
-		h := &raftpb.HardState{}
-		if err := proto.Unmarshal(body, h); err != nil {
-			return fmt.Errorf("a state: %w: %w", ErrDamaged, err)
+	case recHardState:
+		state := &raftpb.HardState{}
+		if err := proto.Unmarshal(body, state); err != nil {
+			return fmt.Errorf("hard state: %w: %w", ErrDamaged, err)
 		}
-		l.hard = h
-		return l.SetHardState(h)
+		l.hardState = state
+		return l.SetHardState(state)
 	case recEntry:
 		e := &raftpb.Entry{}
 		if err := proto.Unmarshal(body, e); err != nil {
-			return fmt.Errorf("an entry: %w: %w", ErrDamaged, err)
+			return fmt.Errorf("entry: %w: %w", ErrDamaged, err)
 		}
 		if last, err := l.LastIndex(); err != nil || e.GetIndex() > last+1 {
 			return fmt.Errorf("entry %d after %d: %w", e.GetIndex(), last, ErrDamaged)
@@ -118,12 +119,12 @@
 	case recSnapshot:
 		s := &raftpb.Snapshot{}
 		if err := proto.Unmarshal(body, s); err != nil {
-			return fmt.Errorf("a snapshot: %w: %w", ErrDamaged, err)
+			return fmt.Errorf("snapshot: %w: %w", ErrDamaged, err)
 		}
 		l.snapshot = s
 		return l.ApplySnapshot(s)
 	default:
-		return fmt.Errorf("a record of kind %d: %w", kind, ErrNewer)
+		return fmt.Errorf("unknown record of kind %d: %w", kind, ErrNewer)
 	}
 	return nil
 }
@@ -131,59 +132,59 @@
 func record(kind byte, m proto.Message) ([]byte, error) {
 	b, err := proto.MarshalOptions{}.MarshalAppend([]byte{kind}, m)
 	if err != nil {
-		return nil, fmt.Errorf("record of kind %d: %w", kind, err)
+		return nil, fmt.Errorf("encoding a record of kind %d: %w", kind, err)
 	}
 	return b, nil
 }
 
-// Save keeps what raft wants kept before anything it has to say leaves the box: with sync it is on the disk when
-// Save returns. A snapshot came from the leader, and takes the place of all there was. After an error nothing that
-// depends on it may be said.
-func (l *Log) Save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error {
+// Save stores what raft needs on disk before it sends the messages that depend on it. With sync it is on disk when
+// Save returns. A snapshot comes from the leader, and replaces all earlier content. After an error no message that
+// depends on the data may be sent.
+func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error {
 	if l.failed != nil {
 		return l.failed
 	}
-	return l.fail(l.save(hard, entries, snapshot, sync))
+	return l.fail(l.save(hardState, entries, snapshot, sync))
 }
 
-func (l *Log) save(hard *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error {
-	if hard != nil && !raft.IsEmptyHardState(hard) {
-		l.hard = hard
+func (l *Log) save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot, sync bool) error {
+	if hardState != nil && !raft.IsEmptyHardState(hardState) {
+		l.hardState = hardState
 	} else {
-		hard = nil
+		hardState = nil
 	}
 	if snapshot != nil && !raft.IsEmptySnap(snapshot) {
 		l.snapshot = snapshot
 		if err := l.ApplySnapshot(snapshot); err != nil {
 			return err
 		}
-		if hard != nil {
-			if err := l.SetHardState(hard); err != nil {
+		if hardState != nil {
+			if err := l.SetHardState(hardState); err != nil {
 				return err
 			}
 		}
 		if err := l.roll(); err != nil {
 			return err
 		}
-		hard = nil
+		hardState = nil
 	}
-	var group [][]byte
-	if hard != nil {
-		r, err := record(recHard, hard)
+	var records [][]byte
+	if hardState != nil {
+		r, err := record(recHardState, hardState)
 		if err != nil {
 			return err
 		}
-		group = append(group, r)
+		records = append(records, r)
 	}
 	for _, e := range entries {
 		r, err := record(recEntry, e)
 		if err != nil {
 			return err
 		}
-		group = append(group, r)
+		records = append(records, r)
 	}
-	if len(group) > 0 {
-		if _, err := l.disk.Append(group...); err != nil {
+	if len(records) > 0 {
+		if _, err := l.disk.Append(records...); err != nil {
 			return err
 		}
 	}
@@ -192,63 +193,65 @@
 			return err
 		}
 	}
-	if hard != nil {
-		if err := l.SetHardState(hard); err != nil {
+	if hardState != nil {
+		if err := l.SetHardState(hardState); err != nil {
 			return err
 		}
 	}
 	return l.Append(entries)
 }
 
-// fail notes an error for good: what of a write reached the disk is not known, and a second try proves nothing.
+// fail makes an error permanent: it is unknown how much of the write reached the disk, and a successful retry would
+// prove nothing.
 func (l *Log) fail(err error) error {
 	if err != nil {
-		l.failed = fmt.Errorf("fleet's log: %w", err)
+		l.failed = fmt.Errorf("fleet log: %w", err)
 	}
 	return l.failed
 }
 
-// Full tells that the log has its size, and that a Compact would make it small.
+// Full reports whether the log has reached its size, so that Compact would make it smaller.
 func (l *Log) Full() bool { return l.failed == nil && l.disk.Full() }
 
-// Compact puts the state as of an applied entry in the place of all entries up to it.
-func (l *Log) Compact(applied uint64, conf *raftpb.ConfState, state []byte) error {
+// Compact replaces all entries up to an applied one by the state after it.
+func (l *Log) Compact(applied uint64, confState *raftpb.ConfState, state []byte) error {
 	if l.failed != nil {
 		return l.failed
 	}
 	first, err := l.FirstIndex()
 	if err != nil {
-		return fmt.Errorf("fleet's log: %w", err)
+		return fmt.Errorf("fleet log: %w", err)
 	}
-	s, err := l.CreateSnapshot(applied, conf, state)
+	s, err := l.CreateSnapshot(applied, confState, state)
 	if err == nil {
 		l.snapshot = s
-		if applied >= first+trail {
-			err = l.MemoryStorage.Compact(applied - trail)
+		if applied >= first+trailingEntries {
+			err = l.MemoryStorage.Compact(applied - trailingEntries)
 		}
 	}
-	if err != nil { // raft's own bounds: it was compacted already, or is not there
-		return fmt.Errorf("fleet's log: up to %d: %w", applied, err)
+	if err != nil { // raft's own errors: already compacted, or no such entry
+		return fmt.Errorf("fleet log: compacting up to entry %d: %w", applied, err)
 	}
 	return l.fail(l.roll())
 }
 
-// roll begins a segment with all that must be kept. A crash in it leaves the old segment or the new one, whole.
+// roll begins a segment with everything that must be kept. After a crash either the old segment or the new one is
+// complete.
 func (l *Log) roll() error {
-	id := binary.LittleEndian.AppendUint16([]byte{recIdentity}, version)
-	keep := [][]byte{binary.LittleEndian.AppendUint64(id, l.id)}
-	add := func(kind byte, m proto.Message) error {
+	id := binary.LittleEndian.AppendUint16([]byte{recIdentity}, formatVersion)
+	records := [][]byte{binary.LittleEndian.AppendUint64(id, l.id)}
+	addRecord := func(kind byte, m proto.Message) error {
 		r, err := record(kind, m)
-		keep = append(keep, r)
+		records = append(records, r)
 		return err
 	}
 	if l.snapshot != nil {
-		if err := add(recSnapshot, l.snapshot); err != nil {
+		if err := addRecord(recSnapshot, l.snapshot); err != nil {
 			return err
 		}
 	}
-	if !raft.IsEmptyHardState(l.hard) {
-		if err := add(recHard, l.hard); err != nil {
+	if !raft.IsEmptyHardState(l.hardState) {
+		if err := addRecord(recHardState, l.hardState); err != nil {
 			return err
 		}
 	}
@@ -269,19 +272,19 @@
 			return err
 		}
 		for _, e := range entries {
-			if err := add(recEntry, e); err != nil {
+			if err := addRecord(recEntry, e); err != nil {
 				return err
 			}
 		}
 	}
-	_, err = l.disk.Roll(keep...)
+	_, err = l.disk.Roll(records...)
 	return err
 }
 
-// Close closes the files; it syncs nothing.
+// Close closes the files without syncing them.
 func (l *Log) Close() error {
 	if l.failed == nil {
-		l.failed = errors.New("fleet's log: closed")
+		l.failed = errors.New("fleet log: closed")
 	}
 	return l.disk.Close()
 }
