--- a/internal/fleet/transport/transport.go
+++ b/internal/fleet/transport/transport.go
@@ -1,6 +1,7 @@
-// Package transport sends messages of one kind between servers over internal/link: one stream per peer, on a connection
-// of its own, in order and several messages a request. A message that finds no room or does not arrive is dropped: the
-// sender repeats it or goes on without. A peer that is slow or gone delays no other.
+// Package transport sends messages of one type between servers over internal/link: one stream per peer, on a
+// connection of its own, in order and several messages a request. A message that finds no room in the queue or does
+// not arrive is dropped: the sender has to repeat it or do without. A slow or unreachable peer does not delay the
+// others.
 package transport
 
 import (
@@ -16,55 +17,57 @@
 	"larchscale/internal/link"
 )
 
-// Options say how messages of type M travel.
+// Options configure the streams for messages of type M.
 type Options[M any] struct {
-	Server  string                               // the name of this one
-	Path    string                               // of the requests; the same on all servers
-	Link    *link.Link                           // the connections to peers
-	Addr    func(peer string) string             // the address of a peer; "" = unknown
-	Waiting int                                  // messages to one peer at a time
-	Batch   int                                  // messages of one request
-	Within  time.Duration                        // the timeout of one request
-	Rest    time.Duration                        // for which a peer that was not reached is sent nothing
-	Lost    func(to string, list []M, err error) // called with messages that did not arrive, on the stream's goroutine; nil = ignored
+	Server  string                   // the name of this server
+	Path    string                   // path of the requests; the same on all servers
+	Link    *link.Link               // connections to the peers
+	Addr    func(peer string) string // returns the address of a peer; "" = unknown
+	Waiting int                      // maximum number of queued messages to one peer
+	Batch   int                      // maximum number of messages in one request
+	Within  time.Duration            // timeout of one request
+	Rest    time.Duration            // after a failed request, messages to the peer are refused for so long
+	// Lost is called with messages that did not arrive, on the stream's goroutine; nil = they are ignored.
+	Lost func(to string, messages []M, err error)
 }
 
-// Streams are the streams of a server to all its peers. One goroutine uses them; received messages come on others.
+// Streams are the streams of a server to all its peers. They are not safe for concurrent use. Received messages are
+// passed to Handler's accept function, on other goroutines.
 type Streams[M any] struct {
-	opt Options[M]
-	to  map[string]*stream[M]
+	opt    Options[M]
+	byPeer map[string]*stream[M]
 }
 
-// envelope is what one server sends another in one request.
+// envelope is the content of one request.
 type envelope[M any] struct {
 	From     string
 	Messages []M
 }
 
-// stream is the way to one peer: a queue, and a goroutine that sends what is in it.
+// stream is the connection to one peer: a queue, and a goroutine that sends its messages.
 type stream[M any] struct {
-	opt  *Options[M]
-	name string
-	addr string
-	wait chan M
-	rest atomic.Int64 // until when it is not used, in ns since began
-	stop context.CancelFunc
+	opt         *Options[M]
+	name        string
+	addr        string
+	queue       chan M
+	refuseUntil atomic.Int64 // messages are refused until then, in ns since processStart
+	stop        context.CancelFunc
 }
 
-// began is what the times of rests count from.
-var began = time.Now()
+// processStart is the origin of the times in refuseUntil.
+var processStart = time.Now()
 
-// New returns streams; nothing is dialed yet.
+// New returns streams. Connections are made as messages are sent.
 func New[M any](opt Options[M]) *Streams[M] { return &Streams[M]{opt, map[string]*stream[M]{}} }
 
-// Send queues a message to a peer; false = it does not get there. The stream lasts until ctx ends, or the peer has
-// another address.
+// Send queues a message to a peer; false = it is dropped. The stream lasts until ctx ends or the peer's address
+// changes.
 func (streams *Streams[M]) Send(ctx context.Context, peer string, m M) bool {
 	addr := streams.opt.Addr(peer)
-	s := streams.to[peer]
+	s := streams.byPeer[peer]
 	if s != nil && s.addr != addr {
 		s.stop()
-		delete(streams.to, peer)
+		delete(streams.byPeer, peer)
 		s = nil
 	}
 	if addr == "" {
@@ -72,15 +75,15 @@
 	}
 	if s == nil {
 		ctx, stop := context.WithCancel(ctx)
-		s = &stream[M]{opt: &streams.opt, name: peer, addr: addr, wait: make(chan M, streams.opt.Waiting), stop: stop}
-		streams.to[peer] = s
+		s = &stream[M]{opt: &streams.opt, name: peer, addr: addr, queue: make(chan M, streams.opt.Waiting), stop: stop}
+		streams.byPeer[peer] = s
 		go s.run(ctx, streams.opt.Link.Dial(peer, addr))
 	}
-	if int64(time.Since(began)) < s.rest.Load() {
+	if int64(time.Since(processStart)) < s.refuseUntil.Load() {
 		return false
 	}
 	select {
-	case s.wait <- m:
+	case s.queue <- m:
 		return true
 	default:
 		return false
@@ -94,19 +97,19 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-s.wait:
+		case m := <-s.queue:
 			out.Messages = append(out.Messages, m)
 		}
-		for len(out.Messages) < s.opt.Batch && len(s.wait) > 0 {
-			out.Messages = append(out.Messages, <-s.wait)
+		for len(out.Messages) < s.opt.Batch && len(s.queue) > 0 {
+			out.Messages = append(out.Messages, <-s.queue)
 		}
 		err := s.send(ctx, c, &out)
 		if err == nil || ctx.Err() != nil {
 			continue
 		}
-		s.rest.Store(int64(time.Since(began) + s.opt.Rest))
-		for len(s.wait) > 0 { // they would come late
-			out.Messages = append(out.Messages, <-s.wait)
+		s.refuseUntil.Store(int64(time.Since(processStart) + s.opt.Rest))
+		for len(s.queue) > 0 { // they would arrive too late
+			out.Messages = append(out.Messages, <-s.queue)
 		}
 		if s.opt.Lost != nil {
 			s.opt.Lost(s.name, out.Messages, err)
@@ -125,31 +128,32 @@
 	return err
 }
 
-// bounded keeps what a peer sends from sizing memory.
-var bounded = func() cbor.DecMode {
+// boundedDecoder limits the memory that a peer's message can make this server allocate.
+var boundedDecoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 1 << 16, MaxMapPairs: 1 << 10, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
-		panic(err) // the library's own options
+		panic(err) // constant options
 	}
 	return m
 }()
 
-// Handler receives what the streams of peers send. take reports whether there was room for it.
-func Handler[M any](path string, batch int, bytes int64, take func(from string, list []M) bool) http.Handler {
+// Handler returns a handler that receives the messages of peers' streams. accept reports whether it had room for
+// them.
+func Handler[M any](path string, maxBatch int, maxBytes int64, accept func(from string, messages []M) bool) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost || r.URL.Path != path {
 			http.NotFound(w, r)
 			return
 		}
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bytes))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 		var in envelope[M]
 		if err == nil {
-			err = bounded.Unmarshal(body, &in)
+			err = boundedDecoder.Unmarshal(body, &in)
 		}
 		switch {
-		case err != nil || in.From == "" || len(in.Messages) > batch:
+		case err != nil || in.From == "" || len(in.Messages) > maxBatch:
 			http.Error(w, fmt.Sprintf("malformed envelope: %d messages of %q: %v", len(in.Messages), in.From, err), http.StatusBadRequest)
-		case !take(in.From, in.Messages):
+		case !accept(in.From, in.Messages):
 			http.Error(w, "not now", http.StatusServiceUnavailable)
 		}
 	})
