--- a/internal/fleet/stream/client.go
+++ b/internal/fleet/stream/client.go
@@ -13,53 +13,53 @@
 	"larchscale/internal/fleet/session"
 )
 
-// Dialer opens sessions: the side of an app server. Its fields are set before the first Dial.
+// Dialer opens sessions for an app server. Its fields are set before the first Dial.
 type Dialer struct {
-	TLS   *tls.Config // nil = without, on loopback
+	TLS   *tls.Config // nil = no TLS, on loopback
 	Meter *Meter
-	// Wrap wraps each connection below TLS, for measurements; nil = not.
+	// Wrap wraps each connection below TLS, for measurements; nil = no wrapping.
 	Wrap func(net.Conn) net.Conn
 }
 
-// ErrStatus is a node that does not accept a session.
-var ErrStatus = errors.New("no session was accepted")
+// ErrStatus means that a node has not accepted a session.
+var ErrStatus = errors.New("the session was not accepted")
 
 // Conn is the server's end of a stream. One goroutine may receive while another one sends; Close ends both.
 type Conn struct {
-	body   *io.PipeWriter // of the request
-	in     messages
-	answer io.Closer
-	cancel context.CancelFunc
-	meter  *Meter
-	once   sync.Once
+	body      *io.PipeWriter // the body of the request
+	in        messageReader
+	response  io.Closer
+	cancel    context.CancelFunc
+	meter     *Meter
+	closeOnce sync.Once
 
 	mu     sync.Mutex
 	socket net.Conn
 	closed bool
 }
 
-// Dial connects to the node of a name at an address, and returns once the node has accepted the stream. The context
-// bounds the attempt, and the session: once it ends the session is closed.
+// Dial connects to a node, and returns once the node has accepted the stream. The name is the one in the node's
+// certificate. The context covers the attempt and the session: when it ends, the session is closed.
 func (d *Dialer) Dial(ctx context.Context, node, addr string) (*Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	body, write := io.Pipe()
-	conn := &Conn{body: write, cancel: cancel, meter: d.Meter}
+	body, bodyWriter := io.Pipe()
+	conn := &Conn{body: bodyWriter, cancel: cancel, meter: d.Meter}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, d.url(addr), body)
 	if err != nil {
 		cancel()
 		return nil, fmt.Errorf("stream: %w", err)
 	}
-	answer, err := d.transport(conn, node).RoundTrip(request)
+	response, err := d.transport(conn, node).RoundTrip(request)
 	if err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("stream: %w", err)
 	}
-	conn.answer = answer.Body
-	if answer.StatusCode != http.StatusOK {
+	conn.response = response.Body
+	if response.StatusCode != http.StatusOK {
 		conn.Close()
-		return nil, fmt.Errorf("stream: %s answers %d: %w", node, answer.StatusCode, ErrStatus)
+		return nil, fmt.Errorf("stream: %s answered with status %d: %w", node, response.StatusCode, ErrStatus)
 	}
-	conn.in = newMessages(answer.Body)
+	conn.in = newMessageReader(response.Body)
 	return conn, nil
 }
 
@@ -71,13 +71,13 @@
 	return scheme + "://" + addr + Path
 }
 
-// transport makes what carries one session, on a connection of its own.
+// transport returns the transport of one session, with a connection of its own.
 func (d *Dialer) transport(conn *Conn, node string) *http.Transport {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP2(d.TLS != nil)
 	protocols.SetUnencryptedHTTP2(d.TLS == nil)
-	transport := &http.Transport{Protocols: protocols, MaxResponseHeaderBytes: maxHead, TLSHandshakeTimeout: handshakeWithin, DisableCompression: true,
-		HTTP2: &http.HTTP2Config{MaxReadFrameSize: frameSize, MaxReceiveBufferPerStream: receiveBuffer,
+	transport := &http.Transport{Protocols: protocols, MaxResponseHeaderBytes: maxHeaderBytes, TLSHandshakeTimeout: handshakeTimeout, DisableCompression: true,
+		HTTP2: &http.HTTP2Config{MaxReadFrameSize: maxFrameSize, MaxReceiveBufferPerStream: receiveBuffer,
 			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteWithin},
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			socket, err := (&net.Dialer{}).DialContext(ctx, network, addr)
@@ -88,7 +88,7 @@
 				socket = d.Wrap(socket)
 			}
 			socket = d.Meter.Conn(socket)
-			return socket, conn.own(socket)
+			return socket, conn.setSocket(socket)
 		}}
 	if d.TLS != nil {
 		transport.TLSClientConfig = d.TLS.Clone()
@@ -97,8 +97,8 @@
 	return transport
 }
 
-// own has Close close a socket; one that comes after it is closed at once.
-func (c *Conn) own(socket net.Conn) error {
+// setSocket registers a socket for Close. After Close it closes the socket at once.
+func (c *Conn) setSocket(socket net.Conn) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// Send writes a message. It may block for as long as the node takes nothing.
+// Send writes a message. It may block for as long as the node reads nothing.
 func (c *Conn) Send(message *session.FromServer) error {
 	data, err := encode(message)
 	if err != nil {
@@ -132,13 +132,13 @@
 	return message, nil
 }
 
-// Close ends the session. It does not wait for what was sent last, and is safe from any goroutine.
+// Close ends the session without waiting for messages to be delivered. It is safe for concurrent use.
 func (c *Conn) Close() {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.body.CloseWithError(net.ErrClosed)
 		c.cancel()
-		if c.answer != nil {
-			c.answer.Close()
+		if c.response != nil {
+			c.response.Close()
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/fleet/stream/cut_test.go
+++ b/internal/fleet/stream/cut_test.go
@@ -22,42 +22,44 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// A session of one server over a real stream: welcome, a snapshot of three documents, then three updates, each put once the
-// server has all before it, with acknowledgements between them. The first connection is cut after every number of bytes in
-// turn, of each direction; the server opens again. It is told of each change once and in order, has the node's digest at the
-// end, and no goroutine is left.
-func TestASessionCutAtEveryByte(t *testing.T) {
+// A server's session over a real stream: a welcome, a snapshot of three documents, then three updates with
+// acknowledgements between them, where each update waits until the server has received the one before it. In turn the
+// first connection is cut after every number of bytes, in each direction, and the server opens the session again. The
+// server has to receive each change once and in order, to end with the node's digest, and to leave no goroutine
+// behind.
+func TestSessionCutAtEveryByte(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	for _, direction := range []direction{toServer, toNode} {
-		whole, cuts := playCut(t, cut{direction, endless}, "1").bytes, 0
-		for bytes := range whole + 1 { // a session may have less: acknowledgements go for one heartbeat or for several
-			if playCut(t, cut{direction, bytes}, "1").cut {
+		fullLength, cuts := runCutSession(t, cut{direction, unlimited}, "1").bytes, 0
+		for bytes := range fullLength + 1 { // a session may have fewer bytes: one acknowledgement may answer several heartbeats
+			if runCutSession(t, cut{direction, bytes}, "1").cut {
 				cuts++
 			}
 		}
-		t.Logf("%v: %d of %d sessions were cut", direction, cuts, whole+1)
-		if cuts < whole/2 {
-			t.Errorf("%v: only %d of %d sessions were cut", direction, cuts, whole+1)
+		t.Logf("%v: %d of %d sessions were cut", direction, cuts, fullLength+1)
+		if cuts < fullLength/2 {
+			t.Errorf("%v: only %d of %d sessions were cut", direction, cuts, fullLength+1)
 		}
 	}
 }
 
-// The same with documents so large that each goes in a part of its own, cut inside each part and at about its ends.
-func TestASessionCutInEachPartOfASnapshot(t *testing.T) {
+// The same with documents so large that the snapshot is split, one document in each part. The cuts are inside each
+// part and near its ends.
+func TestSessionCutInEachPartOfSnapshot(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	const size, step = 40 << 10, 10 << 10
 	value := strings.Repeat("v", size)
 	for bytes := step; ; bytes += step {
-		if !playCut(t, cut{toServer, bytes}, value).cut {
+		if !runCutSession(t, cut{toServer, bytes}, value).cut {
 			if bytes < 5*size { // three parts, and two updates with values
-				t.Errorf("a session had less than %d bytes", bytes)
+				t.Errorf("a session had fewer than %d bytes", bytes)
 			}
 			return
 		}
 	}
 }
 
-// direction is where bytes go.
+// direction is the direction in which bytes are sent.
 type direction int
 
 const (
@@ -68,87 +70,88 @@
 // String implements fmt.Stringer.
 func (d direction) String() string { return [...]string{"to the server", "to the node"}[d] }
 
-// cut says after how many bytes of a direction the first connection ends.
+// cut says after how many bytes of a direction the first connection is closed.
 type cut struct {
 	direction direction
 	bytes     int
 }
 
-// endless is more bytes than a session has.
-const endless = 1 << 30
+// unlimited is more bytes than a session sends.
+const unlimited = 1 << 30
 
-// relay carries connections to a node, and cuts the first.
-type relay struct {
-	in      net.Listener
-	target  string
-	cut     cut
-	running sync.WaitGroup
+// cuttingProxy forwards connections to a node, and cuts the first one.
+type cuttingProxy struct {
+	listener net.Listener
+	target   string
+	cut      cut
+	running  sync.WaitGroup
 
-	mu     sync.Mutex
-	open   []net.Conn
-	copied int // bytes of the first connection in the direction of the cut
+	mu          sync.Mutex
+	conns       []net.Conn
+	bytesPassed int // bytes of the first connection in the direction of the cut
 }
 
-func newRelay(t *testing.T, target string, cut cut) *relay {
+func newCuttingProxy(t *testing.T, target string, cut cut) *cuttingProxy {
 	t.Helper()
-	in, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &relay{in: in, target: target, cut: cut}
+	r := &cuttingProxy{listener: listener, target: target, cut: cut}
 	r.running.Go(func() {
-		for limit := cut.bytes; ; limit = endless {
-			from, err := in.Accept()
+		for limit := cut.bytes; ; limit = unlimited {
+			from, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.carry(from, limit)
+			r.forward(from, limit)
 		}
 	})
 	return r
 }
 
-// carry begins to carry a connection, of which so many bytes pass in the direction of the cut.
-func (r *relay) carry(from net.Conn, limit int) {
+// forward starts to forward a connection. At most limit bytes pass in the direction of the cut.
+func (r *cuttingProxy) forward(from net.Conn, limit int) {
 	to, err := net.Dial("tcp", r.target)
 	if err != nil {
 		from.Close()
 		return
 	}
 	r.mu.Lock()
-	r.open = append(r.open, from, to)
-	first := len(r.open) == 2
+	r.conns = append(r.conns, from, to)
+	first := len(r.conns) == 2
 	r.mu.Unlock()
-	pass := func(dst, src net.Conn, limit int, counted bool) {
+	copyUpTo := func(dst, src net.Conn, limit int, counted bool) {
 		defer from.Close()
 		defer to.Close()
 		n, _ := io.Copy(dst, io.LimitReader(src, int64(limit)))
 		if counted {
 			r.mu.Lock()
-			r.copied = int(n)
+			r.bytesPassed = int(n)
 			r.mu.Unlock()
 		}
 	}
-	limits := [...]int{toServer: endless, toNode: endless}
+	limits := [...]int{toServer: unlimited, toNode: unlimited}
 	limits[r.cut.direction] = limit
-	r.running.Go(func() { pass(from, to, limits[toServer], first && r.cut.direction == toServer) })
-	r.running.Go(func() { pass(to, from, limits[toNode], first && r.cut.direction == toNode) })
+	r.running.Go(func() { copyUpTo(from, to, limits[toServer], first && r.cut.direction == toServer) })
+	r.running.Go(func() { copyUpTo(to, from, limits[toNode], first && r.cut.direction == toNode) })
 }
 
-// close ends all connections, and returns how many bytes the first had.
-func (r *relay) close() int {
-	r.in.Close()
+// close closes all connections, and returns the number of bytes that passed on the first one in the direction of the
+// cut.
+func (r *cuttingProxy) close() int {
+	r.listener.Close()
 	r.mu.Lock()
-	for _, conn := range r.open {
+	for _, conn := range r.conns {
 		conn.Close()
 	}
 	r.mu.Unlock()
 	r.running.Wait()
-	return r.copied
+	return r.bytesPassed
 }
 
-// tableNode is a control node's table and history behind a stream. Its time passes with each heartbeat, so that each is
-// acknowledged at once.
+// tableNode is a control node with a session table and a history behind a real stream. Its clock advances with each
+// heartbeat, so that each heartbeat is acknowledged at once.
 type tableNode struct {
 	mu      sync.Mutex
 	changed *sync.Cond
@@ -156,19 +159,19 @@
 	table   *session.Table
 	now     time.Duration
 	lastID  uint64
-	over    map[uint64]bool // sessions that have ended
-	applied uint64          // as the newest heartbeat had it
+	ended   map[uint64]bool // sessions that have ended
+	applied uint64          // the revision in the newest heartbeat
 	failed  error
 }
 
 func newTableNode() *tableNode {
-	n := &tableNode{history: watch.NewHistory(watch.Limits{Bytes: 1 << 20, Updates: 1 << 10}), over: map[uint64]bool{}}
+	n := &tableNode{history: watch.NewHistory(watch.Limits{Bytes: 1 << 20, Updates: 1 << 10}), ended: map[uint64]bool{}}
 	n.changed = sync.NewCond(&n.mu)
 	n.table = session.NewTable(session.TableOptions{Node: "c1", Fleet: 7, MaxSessions: 4, OpensPerSecond: 1000, OpensBurst: 1000, MaxSnapshots: 4, DrainPerSecond: 1}, n.history)
 	return n
 }
 
-// accept carries out one session.
+// accept handles one session.
 func (n *tableNode) accept(s *stream.Session) {
 	first, err := s.Receive()
 	if err != nil || first.Hello == nil {
@@ -179,14 +182,14 @@
 		s.Send(&session.FromNode{Refusal: refusal})
 		return
 	}
-	gone := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(readerDone)
 		n.read(id, s)
 	}()
 	n.write(id, s)
 	s.CloseRead()
-	<-gone
+	<-readerDone
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.table.Closed(id, n.now)
@@ -196,21 +199,21 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.lastID++
-	ended, refusal := n.table.Open(n.lastID, *hello, 0, n.now)
-	for _, e := range ended {
-		n.over[e.ID] = true
+	replaced, refusal := n.table.Open(n.lastID, *hello, 0, n.now)
+	for _, e := range replaced {
+		n.ended[e.ID] = true
 	}
 	n.changed.Broadcast()
 	return n.lastID, refusal
 }
 
-// read takes the heartbeats of a session until it ends.
+// read processes the heartbeats of a session until it ends.
 func (n *tableNode) read(id uint64, s *stream.Session) {
 	for {
 		message, err := s.Receive()
 		n.mu.Lock()
 		if err != nil || message.Heartbeat == nil {
-			n.over[id] = true
+			n.ended[id] = true
 			n.changed.Broadcast()
 			n.mu.Unlock()
 			return
@@ -218,7 +221,7 @@
 		switch _, err := n.table.Heartbeat(id, *message.Heartbeat, n.now); {
 		case err == nil:
 			n.applied = message.Heartbeat.Applied
-		case !errors.Is(err, session.ErrUnknown): // a newer session has taken the place of this one
+		case !errors.Is(err, session.ErrUnknown): // a newer session has replaced this one
 			n.failed = err
 		}
 		n.now += session.AckWithin
@@ -227,7 +230,7 @@
 	}
 }
 
-// write sends what the table has for a session until it ends.
+// write sends the table's messages for a session until it ends.
 func (n *tableNode) write(id uint64, s *stream.Session) {
 	for {
 		message, ok := n.next(id)
@@ -240,11 +243,11 @@
 	}
 }
 
-// next waits for the next message of a session; false = it has ended.
+// next waits for the next message of a session; false = the session has ended.
 func (n *tableNode) next(id uint64) (session.FromNode, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !n.over[id] {
+	for !n.ended[id] {
 		if message, ok := n.table.Next(id, n.now); ok {
 			return message, true
 		}
@@ -253,23 +256,23 @@
 	return session.FromNode{}, false
 }
 
-// change changes the history, as of a revision.
-func (n *tableNode) change(revision uint64, do func(*watch.History)) {
+// change changes the history, which then is at the given revision.
+func (n *tableNode) change(revision uint64, edit func(*watch.History)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do(n.history)
+	edit(n.history)
 	n.history.Advance(revision)
 	n.changed.Broadcast()
 }
 
-// knows reports whether the node was told that a revision is in force.
-func (n *tableNode) knows(revision uint64) bool {
+// hasApplied reports whether the server has told the node that it has applied a revision.
+func (n *tableNode) hasApplied(revision uint64) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.applied == revision
 }
 
-// digest is that of a copy which a reader in this process makes.
+// digest returns the digest of a view which a reader in this process builds.
 func (n *tableNode) digest(t *testing.T) uint64 {
 	t.Helper()
 	n.mu.Lock()
@@ -284,7 +287,7 @@
 	return view.Digest(session.ConfigurationPrefix)
 }
 
-// The revisions of the history: a snapshot as of firstRevision, then an update each.
+// Revisions of the history: a snapshot at firstRevision, then one update each.
 const (
 	firstRevision = 10
 	lastRevision  = 13
@@ -292,8 +295,8 @@
 
 func document(name string) string { return session.ConfigurationPrefix + name }
 
-// begin gives the history what the snapshot has.
-func (n *tableNode) begin(value string) {
+// putSnapshot puts the documents of the snapshot into the history.
+func (n *tableNode) putSnapshot(value string) {
 	n.change(firstRevision, func(h *watch.History) {
 		h.Reset(firstRevision)
 		for i, name := range []string{"a", "b", "c"} {
@@ -316,24 +319,24 @@
 	})
 }
 
-// maxAttempts is how many connections a session may need before its test fails.
-const maxAttempts = 3
+// maxConnections is the number of connections that a session may need.
+const maxConnections = 3
 
-// allChanges are all changes that a server has to be told of.
+// allChanges are the changes that a server has to receive.
 var allChanges = []string{"1 a", "2 b", "3 c", "11 d", "12 b", "13 a deleted"}
 
-// played is what became of a session.
-type played struct {
-	cut   bool // the first connection was
+// sessionResult is the result of a session.
+type sessionResult struct {
+	cut   bool // whether the first connection was cut
 	bytes int  // of the first connection, in the direction of the cut
 }
 
-// playCut plays a session whose first connection is cut, to its end.
-func playCut(t *testing.T, cut cut, value string) played {
+// runCutSession runs a session whose first connection is cut, to its end.
+func runCutSession(t *testing.T, cut cut, value string) sessionResult {
 	t.Helper()
 	node := newTableNode()
-	node.begin(value)
-	in, err := net.Listen("tcp", "127.0.0.1:0")
+	node.putSnapshot(value)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -342,148 +345,149 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		server.Serve(ctx, in)
+		server.Serve(ctx, listener)
 	}()
-	way := newRelay(t, in.Addr().String(), cut)
-	p := newPlayer(t, node, way.in.Addr().String(), value)
-	p.play(ctx)
-	bytes := way.close()
+	proxy := newCuttingProxy(t, listener.Addr().String(), cut)
+	s := newAppServer(t, node, proxy.listener.Addr().String(), value)
+	s.run(ctx)
+	bytes := proxy.close()
 	stop()
 	<-done
 	if node.failed != nil {
 		t.Errorf("%v, cut after %d bytes: %v", cut.direction, cut.bytes, node.failed)
 	}
-	if !slices.Equal(p.told, allChanges) {
-		t.Errorf("%v, cut after %d bytes: told %v, want %v", cut.direction, cut.bytes, p.told, allChanges)
+	if !slices.Equal(s.received, allChanges) {
+		t.Errorf("%v, cut after %d bytes: received %v, want %v", cut.direction, cut.bytes, s.received, allChanges)
 	}
-	if is, want := p.client.View().Digest(session.ConfigurationPrefix), node.digest(t); is != want {
-		t.Errorf("%v, cut after %d bytes: digest %x, the node's is %x", cut.direction, cut.bytes, is, want)
+	if got, want := s.client.View().Digest(session.ConfigurationPrefix), node.digest(t); got != want {
+		t.Errorf("%v, cut after %d bytes: digest %x, want the node's %x", cut.direction, cut.bytes, got, want)
 	}
 	wasCut := bytes == cut.bytes
-	if !wasCut && p.attempts != 1 || wasCut && p.attempts > 2 {
-		t.Errorf("%v, cut after %d bytes, of %d: %d connections, lost %q", cut.direction, cut.bytes, bytes, p.attempts, p.losses)
+	if !wasCut && s.connections != 1 || wasCut && s.connections > 2 {
+		t.Errorf("%v, cut after %d bytes, %d passed: %d connections, ended with %q", cut.direction, cut.bytes, bytes, s.connections, s.disconnects)
 	}
-	return played{cut: wasCut, bytes: bytes}
+	return sessionResult{cut: wasCut, bytes: bytes}
 }
 
-// player is an app server whose time passes where it has to wait.
-type player struct {
-	t        *testing.T
-	node     *tableNode
-	addr     string
-	value    string
-	dialer   *stream.Dialer
-	client   *session.Client
-	now      time.Duration
-	conn     *stream.Conn // nil = none
-	attempt  uint64
-	attempts int // at which a connection was made, or begun
-	told     []string
-	losses   []string // why connections ended, for a test that fails
-	over     bool
+// appServer is an app server with virtual time, which advances when it has to wait.
+type appServer struct {
+	t           *testing.T
+	node        *tableNode
+	addr        string
+	value       string
+	dialer      *stream.Dialer
+	client      *session.Client
+	now         time.Duration
+	conn        *stream.Conn // nil = not connected
+	attempt     uint64
+	connections int // connections that were made or tried
+	received    []string
+	disconnects []string // why connections ended, for the message of a test that fails
+	done        bool
 }
 
-func newPlayer(t *testing.T, node *tableNode, addr, value string) *player {
+func newAppServer(t *testing.T, node *tableNode, addr, value string) *appServer {
 	t.Helper()
 	client, err := session.NewClient(session.ClientOptions{Server: "app-1", Zone: "a", Incarnation: 1, Nodes: []string{"c1"}, Terms: lease.ControlTierTerms, Seed: 1}, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &player{t: t, node: node, addr: addr, value: value, dialer: &stream.Dialer{Meter: &stream.Meter{}}, client: client}
+	return &appServer{t: t, node: node, addr: addr, value: value, dialer: &stream.Dialer{Meter: &stream.Meter{}}, client: client}
 }
 
-// play goes on until the node has acknowledged that all is in force.
-func (p *player) play(ctx context.Context) {
-	p.t.Helper()
-	for !p.over {
-		if p.conn == nil {
-			p.tick(ctx, 100*time.Millisecond)
+// run runs the session until the node has acknowledged that the last revision is applied.
+func (s *appServer) run(ctx context.Context) {
+	s.t.Helper()
+	for !s.done {
+		if s.conn == nil {
+			s.tick(ctx, 100*time.Millisecond)
 			continue
 		}
-		message, err := p.conn.Receive()
+		message, err := s.conn.Receive()
 		if err != nil {
-			p.lose(err)
+			s.disconnect(err)
 			continue
 		}
-		received, err := p.client.Receive(p.attempt, *message, p.now)
+		result, err := s.client.Receive(s.attempt, *message, s.now)
 		if err != nil {
-			p.t.Fatal(err)
+			s.t.Fatal(err)
 		}
-		p.do(ctx, received.Actions)
-		p.note(received.Changed)
-		p.goOn(ctx, message)
+		s.do(ctx, result.Actions)
+		s.record(result.Changed)
+		s.proceed(ctx, message)
 	}
-	p.conn.Close()
+	s.conn.Close()
 }
 
-// tick has time pass.
-func (p *player) tick(ctx context.Context, by time.Duration) {
-	p.now += by
-	local := session.Local{Report: takeout.Report{Warm: true}, Applied: p.client.View().Revision()}
-	p.do(ctx, p.client.Tick(p.now, local))
+// tick advances the time.
+func (s *appServer) tick(ctx context.Context, by time.Duration) {
+	s.now += by
+	local := session.Local{Report: takeout.Report{Warm: true}, Applied: s.client.View().Revision()}
+	s.do(ctx, s.client.Tick(s.now, local))
 }
 
-// goOn has the next update made once the server has all before it, and tells the node what is in force.
-func (p *player) goOn(ctx context.Context, message *session.FromNode) {
-	at := p.client.View().Revision()
+// proceed has the next update made once the server has all earlier ones, and reports to the node which revision is
+// applied.
+func (s *appServer) proceed(ctx context.Context, message *session.FromNode) {
+	revision := s.client.View().Revision()
 	switch {
 	case message.Batch != nil:
-		p.tick(ctx, session.PromptHeartbeat)
-		if at >= firstRevision && at < lastRevision {
-			p.node.update(at+1, p.value)
+		s.tick(ctx, session.PromptHeartbeat)
+		if revision >= firstRevision && revision < lastRevision {
+			s.node.update(revision+1, s.value)
 		}
 	case message.Ack != nil:
-		p.over = p.conn != nil && at == lastRevision && p.node.knows(lastRevision)
+		s.done = s.conn != nil && revision == lastRevision && s.node.hasApplied(lastRevision)
 	}
 }
 
-func (p *player) note(changed []watch.Update) {
+func (s *appServer) record(changed []watch.Update) {
 	for _, u := range changed {
 		text := fmt.Sprint(u.Revision, " ", strings.TrimPrefix(u.Key, session.ConfigurationPrefix))
 		if u.Deleted {
 			text += " deleted"
 		}
-		p.told = append(p.told, text)
+		s.received = append(s.received, text)
 	}
 }
 
-// do carries out what the client decided.
-func (p *player) do(ctx context.Context, actions []session.Action) {
+// do carries out the client's actions.
+func (s *appServer) do(ctx context.Context, actions []session.Action) {
 	for _, action := range actions {
 		switch {
 		case action.Connect != nil:
-			p.connect(ctx, action.Connect)
-		case action.Send != nil && p.conn != nil:
-			if err := p.conn.Send(&action.Send.Message); err != nil {
-				p.lose(err)
+			s.connect(ctx, action.Connect)
+		case action.Send != nil && s.conn != nil:
+			if err := s.conn.Send(&action.Send.Message); err != nil {
+				s.disconnect(err)
 			}
-		case action.Close != nil && p.conn != nil:
-			p.conn.Close()
-			p.conn = nil
+		case action.Close != nil && s.conn != nil:
+			s.conn.Close()
+			s.conn = nil
 		}
 	}
 }
 
-func (p *player) connect(ctx context.Context, connect *session.Connect) {
-	p.attempts++
-	if p.attempts > maxAttempts {
-		p.t.Fatalf("told %v after %d connections, lost %q", p.told, maxAttempts, p.losses)
+func (s *appServer) connect(ctx context.Context, connect *session.Connect) {
+	s.connections++
+	if s.connections > maxConnections {
+		s.t.Fatalf("received %v after %d connections, which ended with %q", s.received, maxConnections, s.disconnects)
 	}
-	p.attempt = connect.Attempt
-	conn, err := p.dialer.Dial(ctx, connect.Node, p.addr)
+	s.attempt = connect.Attempt
+	conn, err := s.dialer.Dial(ctx, connect.Node, s.addr)
 	if err != nil {
-		p.losses = append(p.losses, fmt.Sprint("dial: ", err))
-		p.client.Disconnected(p.attempt, err.Error(), p.now)
+		s.disconnects = append(s.disconnects, fmt.Sprint("dial: ", err))
+		s.client.Disconnected(s.attempt, err.Error(), s.now)
 		return
 	}
-	p.conn = conn
-	p.do(ctx, p.client.Connected(p.attempt, p.now))
+	s.conn = conn
+	s.do(ctx, s.client.Connected(s.attempt, s.now))
 }
 
-// lose ends the connection.
-func (p *player) lose(err error) {
-	p.losses = append(p.losses, fmt.Sprint(err, " state ", p.client.State(), " told ", p.told, " rev ", p.client.View().Revision()))
-	p.conn.Close()
-	p.conn = nil
-	p.client.Disconnected(p.attempt, err.Error(), p.now)
+// disconnect closes the connection after an error.
+func (s *appServer) disconnect(err error) {
+	s.disconnects = append(s.disconnects, fmt.Sprint(err, " state ", s.client.State(), " received ", s.received, " revision ", s.client.View().Revision()))
+	s.conn.Close()
+	s.conn = nil
+	s.client.Disconnected(s.attempt, err.Error(), s.now)
 }
--- a/internal/fleet/stream/meter.go
+++ b/internal/fleet/stream/meter.go
@@ -8,37 +8,37 @@
 	"larchscale/internal/fleet/session"
 )
 
-// Meter counts the bytes of all connections at the socket, those of TLS included, and the messages by kind. Safe for
-// concurrent use.
+// Meter counts the bytes of all connections at the socket, including those of TLS, and the messages by kind. It is
+// safe for concurrent use.
 type Meter struct {
 	in, out  atomic.Uint64
 	messages struct{ hellos, heartbeats, welcomes, refusals, acks, batches atomic.Uint64 }
 }
 
-// Messages are counts of messages by kind, whichever side sent them.
+// Messages are counts of messages by kind, in both directions.
 type Messages struct{ Hellos, Heartbeats, Welcomes, Refusals, Acks, Batches uint64 }
 
-// In returns the bytes that came.
+// In returns the number of bytes received.
 func (m *Meter) In() uint64 { return m.in.Load() }
 
-// Out returns the bytes that were sent.
+// Out returns the number of bytes sent.
 func (m *Meter) Out() uint64 { return m.out.Load() }
 
-// Messages returns the messages that came or were sent.
+// Messages returns the number of messages received or sent.
 func (m *Meter) Messages() Messages {
-	n := &m.messages
-	return Messages{n.hellos.Load(), n.heartbeats.Load(), n.welcomes.Load(), n.refusals.Load(), n.acks.Load(), n.batches.Load()}
+	counts := &m.messages
+	return Messages{counts.hellos.Load(), counts.heartbeats.Load(), counts.welcomes.Load(), counts.refusals.Load(), counts.acks.Load(), counts.batches.Load()}
 }
 
 // Metrics returns the counts as lines of the admin endpoint.
 func (m *Meter) Metrics() []byte {
-	n := m.Messages()
+	counts := m.Messages()
 	return fmt.Appendf(nil, "fleet.session_bytes_in=%d\nfleet.session_bytes_out=%d\nfleet.session_hellos=%d\nfleet.session_heartbeats=%d\n"+
 		"fleet.session_welcomes=%d\nfleet.session_refusals=%d\nfleet.session_acks=%d\nfleet.session_batches=%d\n",
-		m.In(), m.Out(), n.Hellos, n.Heartbeats, n.Welcomes, n.Refusals, n.Acks, n.Batches)
+		m.In(), m.Out(), counts.Hellos, counts.Heartbeats, counts.Welcomes, counts.Refusals, counts.Acks, counts.Batches)
 }
 
-// Conn returns a connection whose bytes are counted.
+// Conn wraps a connection so that its bytes are counted.
 func (m *Meter) Conn(inner net.Conn) net.Conn { return meteredConn{inner, m} }
 
 // fromServer counts a message of an app server.
@@ -83,7 +83,7 @@
 	return n, err
 }
 
-// Write counts before it writes: whoever has read all that was sent finds all of it counted.
+// Write counts before it writes, so that all bytes which the peer has read are counted.
 func (c meteredConn) Write(b []byte) (int, error) {
 	c.meter.out.Add(uint64(len(b)))
 	n, err := c.Conn.Write(b)
--- a/internal/fleet/stream/meter_test.go
+++ b/internal/fleet/stream/meter_test.go
@@ -10,10 +10,10 @@
 	"larchscale/internal/link"
 )
 
-// Both ends count the messages of each kind, and the lines of the admin endpoint tell them.
+// Both ends count the messages of each kind, and report them as metrics.
 func TestMeterCountsMessages(t *testing.T) {
 	const heartbeats = 5
-	at := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
+	node := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
 		if _, err := s.Receive(); err != nil {
 			return
 		}
@@ -24,7 +24,7 @@
 	})
 	meter := &stream.Meter{}
 	dialer := &stream.Dialer{Meter: meter}
-	conn, err := dialer.Dial(t.Context(), "c1", at.addr)
+	conn, err := dialer.Dial(t.Context(), "c1", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	receive(t, conn, 1)
-	for number := range uint64(heartbeats) {
-		if err := conn.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: number + 1}}); err != nil {
+	for sequence := range uint64(heartbeats) {
+		if err := conn.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: sequence + 1}}); err != nil {
 			t.Fatal(err)
 		}
 		receive(t, conn, 2)
@@ -42,26 +42,26 @@
 	if err := conn.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: heartbeats + 1}}); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, conn, 2) // the node has counted all that it sent before
+	receive(t, conn, 2) // by now the node has counted everything that it sent before
 	want := stream.Messages{Hellos: 1, Heartbeats: heartbeats + 1, Welcomes: 1, Acks: heartbeats + 1, Batches: heartbeats + 1}
 	if got := meter.Messages(); got != want {
-		t.Errorf("the server counted %+v, not %+v", got, want)
+		t.Errorf("the server counted %+v, want %+v", got, want)
 	}
-	got := at.meter.Messages()
-	if got.Batches == heartbeats { // the last one is counted once its write has returned
+	got := node.meter.Messages()
+	if got.Batches == heartbeats { // the last batch is counted only after its write has returned
 		got.Batches++
 	}
 	if got != want {
-		t.Errorf("the node counted %+v, not %+v", got, want)
+		t.Errorf("the node counted %+v, want %+v", got, want)
 	}
-	if lines := string(meter.Metrics()); !strings.Contains(lines, "fleet.session_heartbeats=6\n") || !strings.Contains(lines, "fleet.session_batches=6\n") {
-		t.Error(lines)
+	if metrics := string(meter.Metrics()); !strings.Contains(metrics, "fleet.session_heartbeats=6\n") || !strings.Contains(metrics, "fleet.session_batches=6\n") {
+		t.Error(metrics)
 	}
 }
 
-func receive(t *testing.T, conn *stream.Conn, messages int) {
+func receive(t *testing.T, conn *stream.Conn, count int) {
 	t.Helper()
-	for range messages {
+	for range count {
 		if _, err := conn.Receive(); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/stream/stream.go
+++ b/internal/fleet/stream/stream.go
@@ -1,9 +1,9 @@
-// Package stream carries the messages of sessions between app servers and control nodes: one HTTP/2 stream
-// (POST /fleet/session) for each session, with request and response bodies both open. Each message is CBOR behind its
+// Package stream carries the messages of sessions between app servers and control nodes: one HTTP/2 stream (POST
+// /fleet/session) for each session, with request and response bodies both open. Each message is CBOR behind its
 // length as an unsigned varint.
 //
-// Off the machine both sides show certificates, whose names are the server's and the node's; on loopback HTTP/2 goes
-// without TLS. A Listener accepts sessions, a Dialer opens them. Neither knows what the messages mean.
+// Connections to other machines use mutual TLS: the certificates name the server and the node. On loopback HTTP/2
+// goes without TLS. A Server accepts sessions, a Dialer opens them. Neither interprets the messages.
 package stream
 
 import (
@@ -19,32 +19,33 @@
 	"larchscale/internal/fleet/session"
 )
 
-// Path is where a control node accepts sessions.
+// Path is the path on which a control node accepts sessions.
 const Path = "/fleet/session"
 
-// Terms of a stream.
+// Limits of a stream.
 const (
-	// WriteWithin is how long one message may take to be written before its session ends.
+	// WriteWithin is the time in which one message has to be written; otherwise its session ends.
 	WriteWithin = 5 * time.Second
-	// SpareConns are the connections beyond a node's sessions that it accepts, so that those which it has no room for are
-	// told where to go instead of being closed.
+	// SpareConns is the number of connections that a node accepts in addition to its sessions, so that it can tell
+	// the servers which it has no room for where to go, instead of closing their connections.
 	SpareConns = 32
-	// handshakeWithin bounds a TLS handshake, and the head of a request.
-	handshakeWithin = 2 * time.Second
-	// idleFor is how long a connection without a session stays open.
-	idleFor = 10 * time.Second
-	// receiveBuffer bounds the bytes of one session that have come and were not read yet.
+	// handshakeTimeout limits a TLS handshake, and the header of a request.
+	handshakeTimeout = 2 * time.Second
+	// idleTimeout is how long a connection without a session stays open.
+	idleTimeout = 10 * time.Second
+	// receiveBuffer limits the bytes of one session that have been received but not read.
 	receiveBuffer = 2 * session.MaxMessage
-	// frameSize is the largest frame of HTTP/2 that is taken.
-	frameSize = 16 << 10
-	// maxHead bounds the head of a request or an answer.
-	maxHead = 8 << 10
+	// maxFrameSize is the largest HTTP/2 frame that is accepted.
+	maxFrameSize = 16 << 10
+	// maxHeaderBytes limits the header of a request or a response.
+	maxHeaderBytes = 8 << 10
 )
 
-// ErrTooLarge is a message of more than session.MaxMessage bytes.
+// ErrTooLarge means that a message has more than session.MaxMessage bytes.
 var ErrTooLarge = errors.New("message is too large")
 
-// decoder keeps what a peer sends from sizing memory: a message is bounded already, and so is what it may hold.
+// decoder limits the memory that a peer's message can make this process allocate: its size is bounded already, and
+// this bounds the number of its elements.
 var decoder = func() cbor.DecMode {
 	options := cbor.DecOptions{MaxArrayElements: 1 << 14, MaxMapPairs: 64, MaxNestedLevels: 8, DupMapKey: cbor.DupMapKeyEnforcedAPF}
 	mode, err := options.DecMode()
@@ -61,27 +62,29 @@
 		return nil, fmt.Errorf("stream: %w", err)
 	}
 	if len(body) > session.MaxMessage {
-		return nil, fmt.Errorf("stream: %d bytes, %d at most: %w", len(body), session.MaxMessage, ErrTooLarge)
+		return nil, fmt.Errorf("stream: %d bytes, at most %d are allowed: %w", len(body), session.MaxMessage, ErrTooLarge)
 	}
 	return append(binary.AppendUvarint(make([]byte, 0, len(body)+binary.MaxVarintLen32), uint64(len(body))), body...), nil
 }
 
-// messages reads the messages of one direction.
-type messages struct{ in *bufio.Reader }
+// messageReader reads the messages of one direction.
+type messageReader struct{ in *bufio.Reader }
 
-func newMessages(in io.Reader) messages { return messages{bufio.NewReaderSize(in, 4<<10)} }
+func newMessageReader(in io.Reader) messageReader {
+	return messageReader{bufio.NewReaderSize(in, 4<<10)}
+}
 
-// next reads one message into the given value.
-func (m messages) next(into any) error {
-	size, err := binary.ReadUvarint(m.in)
+// next decodes the next message into the given value.
+func (r messageReader) next(into any) error {
+	size, err := binary.ReadUvarint(r.in)
 	if err != nil {
 		return err
 	}
 	if size > session.MaxMessage {
-		return fmt.Errorf("stream: %d bytes, %d at most: %w", size, session.MaxMessage, ErrTooLarge)
+		return fmt.Errorf("stream: %d bytes, at most %d are allowed: %w", size, session.MaxMessage, ErrTooLarge)
 	}
 	body := make([]byte, size)
-	if _, err := io.ReadFull(m.in, body); err != nil {
+	if _, err := io.ReadFull(r.in, body); err != nil {
 		return err
 	}
 	if err := decoder.Unmarshal(body, into); err != nil {
--- a/internal/fleet/stream/stream_test.go
+++ b/internal/fleet/stream/stream_test.go
@@ -19,13 +19,13 @@
 	"larchscale/internal/scenario/certs"
 )
 
-// endpoint is a server of the tests.
+// endpoint is a running server of a test.
 type endpoint struct {
 	addr  string
 	meter *stream.Meter
 }
 
-// serve starts a server that carries out each session with accept.
+// serve starts a server that handles each session with accept.
 func serve(t *testing.T, options link.Options, silence time.Duration, accept func(*stream.Session)) endpoint {
 	t.Helper()
 	config, err := options.TLS()
@@ -51,7 +51,7 @@
 	return endpoint{in.Addr().String(), meter}
 }
 
-// authority writes certificates of some names, and returns the options that use each.
+// authority creates certificates for some names, and returns the link options for each.
 func authority(t *testing.T, names ...string) map[string]link.Options {
 	t.Helper()
 	dir := t.TempDir()
@@ -74,174 +74,175 @@
 		if message.Heartbeat == nil {
 			continue
 		}
-		number := message.Heartbeat.Sequence
-		batch := &watch.Batch{To: number, Updates: []watch.Update{{Revision: number, Key: "k", Value: bytes.Repeat([]byte("v"), 40<<10)}}}
-		if s.Send(&session.FromNode{Ack: &session.Ack{Sequence: number}}) != nil || s.Send(&session.FromNode{Batch: batch}) != nil {
+		sequence := message.Heartbeat.Sequence
+		batch := &watch.Batch{To: sequence, Updates: []watch.Update{{Revision: sequence, Key: "k", Value: bytes.Repeat([]byte("v"), 40<<10)}}}
+		if s.Send(&session.FromNode{Ack: &session.Ack{Sequence: sequence}}) != nil || s.Send(&session.FromNode{Batch: batch}) != nil {
 			return
 		}
 	}
 }
 
-func TestMessagesGoBothWays(t *testing.T) {
+func TestMessagesInBothDirections(t *testing.T) {
 	options := authority(t, "c1", "app-1")
 	for name, plain := range map[string]bool{"TLS": false, "without TLS on loopback": true} {
 		t.Run(name, func(t *testing.T) {
-			of := func(name string) link.Options {
+			optionsOf := func(name string) link.Options {
 				if plain {
 					return link.Options{}
 				}
 				return options[name]
 			}
-			at := serve(t, of("c1"), time.Minute, echo)
-			own := of("app-1")
-			config, err := own.TLS()
+			node := serve(t, optionsOf("c1"), time.Minute, echo)
+			serverOptions := optionsOf("app-1")
+			config, err := serverOptions.TLS()
 			if err != nil {
 				t.Fatal(err)
 			}
 			dialer := &stream.Dialer{TLS: config, Meter: &stream.Meter{}}
-			conn, err := dialer.Dial(t.Context(), "c1", at.addr)
+			conn, err := dialer.Dial(t.Context(), "c1", node.addr)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer conn.Close()
-			for number := uint64(1); number <= 20; number++ {
-				if err := conn.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: number}}); err != nil {
+			for sequence := uint64(1); sequence <= 20; sequence++ {
+				if err := conn.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: sequence}}); err != nil {
 					t.Fatal(err)
 				}
 				ack, err := conn.Receive()
-				if err != nil || ack.Ack == nil || ack.Ack.Sequence != number {
-					t.Fatalf("message %d: %+v, %v", number, ack, err)
+				if err != nil || ack.Ack == nil || ack.Ack.Sequence != sequence {
+					t.Fatalf("message %d: %+v, %v", sequence, ack, err)
 				}
 				batch, err := conn.Receive()
-				if err != nil || batch.Batch == nil || batch.Batch.To != number || len(batch.Batch.Updates[0].Value) != 40<<10 {
-					t.Fatalf("message %d: %+v, %v", number, batch, err)
+				if err != nil || batch.Batch == nil || batch.Batch.To != sequence || len(batch.Batch.Updates[0].Value) != 40<<10 {
+					t.Fatalf("message %d: %+v, %v", sequence, batch, err)
 				}
 			}
 			if in := dialer.Meter.In(); in < 20*40<<10 || in > 20*41<<10 {
-				t.Errorf("%d bytes came at the client", in)
+				t.Errorf("the client received %d bytes", in)
 			}
-			if out := at.meter.Out(); out < 20*40<<10 || out > 20*41<<10 {
-				t.Errorf("%d bytes left the server", out)
+			if out := node.meter.Out(); out < 20*40<<10 || out > 20*41<<10 {
+				t.Errorf("the server sent %d bytes", out)
 			}
 			if out := dialer.Meter.Out(); out == 0 || out > 32<<10 {
-				t.Errorf("%d bytes left the client", out)
+				t.Errorf("the client sent %d bytes", out)
 			}
 		})
 	}
 }
 
-// A server under a name that its certificate does not have is told apart; so is a node, before anything is said to it.
-func TestNamesOfCertificates(t *testing.T) {
+// A server whose certificate has another name is detected, and so is a node, before any message is sent to it.
+func TestCertificateNames(t *testing.T) {
 	options := authority(t, "c1", "app-1")
 	verified := make(chan [2]error, 1)
-	at := serve(t, options["c1"], time.Minute, func(s *stream.Session) {
+	node := serve(t, options["c1"], time.Minute, func(s *stream.Session) {
 		verified <- [2]error{s.Verify("app-1"), s.Verify("app-2")}
 	})
-	own := options["app-1"]
-	config, err := own.TLS()
+	serverOptions := options["app-1"]
+	config, err := serverOptions.TLS()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dialer := &stream.Dialer{TLS: config, Meter: &stream.Meter{}}
-	conn, err := dialer.Dial(t.Context(), "c1", at.addr)
+	conn, err := dialer.Dial(t.Context(), "c1", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	conn.Close()
 	if errs := <-verified; errs[0] != nil || errs[1] == nil {
-		t.Errorf("its own name: %v, another: %v", errs[0], errs[1])
+		t.Errorf("own name: %v, another name: %v", errs[0], errs[1])
 	}
-	if _, err := dialer.Dial(t.Context(), "c2", at.addr); err == nil {
-		t.Error("a node with the certificate of another was taken")
+	if _, err := dialer.Dial(t.Context(), "c2", node.addr); err == nil {
+		t.Error("a node with the certificate of another one was accepted")
 	}
-	stranger := authority(t, "app-1")["app-1"]
-	if config, err = stranger.TLS(); err != nil {
+	foreign := authority(t, "app-1")["app-1"]
+	if config, err = foreign.TLS(); err != nil {
 		t.Fatal(err)
 	}
 	config.RootCAs = dialer.TLS.RootCAs
-	if _, err := (&stream.Dialer{TLS: config, Meter: &stream.Meter{}}).Dial(t.Context(), "c1", at.addr); err == nil {
-		t.Error("a server of another authority was taken")
+	if _, err := (&stream.Dialer{TLS: config, Meter: &stream.Meter{}}).Dial(t.Context(), "c1", node.addr); err == nil {
+		t.Error("a server with a certificate of another authority was accepted")
 	}
 }
 
-// raw opens a stream by hand, and returns the request's body and the answer's.
+// raw opens a stream without a Dialer, and returns the bodies of the request and of the response.
 func raw(t *testing.T, addr string) (*io.PipeWriter, io.ReadCloser) {
 	t.Helper()
 	protocols := new(http.Protocols)
 	protocols.SetUnencryptedHTTP2(true)
 	transport := &http.Transport{Protocols: protocols}
 	t.Cleanup(transport.CloseIdleConnections)
-	body, write := io.Pipe()
+	body, bodyWriter := io.Pipe()
 	request, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+addr+stream.Path, body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	answer, err := transport.RoundTrip(request)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		write.Close()
-		answer.Body.Close()
+		bodyWriter.Close()
+		response.Body.Close()
 	})
-	return write, answer.Body
+	return bodyWriter, response.Body
 }
 
-// What is no message ends its session: a length past the bound before its bytes are read, and what is no CBOR.
-func TestWhatIsNoMessageEndsTheSession(t *testing.T) {
+// Malformed messages end their session: lengths over the limit, before the bytes are read, and content that is not
+// CBOR of the expected type.
+func TestMalformedMessageEndsSession(t *testing.T) {
 	got := make(chan error, 1)
-	at := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
+	node := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
 		_, err := s.Receive()
 		got <- err
 	})
 	for name, sent := range map[string]struct {
-		bytes string
-		is    func(error) bool
+		bytes   string
+		matches func(error) bool
 	}{
-		"too large":     {"\xff\xff\xff\xff\x0f", func(err error) bool { return errors.Is(err, stream.ErrTooLarge) }},
-		"no length":     {strings.Repeat("\xff", 11), func(err error) bool { return err != nil }},
-		"no CBOR":       {"\x03abc", func(err error) bool { return err != nil && strings.Contains(err.Error(), "cbor") }},
-		"a huge array":  {"\x05\x9a\xff\xff\xff\xff", func(err error) bool { return err != nil }},
-		"another shape": {"\x04\xa1\x01\x61a", func(err error) bool { return err != nil && strings.Contains(err.Error(), "cbor") }},
+		"too large":       {"\xff\xff\xff\xff\x0f", func(err error) bool { return errors.Is(err, stream.ErrTooLarge) }},
+		"length too long": {strings.Repeat("\xff", 11), func(err error) bool { return err != nil }},
+		"not CBOR":        {"\x03abc", func(err error) bool { return err != nil && strings.Contains(err.Error(), "cbor") }},
+		"huge array":      {"\x05\x9a\xff\xff\xff\xff", func(err error) bool { return err != nil }},
+		"wrong type":      {"\x04\xa1\x01\x61a", func(err error) bool { return err != nil && strings.Contains(err.Error(), "cbor") }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			in, _ := raw(t, at.addr)
+			in, _ := raw(t, node.addr)
 			if _, err := in.Write([]byte(sent.bytes)); err != nil {
 				t.Fatal(err)
 			}
-			if err := <-got; !sent.is(err) {
-				t.Errorf("ended by %v", err)
+			if err := <-got; !sent.matches(err) {
+				t.Errorf("ended with %v", err)
 			}
 		})
 	}
 	large := &session.FromServer{Hello: &session.Hello{Server: strings.Repeat("s", session.MaxMessage)}}
-	conn, err := (&stream.Dialer{Meter: &stream.Meter{}}).Dial(t.Context(), "c1", at.addr)
+	conn, err := (&stream.Dialer{Meter: &stream.Meter{}}).Dial(t.Context(), "c1", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	if err := conn.Send(large); !errors.Is(err, stream.ErrTooLarge) {
-		t.Errorf("a message of %d bytes: %v", session.MaxMessage, err)
+		t.Errorf("message of more than %d bytes: %v", session.MaxMessage, err)
 	}
 }
 
-// A session that sends nothing ends by its silence.
-func TestSilenceEndsASession(t *testing.T) {
+// A session that sends nothing times out.
+func TestSessionWithoutMessagesTimesOut(t *testing.T) {
 	got := make(chan error, 1)
-	at := serve(t, link.Options{}, 50*time.Millisecond, func(s *stream.Session) {
+	node := serve(t, link.Options{}, 50*time.Millisecond, func(s *stream.Session) {
 		_, err := s.Receive()
 		got <- err
 	})
-	raw(t, at.addr)
+	raw(t, node.addr)
 	if err := <-got; err == nil {
-		t.Error("silence brought a message")
+		t.Error("a session without messages did not time out")
 	}
 }
 
-// A reader that takes nothing is ended by the deadline of a write, and holds up no other session.
-func TestASlowReaderHoldsUpNobody(t *testing.T) {
+// A write to a peer that reads nothing times out, and delays no other session.
+func TestSlowReaderDelaysNoOtherSession(t *testing.T) {
 	ended := make(chan error, 1)
-	at := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
+	node := serve(t, link.Options{}, time.Minute, func(s *stream.Session) {
 		message, err := s.Receive()
 		if err != nil || message.Hello == nil || message.Hello.Server != "slow" {
 			echo(s)
@@ -253,7 +254,7 @@
 		ended <- err
 	})
 	dialer := &stream.Dialer{Meter: &stream.Meter{}}
-	slow, err := dialer.Dial(t.Context(), "c1", at.addr)
+	slow, err := dialer.Dial(t.Context(), "c1", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,27 +262,27 @@
 	if err := slow.Send(&session.FromServer{Hello: &session.Hello{Server: "slow"}}); err != nil {
 		t.Fatal(err)
 	}
-	brisk, err := dialer.Dial(t.Context(), "c1", at.addr)
+	fast, err := dialer.Dial(t.Context(), "c1", node.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer brisk.Close()
-	if err := brisk.Send(&session.FromServer{Hello: &session.Hello{Server: "brisk"}}); err != nil {
+	defer fast.Close()
+	if err := fast.Send(&session.FromServer{Hello: &session.Hello{Server: "fast"}}); err != nil {
 		t.Fatal(err)
 	}
-	for number := uint64(1); ; number++ {
-		if err := brisk.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: number}}); err != nil {
+	for sequence := uint64(1); ; sequence++ {
+		if err := fast.Send(&session.FromServer{Heartbeat: &session.Heartbeat{Sequence: sequence}}); err != nil {
 			t.Fatal(err)
 		}
 		for range 2 {
-			if _, err := brisk.Receive(); err != nil {
+			if _, err := fast.Receive(); err != nil {
 				t.Fatal(err)
 			}
 		}
 		select {
 		case err := <-ended:
-			if err == nil || number < 2 {
-				t.Errorf("ended by %v after %d messages of the other", err, number)
+			if err == nil || sequence < 2 {
+				t.Errorf("ended with %v after %d messages of the other session", err, sequence)
 			}
 			return
 		default:
