--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/agree/node.go
@@ -20,7 +20,7 @@
 	electionTicks  = 8
 	// Heartbeats to learners, which are nearly all members of a fleet of 300, go once in so many ticks. Entries are
 	// sent to them at once.
-	learnerHeartbeatTicks   = 10
+	learnerTicks            = 10
 	maxEntryBytesPerMessage = 1 << 20  // bytes of entries in one message
 	maxUncommittedBytes     = 4 << 20  // bytes of proposals that no majority has yet
 	maxInflightMessages     = 64       // messages in flight to one node
@@ -281,7 +281,7 @@
 			out.Restored = true
 		}
 		for _, m := range rd.Messages {
-			if m.GetType() == raftpb.MessageType_MsgHeartbeat && n.ticks%learnerHeartbeatTicks != 0 && slices.Contains(n.confState.GetLearners(), m.GetTo()) {
+			if m.GetType() == raftpb.MessageType_MsgHeartbeat && n.ticks%learnerTicks != 0 && slices.Contains(n.confState.GetLearners(), m.GetTo()) {
 				continue
 			}
 			data, err := proto.Marshal(m)
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -25,7 +25,7 @@
 
 const (
 	tick              = 100 * time.Millisecond
-	reportTicks       = 10 // ticks between reports to the voters
+	reportEach        = 10 // ticks between reports to the voters
 	actTicks          = 2
 	reproposeTicks    = 10               // after so many ticks a phase that the log does not have yet is proposed again
 	maxQueuedEvents   = 1024             // events from outside the loop
@@ -212,7 +212,7 @@
 	s := d.node.State()
 	now := time.Now()
 	member := s.Member(d.self.ID)
-	if d.ticks%reportTicks == 0 {
+	if d.ticks%reportEach == 0 {
 		if member == nil || member.Addr != d.self.Addr {
 			d.sendJoinRequest(ctx)
 		}
