--- a/internal/fleet/agree/parts.go
+++ b/internal/fleet/agree/parts.go
@@ -7,13 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrNewer is returned for an entry or a snapshot of a format that this version of the program cannot read. Skipping
-// the unknown content would let the nodes' states diverge, so the node stops participating.
+// ErrNewer is returned for an entry or a snapshot of a format that this version of the program cannot read.
+// Skipping the unknown content would let the nodes' states diverge, so the node stops participating.
 var ErrNewer = errors.New("of another version of the program")
 
-// Part is a replicated state machine in addition to members and maintenance plans. Its state changes only by entries
-// and by Load, in the same way on every node. An incompatible format in a later version of the program needs a new
-// name.
+// Part is a replicated state machine in addition to members and maintenance plans. Its state changes only by
+// entries and by Load, in the same way on every node. An incompatible format in a later version of the program needs
+// a new name.
 type Part interface {
 	// Name returns the name by which entries, snapshots and reports identify the state machine.
 	Name() string
@@ -32,7 +32,8 @@
 	Apply(index uint64, e *E) error
 }
 
-// Agreed implements StateMachine for a state S with entries E. Only the node changes the state; others may read it.
+// Agreed implements StateMachine for a state S with entries E. Only the node changes the state; others may
+// read it.
 type Agreed[S, E any, P applier[S, E]] struct {
 	State       S
 	name        string
--- a/internal/fleet/agree/state.go
+++ b/internal/fleet/agree/state.go
@@ -101,8 +101,8 @@
 	return nil
 }
 
-// Knock derives the change that a join request calls for; nil = the node is a member already. A name stays taken for
-// as long as its member reports.
+// Knock derives the change that a join request calls for; nil = the node is a member already. A name stays taken
+// for as long as its member reports.
 func (s *State) Knock(m Member, reporting func(id uint64) bool) (*Change, error) {
 	if m.ID == 0 || m.Name == "" || m.Addr == "" {
 		return nil, fmt.Errorf("invalid join request: node %q with id %x at %q: %w", m.Name, m.ID, m.Addr, ErrMember)
@@ -128,8 +128,8 @@
 	return &Change{Admit, m}, nil
 }
 
-// Voters derives the next change towards the wanted number of voters. It promotes a learner that reports, of the zone
-// with the fewest voters first; nil = there are enough voters, or no learner qualifies.
+// Voters derives the next change towards the wanted number of voters. It promotes a learner that reports, of
+// the zone with the fewest voters first; nil = there are enough voters, or no learner qualifies.
 func (s *State) Voters(want int, reporting func(id uint64) bool) *Change {
 	votersByZone := map[string]int{}
 	voterCount := 0
@@ -155,8 +155,8 @@
 	return &Change{Promote, *best}
 }
 
-// Gone derives the change that removes from raft a member which the maintenance state no longer contains; nil = there
-// is none, except perhaps self: the leader cannot remove itself.
+// Gone derives the change that removes from raft a member which the maintenance state no longer contains;
+// nil = there is none, except perhaps self: the leader cannot remove itself.
 func (s *State) Gone(self uint64) *Change {
 	for _, m := range s.Members {
 		if m.ID != self && s.Work.Box(m.Name) == nil {
--- a/internal/fleet/driver/client.go
+++ b/internal/fleet/driver/client.go
@@ -42,7 +42,8 @@
 	return err == nil, err
 }
 
-// Say sends a command of an operator to a server. It returns the command's error, or that the server did not answer.
+// Say sends a command of an operator to a server. It returns the command's error, or that the server did not
+// answer.
 func Say(ctx context.Context, c *link.Client, command Word) error {
 	request, err := json.Marshal(command)
 	if err != nil {
--- a/internal/fleet/driver/handover.go
+++ b/internal/fleet/driver/handover.go
@@ -14,9 +14,9 @@
 // ErrNoSuccessor means that no other voter can become the leader.
 var ErrNoSuccessor = errors.New("no other voter is reporting, warm and in service")
 
-// HandOver transfers the leadership to another voter if this server has it. It returns once another server leads or
-// the context ends. It is called from outside the loop, before the process ends, so that the others need not wait for
-// an election timeout.
+// HandOver transfers the leadership to another voter if this server has it. It returns once another server
+// leads or the context ends. It is called from outside the loop, before the process ends, so that the others need not
+// wait for an election timeout.
 func (d *Driver) HandOver(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
--- a/internal/fleet/driver/modules.go
+++ b/internal/fleet/driver/modules.go
@@ -42,8 +42,8 @@
 
 // Ordered is a module that takes commands of operators. Its methods are called as those of Module are.
 type Ordered interface {
-	// Order decodes a command, and returns the entry to propose, whose outcome is the command's. An error refuses the
-	// command, with a one-line text for the operator.
+	// Order decodes a command, and returns the entry to propose, whose outcome is the command's. An error
+	// refuses the command, with a one-line text for the operator.
 	Order(command []byte) (entry any, err error)
 	// Stands returns the status of the module, to be encoded as JSON. It shares no memory with what the module
 	// changes.
@@ -98,8 +98,8 @@
 	return h.d.reports[name], h.d.hasFreshReport(m, time.Now())
 }
 
-// Ready reports whether every member has announced that its program has the module. Until then no entry of the module
-// may be proposed: a member without the module would have to end its membership.
+// Ready reports whether every member has announced that its program has the module. Until then no entry of
+// the module may be proposed: a member without the module would have to end its membership.
 func (h *Host) Ready() bool {
 	return !slices.ContainsFunc(h.d.node.State().Members, func(m agree.Member) bool {
 		return m.ID != h.d.self.ID && !slices.Contains(h.d.supportedModules[m.ID], h.module)
--- a/internal/fleet/driver/part.go
+++ b/internal/fleet/driver/part.go
@@ -14,9 +14,9 @@
 // lockRetryInterval is how often it is tried to lock a directory that another process of the server still has locked.
 const lockRetryInterval = 250 * time.Millisecond
 
-// Part is a server's membership of the fleet over the lifetime of its process, whether there is one or not. While the
-// previous process still has the directory locked, as during a replacement, it waits. If the files belong to another
-// server, are damaged or are of a newer program, it logs that, and the server serves without a membership.
+// Part is a server's membership of the fleet over the lifetime of its process, whether there is one or not.
+// While the previous process still has the directory locked, as during a replacement, it waits. If the files belong
+// to another server, are damaged or are of a newer program, it logs that, and the server serves without a membership.
 type Part struct {
 	open    func() (*Driver, error)
 	log     *slog.Logger
