--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// idler is a Worker that does nothing.
-type idler struct{}
+// nopWorker is a Worker that does nothing.
+type nopWorker struct{}
 
-func (idler) Run(uint32)                         {}
-func (idler) Stop(uint32)                        {}
-func (idler) Refuse(uint32, time.Duration, bool) {}
-func (idler) Fail(uint32)                        {}
-func (idler) Call(uint32, time.Duration)         {}
-func (idler) Skip(uint32)                        {}
-func (idler) Keep(uint32, time.Duration)         {}
-func (idler) Forget(uint32)                      {}
-func (idler) Replay(uint32)                      {}
-func (idler) SetLevel(float64)                   {}
-func (idler) SetHealth(bool, bool)               {}
-func (idler) CloseIdle(time.Duration)            {}
-func (idler) Wake(time.Duration)                 {}
-func (idler) Log(string)                         {}
+func (nopWorker) Run(uint32)                         {}
+func (nopWorker) Stop(uint32)                        {}
+func (nopWorker) Refuse(uint32, time.Duration, bool) {}
+func (nopWorker) Fail(uint32)                        {}
+func (nopWorker) Call(uint32, time.Duration)         {}
+func (nopWorker) Skip(uint32)                        {}
+func (nopWorker) Keep(uint32, time.Duration)         {}
+func (nopWorker) Forget(uint32)                      {}
+func (nopWorker) Replay(uint32)                      {}
+func (nopWorker) SetLevel(float64)                   {}
+func (nopWorker) SetHealth(bool, bool)               {}
+func (nopWorker) CloseIdle(time.Duration)            {}
+func (nopWorker) Wake(time.Duration)                 {}
+func (nopWorker) Log(string)                         {}
 
-// BenchmarkRequest is one request with all its events, at several sizes of the fleet and of the hold.
+// BenchmarkRequest measures all events of one request, for several sizes of the fleet and of the held queue.
 func BenchmarkRequest(b *testing.B) {
-	for _, k := range []struct{ servers, callers, held int }{
+	for _, size := range []struct{ servers, callers, held int }{
 		{16, 4, 0}, {330, 1100, 0}, {5000, 20000, 0}, {330, 1100, 20}, {330, 1100, 200},
 	} {
-		b.Run(fmt.Sprintf("servers=%d/callers=%d/held=%d", k.servers, k.callers, k.held), func(b *testing.B) {
-			cfg := plain()
-			cfg.Servers, cfg.Callers, cfg.IdleMax, cfg.Memory = k.servers, k.callers, 30*time.Second, 0
+		b.Run(fmt.Sprintf("servers=%d/callers=%d/held=%d", size.servers, size.callers, size.held), func(b *testing.B) {
+			cfg := baseConfig()
+			cfg.Servers, cfg.Callers, cfg.IdleMax, cfg.Memory = size.servers, size.callers, 30*time.Second, 0
 			cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 100*time.Hour, 100*time.Hour
-			c, err := New(cfg, 0, idler{})
+			c, err := New(cfg, 0, nopWorker{})
 			if err != nil {
 				b.Fatal(err)
 			}
-			for id := uint32(1); id <= uint32(cfg.Cores+k.held); id++ { // these run, the rest is held behind them
+			for id := uint32(1); id <= uint32(cfg.Cores+size.held); id++ { // some run, the rest is held behind them
 				c.Request(0, Request{ID: id, Rank: 0.9, Left: 99 * time.Hour, Memory: 1})
 			}
 			c.Decide(0)
@@ -45,7 +45,7 @@
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				now, id := time.Duration(i)*time.Millisecond, uint32(1000+i)
-				q := Request{ID: id, Rank: 0.5, Left: time.Minute, Memory: 1, Caller: uint32(i * 7919 % k.callers)}
+				q := Request{ID: id, Rank: 0.5, Left: time.Minute, Memory: 1, Caller: uint32(i * 7919 % size.callers)}
 				c.Tick(now, Gauges{CoreUse: 0.5, OnCores: 2})
 				c.Request(now, q)
 				c.Decide(now)
--- a/control/check.go
+++ b/control/check.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Check tells what of a Config cannot be, naming the field and its value.
+// Check returns an error that names the first invalid field of c and its value, or nil.
 func (c *Config) Check() error {
 	var err error
-	list, index := "", 0 // the element that is looked at; "" = a field of c itself
-	bad := func(field string, value any) {
+	list, index := "", 0 // list and index of the element under check; "" = a field of c itself
+	invalid := func(field string, value any) {
 		if err != nil {
 			return
 		}
@@ -19,19 +19,19 @@
 		}
 		err = fmt.Errorf("control: Config.%s is %v", field, value)
 	}
-	span := func(field string, d time.Duration) {
+	duration := func(field string, d time.Duration) {
 		if d < 0 {
-			bad(field, d)
+			invalid(field, d)
 		}
 	}
-	size := func(field string, x float64) {
+	amount := func(field string, x float64) {
 		if !(x >= 0) || math.IsInf(x, 1) {
-			bad(field, x)
+			invalid(field, x)
 		}
 	}
-	share := func(field string, x float64) {
+	fraction := func(field string, x float64) {
 		if !(x >= 0 && x <= 1) {
-			bad(field, x)
+			invalid(field, x)
 		}
 	}
 	for _, n := range []struct {
@@ -39,49 +39,49 @@
 		value int
 	}{{"Servers", c.Servers}, {"Callers", c.Callers}, {"Cores", c.Cores}} {
 		if n.value < 0 {
-			bad(n.field, n.value)
+			invalid(n.field, n.value)
 		}
 	}
 	for i, k := range c.Classes {
 		list, index = "Classes", i
-		span("Aim", k.Aim)
-		span("Deadline", k.Deadline)
-		span("Window", k.Window)
-		size("Worth", k.Worth)
-		share("LateWorth", k.LateWorth)
-		share("SkipWorth", k.SkipWorth)
+		duration("Aim", k.Aim)
+		duration("Deadline", k.Deadline)
+		duration("Window", k.Window)
+		amount("Worth", k.Worth)
+		fraction("LateWorth", k.LateWorth)
+		fraction("SkipWorth", k.SkipWorth)
 		if k.Effect > Unsafe {
-			bad("Effect", k.Effect)
+			invalid("Effect", k.Effect)
 		}
 	}
 	for i, t := range c.Tenants {
 		list, index = "Tenants", i
-		share("Share", t.Share)
-		size("Quota", t.Quota)
+		fraction("Share", t.Share)
+		amount("Quota", t.Quota)
 	}
 	list = ""
 	if c.Advert > AdvertWeight {
-		bad("Advert", c.Advert)
+		invalid("Advert", c.Advert)
 	}
 	if c.Stopping > StopHolds {
-		bad("Stopping", c.Stopping)
+		invalid("Stopping", c.Stopping)
 	}
-	share("ColdFrom", c.ColdFrom)
-	share("OverWorth", c.OverWorth)
-	size("Memory", c.Memory)
-	size("RunFactor", c.RunFactor)
-	size("KeyMemory", c.KeyMemory)
-	size("Crowd", c.Crowd)
-	size("CallShare", c.CallShare)
-	span("ColdFor", c.ColdFor)
-	span("CrowdFor", c.CrowdFor)
-	span("CallWindow", c.CallWindow)
-	span("CallLingers", c.CallLingers)
-	span("DrainGrace", c.DrainGrace)
-	span("Slack", c.Slack)
-	span("HeardFor", c.HeardFor)
-	span("MaxAdvice", c.MaxAdvice)
-	span("IdleMax", c.IdleMax)
-	span("Quantum", c.Quantum)
+	fraction("ColdFrom", c.ColdFrom)
+	fraction("OverWorth", c.OverWorth)
+	amount("Memory", c.Memory)
+	amount("RunFactor", c.RunFactor)
+	amount("KeyMemory", c.KeyMemory)
+	amount("Crowd", c.Crowd)
+	amount("CallShare", c.CallShare)
+	duration("ColdFor", c.ColdFor)
+	duration("CrowdFor", c.CrowdFor)
+	duration("CallWindow", c.CallWindow)
+	duration("CallLingers", c.CallLingers)
+	duration("DrainGrace", c.DrainGrace)
+	duration("Slack", c.Slack)
+	duration("HeardFor", c.HeardFor)
+	duration("MaxAdvice", c.MaxAdvice)
+	duration("IdleMax", c.IdleMax)
+	duration("Quantum", c.Quantum)
 	return err
 }
--- a/control/check_test.go
+++ b/control/check_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The error names the first field that cannot be, with its place in a list, and its value.
+// The error names the first invalid field, with its index in a list, and its value.
 func TestCheckNamesTheField(t *testing.T) {
 	for want, change := range map[string]func(*Config){
 		"":                                      func(*Config) {},
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -9,8 +9,8 @@
 
 const ms = time.Millisecond
 
-// tape is a Worker that writes down what it is told.
-type tape struct {
+// recorder is a Worker that records the actions of a Controller.
+type recorder struct {
 	ran, refused, failed, stopped, kept, replayed, called, skipped []uint32
 	last                                                           map[uint32]bool
 	level                                                          float64
@@ -18,42 +18,42 @@
 	wake, idle, patience, away                                     time.Duration
 }
 
-func (t *tape) Run(id uint32)  { t.ran = append(t.ran, id) }
-func (t *tape) Stop(id uint32) { t.stopped = append(t.stopped, id) }
-func (t *tape) Refuse(id uint32, away time.Duration, last bool) {
-	t.refused = append(t.refused, id)
-	t.away = away
-	if t.last == nil {
-		t.last = map[uint32]bool{}
-	}
-	t.last[id] = last
+func (w *recorder) Run(id uint32)  { w.ran = append(w.ran, id) }
+func (w *recorder) Stop(id uint32) { w.stopped = append(w.stopped, id) }
+func (w *recorder) Refuse(id uint32, away time.Duration, last bool) {
+	w.refused = append(w.refused, id)
+	w.away = away
+	if w.last == nil {
+		w.last = map[uint32]bool{}
+	}
+	w.last[id] = last
 }
-func (t *tape) Fail(id uint32) { t.failed = append(t.failed, id) }
-func (t *tape) Call(id uint32, patience time.Duration) {
-	t.called = append(t.called, id)
-	t.patience = patience
+func (w *recorder) Fail(id uint32) { w.failed = append(w.failed, id) }
+func (w *recorder) Call(id uint32, patience time.Duration) {
+	w.called = append(w.called, id)
+	w.patience = patience
 }
-func (t *tape) Skip(id uint32)                     { t.skipped = append(t.skipped, id) }
-func (t *tape) Keep(id uint32, term time.Duration) { t.kept = append(t.kept, id) }
-func (t *tape) Forget(id uint32)                   {}
-func (t *tape) Replay(id uint32)                   { t.replayed = append(t.replayed, id) }
-func (t *tape) SetLevel(x float64)                 { t.level = x }
-func (t *tape) SetHealth(ok, stored bool)          { t.healthy = ok }
-func (t *tape) CloseIdle(after time.Duration)      { t.idle = after }
-func (t *tape) Wake(in time.Duration)              { t.wake = in }
-func (t *tape) Log(text string)                    {}
+func (w *recorder) Skip(id uint32)                     { w.skipped = append(w.skipped, id) }
+func (w *recorder) Keep(id uint32, term time.Duration) { w.kept = append(w.kept, id) }
+func (w *recorder) Forget(id uint32)                   {}
+func (w *recorder) Replay(id uint32)                   { w.replayed = append(w.replayed, id) }
+func (w *recorder) SetLevel(x float64)                 { w.level = x }
+func (w *recorder) SetHealth(ok, stored bool)          { w.healthy = ok }
+func (w *recorder) CloseIdle(after time.Duration)      { w.idle = after }
+func (w *recorder) Wake(in time.Duration)              { w.wake = in }
+func (w *recorder) Log(text string)                    {}
 
-func has(list []uint32, id uint32) bool {
-	for _, x := range list {
-		if x == id {
+func contains(list []uint32, id uint32) bool {
+	for _, other := range list {
+		if other == id {
 			return true
 		}
 	}
 	return false
 }
 
-// plain is a worker of two cores with one class of each kind.
-func plain() Config {
+// baseConfig describes a worker of two cores with a safe class, a keyed class and a safe class that calls.
+func baseConfig() Config {
 	return Config{Cores: 2, Classes: []Class{
 		{Aim: time.Second, Deadline: 3 * time.Second, Worth: 1},
 		{Aim: time.Second, Deadline: 3 * time.Second, Worth: 3, Effect: Keyed, Window: 10 * time.Second},
@@ -63,9 +63,10 @@
 		Slack: 60 * ms, MaxAdvice: time.Second}
 }
 
-func begin(t *testing.T, cfg Config) (*Controller, *tape) {
+// newController returns a controller that starts at time 0, and the recorder of its actions.
+func newController(t *testing.T, cfg Config) (*Controller, *recorder) {
 	t.Helper()
-	w := &tape{}
+	w := &recorder{}
 	c, err := New(cfg, 0, w)
 	if err != nil {
 		t.Fatal(err)
@@ -73,35 +74,37 @@
 	return c, w
 }
 
-func ask(id uint32, class int) Request {
+// newRequest returns a request of middle rank with three seconds left.
+func newRequest(id uint32, class int) Request {
 	return Request{ID: id, Class: class, Rank: 0.5, Left: 3 * time.Second, Memory: 10}
 }
 
-func TestStartsUpToTheCoresAndWorthFirst(t *testing.T) {
-	c, w := begin(t, plain())
+func TestStartsTheWorthiestUpToTheCores(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	for id := uint32(1); id <= 4; id++ {
-		c.Request(0, ask(id, 0))
+		c.Request(0, newRequest(id, 0))
 	}
-	c.Request(0, ask(5, 1))
+	c.Request(0, newRequest(5, 1))
 	c.Decide(0)
 	if len(w.ran) != 2 || w.ran[0] != 5 || w.ran[1] != 1 {
-		t.Fatalf("ran %v, want the worthiest, then the oldest, on two cores", w.ran)
+		t.Fatalf("ran %v, want the worthiest and then the oldest on two cores", w.ran)
 	}
 }
 
 func TestEverythingIsAnsweredByItsDueTime(t *testing.T) {
-	cfg := plain()
+	cfg := baseConfig()
 	cfg.Classes[0].Aim = 3 * time.Second
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	for id := uint32(1); id <= 3; id++ {
-		c.Request(0, ask(id, 0))
+		c.Request(0, newRequest(id, 0))
 	}
 	c.Decide(0)
 	now := 3*time.Second - dueQuanta*cfg.Quantum
 	c.Tick(now, Gauges{CoreUse: 1})
 	c.Decide(now)
-	if len(w.failed) != 2 || !has(w.refused, 3) {
-		t.Fatalf("failed %v refused %v, want the two running failed and the held one refused", w.failed, w.refused)
+	if len(w.failed) != 2 || !contains(w.refused, 3) {
+		t.Fatalf("failed %v, refused %v, want the two running requests failed and the held one refused",
+			w.failed, w.refused)
 	}
 	c.Done(now+1*ms, 1, 0, Stopped)
 	c.Decide(now + 1*ms)
@@ -111,98 +114,99 @@
 }
 
 func TestKeyedRepeatIsReplayedNeverRun(t *testing.T) {
-	c, w := begin(t, plain())
-	c.Request(0, ask(1, 1))
-	q := ask(2, 1)
+	c, w := newController(t, baseConfig())
+	c.Request(0, newRequest(1, 1))
+	q := newRequest(2, 1)
 	q.Repeat = 1
 	c.Request(0, q)
 	c.Decide(0)
-	if !has(w.kept, 1) || !has(w.replayed, 2) || has(w.ran, 2) || has(w.refused, 2) {
-		t.Fatalf("kept %v replayed %v ran %v refused %v", w.kept, w.replayed, w.ran, w.refused)
+	if !contains(w.kept, 1) || !contains(w.replayed, 2) || contains(w.ran, 2) || contains(w.refused, 2) {
+		t.Fatalf("kept %v, replayed %v, ran %v, refused %v", w.kept, w.replayed, w.ran, w.refused)
 	}
 }
 
-func TestNothingRunsThatArrivedAfterTheGrace(t *testing.T) {
-	c, w := begin(t, plain())
+func TestRequestsAfterTheGraceAreNotRun(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	c.Leave(0, 4*time.Second)
 	c.Decide(0)
-	if !w.healthy || w.level != 0 { // it works on: its successor may not be known yet
-		t.Fatalf("health %v level %v after the notice", w.healthy, w.level)
+	if !w.healthy || w.level != 0 { // it keeps accepting, as callers may not know its successor yet
+		t.Fatalf("healthy %v, level %v after the notice", w.healthy, w.level)
 	}
-	c.Request(500*ms, ask(1, 0))
+	c.Request(500*ms, newRequest(1, 0))
 	c.Decide(500 * ms)
 	c.Decide(700 * ms)
 	if w.healthy || w.level != 1 {
-		t.Fatalf("health %v level %v near the end of the grace", w.healthy, w.level)
+		t.Fatalf("healthy %v, level %v near the end of the grace", w.healthy, w.level)
 	}
-	c.Request(1200*ms, ask(2, 0))
+	c.Request(1200*ms, newRequest(2, 0))
 	c.Decide(1200 * ms)
-	if !has(w.ran, 1) || has(w.ran, 2) || !has(w.refused, 2) {
+	if !contains(w.ran, 1) || contains(w.ran, 2) || !contains(w.refused, 2) {
 		t.Fatalf("ran %v refused %v", w.ran, w.refused)
 	}
 	now := 4*time.Second - 50*ms
 	c.Decide(now)
-	if !has(w.failed, 1) {
+	if !contains(w.failed, 1) {
 		t.Fatal("work still running was not answered before the stop")
 	}
 }
 
-func TestMemoryHoldsInABurst(t *testing.T) {
-	cfg := plain()
+func TestMemoryLimitHoldsInABurst(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Memory = 400
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	for id := uint32(1); id <= 60; id++ {
-		q := ask(id, 0)
+		q := newRequest(id, 0)
 		q.Rank = float64(id) / 100
 		c.Request(0, q)
 	}
 	c.Decide(0)
 	held := 60 - len(w.refused) - len(w.ran)
 	if need := float64(held)*10 + float64(len(w.ran))*80; need > cfg.Memory {
-		t.Fatalf("needs %v kB of %v", need, cfg.Memory)
+		t.Fatalf("%v kB needed of %v", need, cfg.Memory)
 	}
-	if has(w.refused, 60) || len(w.refused) == 0 {
+	if contains(w.refused, 60) || len(w.refused) == 0 {
 		t.Fatalf("refused %v, want the lowest-ranked", w.refused)
 	}
 }
 
-func TestAKeyedCallIsNotRepeatedWhenItMayHaveRun(t *testing.T) {
-	for _, k := range []struct {
+func TestKeyedCallIsNotRepeatedWhenItMayHaveRun(t *testing.T) {
+	for _, test := range []struct {
 		how   Outcome
 		again bool
 	}{{Rejected, true}, {Unreachable, true}, {TimedOut, false}, {Broken, false}, {Errored, false}} {
-		c, w := begin(t, plain())
-		c.Request(0, ask(1, 1))
+		c, w := newController(t, baseConfig())
+		c.Request(0, newRequest(1, 1))
 		c.Decide(0)
 		c.AtCall(10*ms, 1)
 		c.Decide(10 * ms)
-		c.CallDone(20*ms, 1, 10*ms, k.how)
+		c.CallDone(20*ms, 1, 10*ms, test.how)
 		c.Decide(20 * ms)
 		if len(w.called) == 2 {
-			t.Errorf("outcome %d: called again at once", k.how)
+			t.Errorf("outcome %d: called again at once", test.how)
 		}
-		if k.again && w.wake > 5*ms {
-			t.Errorf("outcome %d: awake only after %v", k.how, w.wake)
+		if test.again && w.wake > 5*ms {
+			t.Errorf("outcome %d: the wake-up is only after %v", test.how, w.wake)
 		}
 		c.Decide(25 * ms)
-		if got := len(w.called) == 2; got != k.again {
-			t.Errorf("outcome %d: called again %v, want %v", k.how, got, k.again)
+		if got := len(w.called) == 2; got != test.again {
+			t.Errorf("outcome %d: called again %v, want %v", test.how, got, test.again)
 		}
-		if !k.again && !has(w.failed, 1) {
-			t.Errorf("outcome %d: not failed", k.how)
+		if !test.again && !contains(w.failed, 1) {
+			t.Errorf("outcome %d: the request did not fail", test.how)
 		}
 	}
 }
 
-// flood feeds windows of requests whose queuing time is wait, and gives the cursor.
-func flood(c *Controller, from, wait time.Duration, use float64) time.Duration {
+// flood feeds 200 requests, 10 ms apart, that have waited unread for wait, with the given core use. It returns
+// the time after the last of them.
+func flood(c *Controller, from, wait time.Duration, coreUse float64) time.Duration {
 	id := uint32(from/ms) + 1000
 	for i := 0; i < 200; i++ {
 		now := from + time.Duration(i)*10*ms
-		q := ask(id+uint32(i), 0)
+		q := newRequest(id+uint32(i), 0)
 		q.Rank = float64(i*37%100) / 100
 		q.Waited = wait
-		c.Tick(now, Gauges{CoreUse: use})
+		c.Tick(now, Gauges{CoreUse: coreUse})
 		c.Request(now, q)
 		c.Decide(now)
 		c.Done(now, q.ID, 0, OK)
@@ -210,8 +214,8 @@
 	return from + 2*time.Second
 }
 
-func TestTheCursorFollowsQueuingTime(t *testing.T) {
-	c, w := begin(t, plain())
+func TestCursorFollowsQueuingTime(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := flood(c, 0, 0, 1)
 	if w.level != 0 {
 		t.Fatalf("level %v while nothing queues", w.level)
@@ -225,28 +229,30 @@
 		now = flood(c, now, 0, 0.5)
 	}
 	if w.level >= high {
-		t.Fatalf("level stays at %v after the overload", w.level)
+		t.Fatalf("level %v still after the overload", w.level)
 	}
 }
 
-// Callers give each try a part of their wait: a try that waits less than another is not an older one.
-func TestAShorterWaitIsNotTakenForAge(t *testing.T) {
-	c, w := begin(t, plain())
-	q := ask(1, 0)
+// Callers give each try a part of their total wait. A try with less time left than another is therefore not
+// older, and must not be refused as if it were.
+func TestShortTimeLeftIsNotTakenForAge(t *testing.T) {
+	c, w := newController(t, baseConfig())
+	q := newRequest(1, 0)
 	c.Request(0, q)
 	c.Decide(0)
-	q = ask(2, 0)
+	q = newRequest(2, 0)
 	q.Left = 1200 * ms
 	c.Request(0, q)
 	c.Decide(0)
-	if !has(w.ran, 2) {
+	if !contains(w.ran, 2) {
 		t.Fatalf("ran %v, refused %v", w.ran, w.refused)
 	}
 }
 
-// A machine gone slow takes long to read; while its cores have time to spare that is no queue.
+// A slow machine takes long to read requests. While its cores are partly idle, that time is not queuing and must
+// not raise the level.
 func TestSlowReadingWithIdleCoresIsNoOverload(t *testing.T) {
-	c, w := begin(t, plain())
+	c, w := newController(t, baseConfig())
 	now := flood(c, 0, 10*ms, 0.5)
 	flood(c, now, 300*ms, 0.5)
 	if w.level != 0 {
@@ -254,27 +260,28 @@
 	}
 }
 
-// A cursor at the very top admits nothing: it still has to come down once the jam is over.
-func TestTheCursorReturnsFromTheTop(t *testing.T) {
-	c, w := begin(t, plain())
+// A cursor at the top admits nothing, so the admitted rate is zero. It must still fall once the overload is over.
+func TestCursorFallsAgainFromTheTop(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := time.Duration(0)
 	for i := 0; i < 4; i++ {
 		now = flood(c, now, 2*time.Second, 1)
 	}
 	if w.level < 0.9 {
-		t.Fatalf("level %v after a long jam, want the top", w.level)
+		t.Fatalf("level %v after a long overload, want the top", w.level)
 	}
 	for i := 0; i < 3; i++ {
 		now = flood(c, now, 0, 0.1)
 	}
 	if w.level > 0.3 {
-		t.Fatalf("level %v six seconds after the jam with idle cores", w.level)
+		t.Fatalf("level %v six seconds after the overload, with idle cores", w.level)
 	}
 }
 
-// Cores that are well used with nothing held can take more: refusals end soon after a jump of traffic.
-func TestTheCursorReturnsSoonWhereNothingWaits(t *testing.T) {
-	c, w := begin(t, plain())
+// Cores that are well used, but with nothing held, can take more requests: refusals must end soon after a jump
+// of traffic.
+func TestCursorFallsSoonWhereNothingWaits(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := flood(c, 0, 0, 1)
 	now = flood(c, now, 400*ms, 1)
 	high := w.level
@@ -284,17 +291,18 @@
 	}
 }
 
-// Callers told to stay away come back while there is still work: half of what is held, nothing where none is.
-func TestAdviceEndsBeforeTheWorkDoes(t *testing.T) {
-	c, w := begin(t, plain())
+// Callers told to stay away must return before the held work is done, or the cores go idle. The advice lasts for
+// half of that work, and there is none where nothing is held.
+func TestAdviceEndsBeforeTheHeldWork(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := flood(c, 0, 0, 1)
 	now = flood(c, now, 700*ms, 1)
 	if len(w.refused) == 0 || w.away != 0 {
 		t.Fatalf("%d refused, told to stay away for %v with nothing held", len(w.refused), w.away)
 	}
-	c.classes[0].work = mean{v: 0.1, n: enough}
-	for id := uint32(1); id <= 8; id++ { // two run, six keep two cores for 0.42 s by what a run may take
-		q := ask(id, 0)
+	c.classes[0].runSeconds = mean{value: 0.1, count: minSamples}
+	for id := uint32(1); id <= 8; id++ { // two run; the other six are expected to take two cores for 0.42 s
+		q := newRequest(id, 0)
 		q.Rank = 1
 		c.Request(now, q)
 		c.Decide(now)
@@ -303,20 +311,20 @@
 		c.Tick(now+i*90*ms, Gauges{CoreUse: 1, OnCores: 9})
 		c.Decide(now + i*90*ms)
 	}
-	q := ask(9, 0)
+	q := newRequest(9, 0)
 	q.Rank = 0
 	c.Request(now+360*ms, q)
-	if !has(w.refused, 9) || w.away < 150*ms || w.away > 300*ms {
-		t.Fatalf("refused %v, told to stay away for %v, want half of the work held", has(w.refused, 9), w.away)
+	if !contains(w.refused, 9) || w.away < 150*ms || w.away > 300*ms {
+		t.Fatalf("refused %v, told to stay away for %v, want half of the held work", contains(w.refused, 9), w.away)
 	}
 }
 
-// Callers hear of a cold worker seconds after its start. Until then its cores idle, which tells nothing of what
-// it can carry; once they come, it opens as its cores allow.
-func TestAColdWorkerDoesNotOpenBeforeCallersCome(t *testing.T) {
-	cfg := plain()
+// Callers learn of a cold worker only seconds after its start. Its idle cores until then say nothing about its
+// capacity and must not lower the level. Once requests arrive, the level falls as the cores allow.
+func TestColdWorkerStaysStrictUntilItsFirstRequests(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Cold, cfg.ColdFrom, cfg.ColdFor = true, 0.3, 10*time.Second
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	now := time.Duration(0)
 	for ; now < 4*time.Second; now += 100 * ms {
 		c.Tick(now, Gauges{CoreUse: 0})
@@ -329,74 +337,77 @@
 		now = flood(c, now, 0, 0.3)
 	}
 	if w.level > 0 {
-		t.Fatalf("level %v six seconds after callers came, with idle cores", w.level)
+		t.Fatalf("level %v six seconds after the first request, with idle cores", w.level)
 	}
 }
 
-// While the cursor comes down in steps, an idle core does not turn away what has been read already.
-func TestAnIdleCoreTakesWhatRanksUnderTheCursor(t *testing.T) {
-	c, w := begin(t, plain())
+// While the cursor falls in steps, an idle core runs a request that is read already, even if it ranks below the
+// cursor.
+func TestIdleCoreRunsRequestsBelowTheCursor(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	c.cursor = bins / 2
 	for id := uint32(1); id <= 3; id++ {
-		q := ask(id, 0)
+		q := newRequest(id, 0)
 		q.Rank = 0.1
 		c.Request(0, q)
 		c.Decide(0)
 	}
-	if len(w.ran) != 2 || !has(w.refused, 3) {
-		t.Fatalf("ran %v refused %v, want two on the idle cores and the third refused", w.ran, w.refused)
+	if len(w.ran) != 2 || !contains(w.refused, 3) {
+		t.Fatalf("ran %v, refused %v, want two on the idle cores and the third refused", w.ran, w.refused)
 	}
 }
 
-// Where each reading costs much, one is not thrown away while hardly anything waits.
-func TestADearReadingIsHeldWhileLittleWaits(t *testing.T) {
-	for _, k := range []struct {
-		readUse, over float64
-		held          bool
-	}{{0, 0, false}, {2 * dearRead, 0, true}, {2 * dearRead, 2, false}} {
-		c, w := begin(t, plain())
-		c.cursor, c.readUse, c.over = bins/2, k.readUse, k.over
+// Where reading is expensive, a request that is read already is not refused while hardly anything waits.
+func TestExpensiveReadingIsHeldWhileLittleWaits(t *testing.T) {
+	for _, test := range []struct {
+		readUse, overload float64
+		held              bool
+	}{{0, 0, false}, {2 * expensiveReadUse, 0, true}, {2 * expensiveReadUse, 2, false}} {
+		c, w := newController(t, baseConfig())
+		c.cursor, c.readUse, c.overload = bins/2, test.readUse, test.overload
 		for id := uint32(1); id <= 4; id++ {
-			q := ask(id, 0)
+			q := newRequest(id, 0)
 			if q.Rank = 0.1; id <= 2 {
 				q.Rank = 0.9 // takes a core
 			}
 			c.Request(0, q)
 			c.Decide(0)
 		}
-		if !has(w.refused, 4) != k.held || len(w.ran) != 2 {
-			t.Errorf("reading %v, queuing %v: refused %v, want held %v", k.readUse, k.over, w.refused, k.held)
+		if !contains(w.refused, 4) != test.held || len(w.ran) != 2 {
+			t.Errorf("read use %v, overload %v: refused %v, want held %v",
+				test.readUse, test.overload, w.refused, test.held)
 		}
 	}
 }
 
-// The share of the cores in use lags by half a second: it must not let the running limit run away.
-func TestTheLimitGrowsOnlyOnCoresIdleNow(t *testing.T) {
-	for _, k := range []struct {
+// The core use lags by half a second, so it must not raise the running limit: only cores that are idle now do.
+func TestRunLimitGrowsOnlyWithCoresIdleNow(t *testing.T) {
+	for _, test := range []struct {
 		onCores float64
 		want    int
 	}{{2, 2}, {1, 5}} {
-		c, w := begin(t, plain())
+		c, w := newController(t, baseConfig())
 		for id := uint32(1); id <= 12; id++ {
-			c.Request(0, ask(id, 0))
+			c.Request(0, newRequest(id, 0))
 		}
 		c.Decide(0)
-		c.Tick(100*ms, Gauges{CoreUse: 0.5, OnCores: k.onCores})
+		c.Tick(100*ms, Gauges{CoreUse: 0.5, OnCores: test.onCores})
 		c.Decide(100 * ms)
-		if len(w.ran) < 2 || (len(w.ran) > 2) != (k.want > 2) {
-			t.Errorf("%v on the cores: %d run", k.onCores, len(w.ran))
+		if len(w.ran) < 2 || (len(w.ran) > 2) != (test.want > 2) {
+			t.Errorf("%v on the cores: %d running", test.onCores, len(w.ran))
 		}
 	}
 }
 
-// One hot user fills a single bin: more than beta of all must not stop the cursor above it for good.
-func TestAHotBinDoesNotHoldTheCursor(t *testing.T) {
-	c, w := begin(t, plain())
+// A frequent user can fill a single bin with more than the share beta of all requests. This must not stop the
+// cursor above that bin for good.
+func TestHotBinDoesNotStopTheCursor(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	c.cursor = bins / 2
-	c.rate[bins/2-1] = 30
-	c.rate[bins-1] = 40
+	c.rates[bins/2-1] = 30
+	c.rates[bins-1] = 40
 	for now := time.Duration(0); now < 10*time.Second; now += 25 * ms {
-		q := ask(uint32(now/ms)+1, 0)
+		q := newRequest(uint32(now/ms)+1, 0)
 		q.Rank = 0.999
 		c.Tick(now, Gauges{CoreUse: 0.5})
 		c.Request(now, q)
@@ -408,42 +419,43 @@
 	}
 }
 
-// Work that hangs for a while must neither draw more nor leave a belief that nothing can be served.
-func TestAHangIsSeenAndForgotten(t *testing.T) {
-	c, w := begin(t, plain())
+// While all runs hang, the worker must not attract more requests. Once they end, their long run times must not
+// make it refuse every request.
+func TestStallIsDetectedAndEnds(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	for id := uint32(1); id <= 12; id++ {
 		now := time.Duration(id) * 100 * ms
-		c.Request(now, ask(id, 0))
+		c.Request(now, newRequest(id, 0))
 		c.Decide(now)
 	}
 	c.Decide(2500 * ms)
 	if w.level != 1 || w.healthy {
-		t.Fatalf("level %v, healthy %v while nothing comes off the cores", w.level, w.healthy)
+		t.Fatalf("level %v, healthy %v while no run leaves the cores", w.level, w.healthy)
 	}
 	for _, id := range append([]uint32(nil), w.ran...) {
 		c.Done(9*time.Second, id, 8*time.Second, OK)
 	}
 	c.Decide(9 * time.Second)
 	if w.level == 1 || !w.healthy {
-		t.Fatalf("level %v, healthy %v after the hang", w.level, w.healthy)
+		t.Fatalf("level %v, healthy %v after the stall", w.level, w.healthy)
 	}
 	for id := uint32(20); id < 30; id++ {
 		now := time.Duration(id) * time.Second
-		c.Request(now, ask(id, 0))
+		c.Request(now, newRequest(id, 0))
 		c.Decide(now)
 		c.Done(now+100*ms, id, 100*ms, OK)
 		c.Decide(now + 100*ms)
-		if !has(w.ran, id) {
-			t.Fatalf("request %d refused by an idle worker after the hang", id)
+		if !contains(w.ran, id) {
+			t.Fatalf("request %d refused by an idle worker after the stall", id)
 		}
 	}
 }
 
-// quickCalls runs requests up to id n, one a second, each with a call of 200 ms.
-func quickCalls(c *Controller, n uint32) {
-	for id := uint32(1); id <= n; id++ {
+// quickCalls runs the requests 1 to last, one per second, each with a call of 200 ms.
+func quickCalls(c *Controller, last uint32) {
+	for id := uint32(1); id <= last; id++ {
 		now := time.Duration(id) * time.Second
-		c.Request(now, ask(id, 2))
+		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
 		c.AtCall(now+10*ms, id)
 		c.Decide(now + 10*ms)
@@ -453,48 +465,50 @@
 	}
 }
 
-// With less than one call at a time, a second caller below waits for many times what a call takes.
-func TestTheWaitForACallCountsAllThatShareTheBound(t *testing.T) {
-	cfg := plain()
+// With a bound of less than one call at a time, the second request that waits to call waits for many times the
+// call time. A request whose turn comes too late must be refused before it runs.
+func TestCallWaitCountsAllRequestsThatShareTheBound(t *testing.T) {
+	cfg := baseConfig()
 	cfg.CallShare = 0.5
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	quickCalls(c, 3)
 	now := 10 * time.Second
 	for id := uint32(10); id < 14; id++ {
-		c.Request(now, ask(id, 2))
+		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
 		c.AtCall(now, id)
 		c.Decide(now)
 	}
-	if !has(w.ran, 10) || !has(w.refused, 13) {
-		t.Fatalf("ran %v refused %v, want the first taken and the last refused early", w.ran, w.refused)
+	if !contains(w.ran, 10) || !contains(w.refused, 13) {
+		t.Fatalf("ran %v, refused %v, want the first accepted and the last refused early", w.ran, w.refused)
 	}
 }
 
-// Where requests carry a hint, one that is too long for its aim is told from the others.
-func TestTheHintTellsALongRequest(t *testing.T) {
-	for _, k := range []struct {
+// Where the hints of requests predict their run times, a request that is too long for its aim is refused on its
+// arrival. Hints without information must not lead to refusals.
+func TestHintRefusesARequestTooLongForItsAim(t *testing.T) {
+	for _, test := range []struct {
 		name    string
-		noise   float64 // times the work that a hint may say, up or down
+		noise   float64 // largest factor by which a hint is off, up or down
 		refused bool
-	}{{"true hints", 1, true}, {"hints that say nothing", 64, false}} {
-		c, w := begin(t, plain())
-		rnd := rand.New(rand.NewPCG(1, 2))
-		ended := func(id uint32, hint, took time.Duration) {
+	}{{"exact hints", 1, true}, {"hints without information", 64, false}} {
+		c, w := newController(t, baseConfig())
+		random := rand.New(rand.NewPCG(1, 2))
+		complete := func(id uint32, hint, took time.Duration) {
 			now := time.Duration(id) * time.Second
-			q := ask(id, 0)
-			q.Work = time.Duration(float64(hint) * math.Pow(k.noise, 2*rnd.Float64()-1))
+			q := newRequest(id, 0)
+			q.Work = time.Duration(float64(hint) * math.Pow(test.noise, 2*random.Float64()-1))
 			c.Request(now, q)
 			c.Decide(now)
 			c.Done(now+took, id, took, OK)
 		}
 		for id := uint32(1); id <= 300; id++ {
-			took := time.Duration(50+rnd.IntN(150)) * ms
-			ended(id, took/2, took) // these cores take twice as long as hints say
+			took := time.Duration(50+random.IntN(150)) * ms
+			complete(id, took/2, took) // these cores take twice as long as the hints
 		}
 		now := 400 * time.Second
 		for id := uint32(1001); id < 1005; id++ {
-			q := ask(id, 0)
+			q := newRequest(id, 0)
 			q.Work = 60 * ms
 			if id == 1003 {
 				q.Work = 480 * ms
@@ -502,22 +516,23 @@
 			c.Request(now, q)
 			c.Decide(now)
 		}
-		if has(w.refused, 1003) != k.refused || has(w.refused, 1004) {
-			t.Errorf("%s: refused %v", k.name, w.refused)
+		if contains(w.refused, 1003) != test.refused || contains(w.refused, 1004) {
+			t.Errorf("%s: refused %v", test.name, w.refused)
 		}
 	}
 }
 
-// What a hint may add to the time of a run weighs less the worthier its class: a wrong refusal costs more there.
-func TestAHintWeighsLessInAWorthierClass(t *testing.T) {
-	cfg := plain()
+// The margin on the run time that a hint predicts is smaller the worthier the class, as a wrong refusal costs more
+// there.
+func TestHintMarginIsSmallerInAWorthierClass(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Classes[1].Effect = Unsafe
 	for class, refused := range []bool{true, false} {
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		for id := uint32(1); id <= 100; id++ {
 			now := time.Duration(id) * time.Second
 			took := time.Duration(50+id%100) * ms
-			q := ask(id, class)
+			q := newRequest(id, class)
 			q.Work = took
 			c.Request(now, q)
 			c.Decide(now)
@@ -525,23 +540,24 @@
 		}
 		now := 200 * time.Second
 		for id := uint32(201); id <= 202; id++ {
-			c.Request(now, ask(id, class))
+			c.Request(now, newRequest(id, class))
 			c.Decide(now)
 		}
-		q := ask(203, class)
+		q := newRequest(203, class)
 		q.Work, q.Waited = 400*ms, 300*ms
 		c.Request(now, q)
 		c.Decide(now)
-		if has(w.refused, 203) != refused {
+		if contains(w.refused, 203) != refused {
 			t.Errorf("class %d: refused %v", class, w.refused)
 		}
 	}
 }
 
-// Nothing but the wake-up brings a Decide in the last moments before the stop.
+// In the last moments before the stop there may be no event other than the wake-up, so the wake-up itself must
+// come in time for the final answers.
 func TestWakesForTheLastAnswersBeforeTheStop(t *testing.T) {
-	c, w := begin(t, plain())
-	c.Request(0, ask(1, 0))
+	c, w := newController(t, baseConfig())
+	c.Request(0, newRequest(1, 0))
 	c.Decide(0)
 	stop := 2 * time.Second
 	c.Leave(0, stop)
@@ -551,23 +567,24 @@
 		c.Decide(now)
 		now += w.wake
 	}
-	if !has(w.failed, 1) {
-		t.Fatal("not answered by the stop")
+	if !contains(w.failed, 1) {
+		t.Fatal("the running request was not answered by the stop")
 	}
 }
 
-// What the hopeless were spared of waiting drives the cursor: the exception must not shed in its place.
-func TestHopelessRequestsMoveTheCursor(t *testing.T) {
-	c, w := begin(t, plain())
+// Requests refused because they would end too late must raise the cursor with the wait that they were spared:
+// load is to be shed by rank, not by this exception.
+func TestRequestsRefusedAsTooLateMoveTheCursor(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	for id := uint32(1); id <= 6; id++ {
 		now := time.Duration(id) * time.Second
-		c.Request(now, ask(id, 0))
+		c.Request(now, newRequest(id, 0))
 		c.Decide(now)
 		c.Done(now+500*ms, id, 500*ms, OK)
 		c.Decide(now + 500*ms)
 	}
 	for now := 10 * time.Second; now < 12*time.Second; now += 20 * ms {
-		q := ask(uint32(now/ms), 0)
+		q := newRequest(uint32(now/ms), 0)
 		q.Rank = float64(now/(20*ms)%10) / 10
 		c.Tick(now, Gauges{CoreUse: 1, OnCores: 8})
 		c.Request(now, q)
@@ -581,64 +598,65 @@
 	}
 }
 
-// Whatever one reading costs: when refusals alone take a part of the cores, tries elsewhere are dear.
-// A refusal asks for no try elsewhere only in an overload that is likely to be everyone's: not with a few ranks
+// A refusal forbids a try elsewhere only in an overload that probably affects all workers: not with a few ranks
 // refused, not from a worker that is slower than it was, and not from a cold one.
-func TestALocalTroubleLetsRefusalsGoElsewhere(t *testing.T) {
-	for name, k := range map[string]struct {
+func TestDegradedWorkerLetsRefusalsGoElsewhere(t *testing.T) {
+	for name, test := range map[string]struct {
 		cursor int
-		slow   time.Duration // what runs take, after many of 50 ms
+		slow   time.Duration // run time of the last requests, after many of 50 ms
 		cold   bool
 		last   bool
 	}{
-		"all are full":       {bins - 1, 50 * ms, false, true},
+		"all overloaded":     {bins - 1, 50 * ms, false, true},
 		"few ranks refused":  {bins / 10, 50 * ms, false, false},
 		"slower than before": {bins - 1, 400 * ms, false, false},
 		"cold":               {bins - 1, 50 * ms, true, false},
 	} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Cores = 1
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		now, id := time.Duration(0), uint32(0)
 		run := func(n int, took time.Duration) {
 			for range n {
 				id++
-				c.Request(now, ask(id, 0))
+				c.Request(now, newRequest(id, 0))
 				c.Decide(now)
 				now += took
 				c.Done(now, id, took, OK)
 			}
 		}
 		run(40, 50*ms)
-		run(10, k.slow)
-		c.cursor, c.readUse, c.over = k.cursor, 1, 2
-		c.cfg.Cold, c.cfg.ColdFor = k.cold, time.Minute
-		top, low := ask(id+1, 0), ask(id+2, 0)
-		top.Rank, low.Rank = 0.999, 0.01 // one takes the core, one is refused
-		c.Request(now, top)
+		run(10, test.slow)
+		c.cursor, c.readUse, c.overload = test.cursor, 1, 2
+		c.cfg.Cold, c.cfg.ColdFor = test.cold, time.Minute
+		high, low := newRequest(id+1, 0), newRequest(id+2, 0)
+		high.Rank, low.Rank = 0.999, 0.01 // high takes the core, low is refused
+		c.Request(now, high)
 		c.Request(now, low)
 		c.Decide(now)
-		if last, refused := w.last[low.ID]; !refused || last != k.last {
-			t.Errorf("%s: refused %v, last %v, want %v", name, refused, last, k.last)
+		if last, refused := w.last[low.ID]; !refused || last != test.last {
+			t.Errorf("%s: refused %v, last %v, want %v", name, refused, last, test.last)
 		}
 	}
 }
 
-func TestManyReadingsAreDearToo(t *testing.T) {
-	for _, k := range []struct {
+// When many refused requests together take a large part of the cores, tries elsewhere are expensive, however
+// little one reading costs.
+func TestFrequentReadingsAreExpensive(t *testing.T) {
+	for _, test := range []struct {
 		gap  time.Duration
 		last bool
 	}{{200 * ms, false}, {5 * ms, true}} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Cores = 1
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		c.cursor = bins - 1
-		for b := range c.rate {
-			c.rate[b] = 1
+		for b := range c.rates {
+			c.rates[b] = 1
 		}
 		id := uint32(1)
-		for now := time.Duration(0); now < time.Second; now += k.gap {
-			q := ask(id, 0)
+		for now := time.Duration(0); now < time.Second; now += test.gap {
+			q := newRequest(id, 0)
 			q.Rank, q.Waited = 0.1, 5*ms
 			if id == 1 {
 				q.Rank = 0.999 // takes the core, so that the others are refused
@@ -648,19 +666,19 @@
 			c.Decide(now)
 			id++
 		}
-		if id--; w.last[id] != k.last {
-			t.Errorf("a reading each %v: last %v, want %v", k.gap, w.last[id], k.last)
+		if id--; w.last[id] != test.last {
+			t.Errorf("one reading every %v: last %v, want %v", test.gap, w.last[id], test.last)
 		}
 	}
 }
 
-// A worker that reads only what is past must stop being asked, until it has caught up.
-func TestADrownedWorkerInvitesNothing(t *testing.T) {
-	c, w := begin(t, plain())
+// A worker that reads only requests that are too late must ask callers to stay away until it has caught up.
+func TestWorkerThatReadsTooLateAsksForNoRequests(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := flood(c, 0, 0, 1)
 	now = flood(c, now, 4*time.Second, 1)
 	if w.level != 1 || w.healthy {
-		t.Fatalf("level %v, healthy %v while all that is read is past", w.level, w.healthy)
+		t.Fatalf("level %v, healthy %v while all requests are read too late", w.level, w.healthy)
 	}
 	flood(c, now, 0, 0.3)
 	if w.level == 1 || !w.healthy {
@@ -668,79 +686,81 @@
 	}
 }
 
-// Connections of callers that seldom come fill the table and keep newcomers out; those of callers that come
-// again soon are worth keeping, and in a storm of new connections a full table is the lesser evil.
+// Connections of callers that come seldom fill the connection table and keep new callers out, so they are closed
+// early. Those of callers that return soon are kept. In a storm of new connections the table may stay full.
 func TestIdleConnectionsCloseUnlessTheirCallersReturn(t *testing.T) {
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name    string
 		callers uint32
 		every   time.Duration
 		use     float64
-		want    time.Duration // at most; 0 = never closed
+		want    time.Duration // longest idle timeout; 0 = none set, or a long one
 	}{
-		{"many that come once", 5000, 20 * ms, 0.05, time.Second},
-		{"a few that return", 5, 20 * ms, 0.05, 0},
-		{"a storm of newcomers", 5000, 20 * ms, 1, 0},
-		{"few, each seldom", 15, 400 * ms, 0.05, 0},
+		{"many callers that come once", 5000, 20 * ms, 0.05, time.Second},
+		{"a few callers that return", 5, 20 * ms, 0.05, 0},
+		{"a storm of new callers", 5000, 20 * ms, 1, 0},
+		{"a few callers, each seldom", 15, 400 * ms, 0.05, 0},
 	} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.IdleMax = 30 * time.Second
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		for i := uint32(1); i <= 500; i++ {
-			now := time.Duration(i) * k.every
-			q := ask(i, 0)
-			q.Caller = i % k.callers
-			c.Tick(now, Gauges{CoreUse: k.use, OnCores: 2})
+			now := time.Duration(i) * test.every
+			q := newRequest(i, 0)
+			q.Caller = i % test.callers
+			c.Tick(now, Gauges{CoreUse: test.use, OnCores: 2})
 			c.Request(now, q)
 			c.Decide(now)
 			c.Done(now, q.ID, 0, OK)
 		}
-		if k.want > 0 && (w.idle == 0 || w.idle > k.want) || k.want == 0 && w.idle != 0 && w.idle < 5*time.Second {
-			t.Errorf("%s: idle connections close after %v, want %v", k.name, w.idle, k.want)
+		if test.want > 0 && (w.idle == 0 || w.idle > test.want) ||
+			test.want == 0 && w.idle != 0 && w.idle < 5*time.Second {
+			t.Errorf("%s: idle connections close after %v, want %v", test.name, w.idle, test.want)
 		}
 	}
 }
 
-// A slow dependency tells of itself only when a call ends: until then the age of the oldest calls in hand does.
-// One of several may have lost its reply.
-func TestACallLongInHandTellsThatCallsAreSlow(t *testing.T) {
-	for _, k := range []struct {
+// A slow dependency is measured only when a call ends. Until then the age of the oldest call in flight has to
+// raise the estimate; but where several calls are allowed, a single old one may only have lost its reply.
+func TestOldCallInFlightRaisesTheCallEstimate(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		share   float64
 		calls   uint32
 		age     time.Duration
 		refused bool
 	}{
-		{"as quick as ever", 2, 1, 100 * ms, false},
-		{"long in hand", 2, 1, 900 * ms, true},
-		{"one of several", 8, 1, 990 * ms, false},
-		{"several", 8, 2, 990 * ms, true},
+		{"usual call time", 2, 1, 100 * ms, false},
+		{"long in flight", 2, 1, 900 * ms, true},
+		{"one old call of several", 8, 1, 990 * ms, false},
+		{"several old calls", 8, 2, 990 * ms, true},
 	} {
-		cfg := plain()
-		cfg.CallShare = k.share
-		c, w := begin(t, cfg)
+		cfg := baseConfig()
+		cfg.CallShare = test.share
+		c, w := newController(t, cfg)
 		quickCalls(c, 10)
 		now := 20 * time.Second
-		for id := 20 + k.calls; id > 20; id-- {
-			c.Request(now, ask(id, 2))
+		for id := 20 + test.calls; id > 20; id-- {
+			c.Request(now, newRequest(id, 2))
 			c.Decide(now)
 			c.AtCall(now, id)
 			c.Decide(now)
 		}
-		now += k.age
-		c.Request(now, ask(30, 2))
+		now += test.age
+		c.Request(now, newRequest(30, 2))
 		c.Decide(now)
-		if has(w.refused, 30) != k.refused {
-			t.Errorf("%s: refused %v", k.name, w.refused)
+		if contains(w.refused, 30) != test.refused {
+			t.Errorf("%s: refused %v", test.name, w.refused)
 		}
 	}
 }
 
-// callsOf makes n calls of a class, a second apart, that take so long, and gives the time.
-func callsOf(c *Controller, class int, n uint32, took time.Duration, now time.Duration) time.Duration {
+// runCalls runs n requests of a class, a second apart, each with a call that takes took. It returns the time of
+// the last reply.
+func runCalls(c *Controller, class int, n uint32, took time.Duration, now time.Duration) time.Duration {
 	for id := uint32(1); id <= n; id++ {
 		now += time.Second
-		c.Request(now, ask(id, class))
+		c.Request(now, newRequest(id, class))
 		c.Decide(now)
 		c.AtCall(now, id)
 		c.Decide(now)
@@ -751,45 +771,46 @@
 	return now
 }
 
-// The layer below takes the worthier first: slow calls of one class say nothing of another's.
-func TestCallsAreJudgedByTheirClass(t *testing.T) {
-	cfg := plain()
+// The downstream service serves worthier calls first, so slow calls of one class say nothing about another
+// class.
+func TestCallTimesAreEstimatedPerClass(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Classes = append(cfg.Classes, Class{Aim: time.Second, Deadline: 3 * time.Second, Worth: 3, Calls: true})
-	c, w := begin(t, cfg)
-	now := callsOf(c, 3, 10, 50*ms, 0)
-	now = callsOf(c, 2, 10, 850*ms, now)
+	c, w := newController(t, cfg)
+	now := runCalls(c, 3, 10, 50*ms, 0)
+	now = runCalls(c, 2, 10, 850*ms, now)
 	for id, class := range map[uint32]int{100: 2, 101: 3} {
-		q := ask(id, class)
+		q := newRequest(id, class)
 		q.Waited = 400 * ms
 		c.Request(now, q)
 	}
-	if !has(w.refused, 100) || has(w.refused, 101) {
-		t.Fatalf("refused %v, want the one whose calls are slow", w.refused)
+	if !contains(w.refused, 100) || contains(w.refused, 101) {
+		t.Fatalf("refused %v, want only the request whose calls are slow", w.refused)
 	}
 }
 
-// A call that cannot come back in time is not made: its request fails at once, and what is below is spared.
-func TestNoCallIsMadeInVain(t *testing.T) {
-	c, w := begin(t, plain())
-	now := callsOf(c, 2, 10, 400*ms, 0)
-	c.Request(now, ask(100, 2))
+// A call that cannot return in time is not made: its request fails at once, which spares the downstream service.
+func TestCallThatWouldBeTooLateIsNotMade(t *testing.T) {
+	c, w := newController(t, baseConfig())
+	now := runCalls(c, 2, 10, 400*ms, 0)
+	c.Request(now, newRequest(100, 2))
 	c.Decide(now)
 	w.called = nil
 	c.AtCall(now+750*ms, 100)
 	c.Decide(now + 750*ms)
-	if len(w.called) > 0 || !has(w.failed, 100) {
+	if len(w.called) > 0 || !contains(w.failed, 100) {
 		t.Fatalf("called %v, failed %v, with 250 ms left for a call of 400 ms", w.called, w.failed)
 	}
 }
 
-// One slow machine below of several makes one call in three slow: what calls is taken all the same, and a slow
-// call is given up in time to be made again.
-func TestAFewSlowCallsDoNotSpeakForAll(t *testing.T) {
-	c, w := begin(t, plain())
+// One slow machine of several in the downstream service makes one call in three slow. Requests that call are
+// accepted all the same, and a slow call is given up in time to be made again.
+func TestFewSlowCallsDoNotRaiseTheCallEstimate(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := time.Duration(0)
 	for id := uint32(1); id <= 60; id++ {
 		now += 50 * ms
-		c.Request(now, ask(id, 2))
+		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
 		c.AtCall(now, id)
 		c.Decide(now)
@@ -802,14 +823,14 @@
 		c.Done(now, id, took, OK)
 		c.Decide(now)
 	}
-	q := ask(100, 2)
+	q := newRequest(100, 2)
 	q.Waited = 600 * ms
 	c.Request(now, q)
 	c.Decide(now)
-	if has(w.refused, 100) {
-		t.Fatal("refused with time for two usual calls")
+	if contains(w.refused, 100) {
+		t.Fatal("refused with time left for two calls of usual length")
 	}
-	c.Request(now, ask(101, 2))
+	c.Request(now, newRequest(101, 2))
 	c.Decide(now)
 	c.AtCall(now, 101)
 	c.Decide(now)
@@ -818,25 +839,25 @@
 	}
 }
 
-// Replies that never come take no places for good and speak for no other call: writes whose calls hang are neither
-// called for again nor given up, while calls made after them come back as quickly as ever. With nothing coming
-// back at all, the same calls tell that those below are slow.
-func TestRepliesThatNeverComeTakeNoPlaces(t *testing.T) {
+// Lost replies must neither use up the call bound for good nor raise the estimate for other calls. Calls with an
+// effect that hang are neither repeated nor given up, while later calls return as quickly as before. Where no
+// call returns at all, the same calls show that the downstream service is slow.
+func TestLostRepliesDoNotUseUpTheCallBound(t *testing.T) {
 	for _, lost := range []bool{true, false} {
-		cfg := plain()
-		cfg.Cores, cfg.CallShare = 8, 16 // 9.6 places
+		cfg := baseConfig()
+		cfg.Cores, cfg.CallShare = 8, 16 // a bound of 9.6 calls
 		cfg.Classes[1].Calls, cfg.Classes[1].Effect, cfg.Classes[1].Deadline = true, Unsafe, 10*time.Second
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		call := func(now time.Duration, id uint32) {
-			q := ask(id, 1)
+			q := newRequest(id, 1)
 			q.Left = 10 * time.Second
 			c.Request(now, q)
 			c.Decide(now)
 			c.AtCall(now, id)
 			c.Decide(now)
 		}
-		back := func(now time.Duration, id uint32) {
-			if has(w.called, id) {
+		reply := func(now time.Duration, id uint32) {
+			if contains(w.called, id) {
 				c.CallDone(now, id, 20*ms, OK)
 				c.Done(now, id, 30*ms, OK)
 			}
@@ -845,82 +866,83 @@
 		for id := uint32(1); id <= 10; id++ {
 			now += 50 * ms
 			call(now, id)
-			back(now+20*ms, id)
+			reply(now+20*ms, id)
 		}
 		for id := uint32(101); id <= 112; id++ { // these hang
 			call(now, id)
 			if now += 100 * ms; lost {
 				call(now, id+100)
 				now += 20 * ms
-				back(now, id+100)
+				reply(now, id+100)
 			}
 		}
 		w.refused, w.called = nil, nil
 		call(now, 999)
-		if made := has(w.called, 999); made != lost || lost && len(w.failed) > 0 {
-			t.Errorf("calls come back %v: called %v, refused %v, failed %v", lost, made, w.refused, w.failed)
+		if made := contains(w.called, 999); made != lost || lost && len(w.failed) > 0 {
+			t.Errorf("later calls return %v: called %v, refused %v, failed %v", lost, made, w.refused, w.failed)
 		}
 	}
 }
 
-// With what is below slow by itself, the worthiest still get their calls: those that stand behind a request there do
-// not keep it from starting, and where a poorer answer pays, the line before a call counts for leaving it out.
-func TestTheLineAtTheCallsBelow(t *testing.T) {
-	cfg := plain()
+// With a slow downstream service, the worthiest requests still get their calls: requests behind them in the call
+// queue do not keep them from starting. Where a result without the call has some worth, the wait in the call
+// queue counts in the decision to skip the call.
+func TestCallQueueHoldsBackOnlyLessWorthyRequests(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Cores, cfg.CallShare = 4, 4
 	cfg.Classes[1].Calls, cfg.Classes[1].Effect = true, Unsafe
 	cfg.Classes[2].SkipWorth = 0.6
-	c, w := begin(t, cfg)
-	now := callsOf(c, 2, 10, 200*ms, 0)
-	for id := uint32(101); id <= 116; id++ { // 2 places for 16 calls of 200 ms, within a second
-		c.Request(now, ask(id, 2))
+	c, w := newController(t, cfg)
+	now := runCalls(c, 2, 10, 200*ms, 0)
+	for id := uint32(101); id <= 116; id++ { // a bound of 2 for 16 calls of 200 ms, within a second
+		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
 		c.AtCall(now, id)
 		c.Decide(now)
 	}
-	if has(w.skipped, 103) || !has(w.skipped, 115) {
-		t.Errorf("left out %v: only those that would wait too long", w.skipped)
+	if contains(w.skipped, 103) || !contains(w.skipped, 115) {
+		t.Errorf("skipped %v, want only the calls that would wait too long", w.skipped)
 	}
 	w.skipped, w.ran = nil, nil
 	for _, id := range []uint32{110, 111, 112, 113, 114, 115, 116} {
 		c.Done(now, id, ms, OK)
 	}
-	c.Request(now, ask(200, 1))
+	c.Request(now, newRequest(200, 1))
 	c.Decide(now)
-	if !has(w.ran, 200) {
-		t.Errorf("ran %v: the worthier goes before all that stand", w.ran)
+	if !contains(w.ran, 200) {
+		t.Errorf("ran %v, want the worthier request started before those in the call queue", w.ran)
 	}
 }
 
-// A window in which nothing was read does not end on busy cores: a machine so slow that it reads a few a second
-// does not invite its callers between two of them.
-func TestAWindowThatReadNothingIsNotCalm(t *testing.T) {
-	c, w := begin(t, plain())
+// With busy cores, a window in which nothing was read does not end: a machine so slow that it reads a few
+// requests per second must not lower its level between two of them.
+func TestWindowWithoutReadingsIsNotCalm(t *testing.T) {
+	c, w := newController(t, baseConfig())
 	now := time.Second
 	for id := uint32(1); id <= 4; id++ {
-		for i := 0; i < 8; i++ { // most windows are shorter than the time between two readings
+		for i := 0; i < 8; i++ { // longer than a window, without a reading
 			now += 100 * ms
 			c.Tick(now, Gauges{CoreUse: 1, OnCores: 4})
 			c.Decide(now)
 			if id > 1 && w.level != 1 {
-				t.Fatalf("level %v while all that is read waited for 2 s", w.level)
+				t.Fatalf("level %v while all requests have waited unread for 2 s", w.level)
 			}
 		}
-		q := ask(id, 0)
+		q := newRequest(id, 0)
 		q.Waited = 2 * time.Second
 		c.Request(now, q)
 		c.Decide(now)
 	}
 }
 
-// Among held requests of one worth the one goes first whose worth falls first, whatever came first.
-func TestTheOneThatFallsDueFirstStartsFirst(t *testing.T) {
-	cfg := plain()
+// Among held requests of equal worth, the one with the earliest aim starts first, whatever their order of arrival.
+func TestEarliestAimStartsFirst(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Cores = 1
 	cfg.Classes[2].Aim = 600 * ms
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	for id, class := range []int{0, 0, 2} {
-		c.Request(time.Duration(id)*ms, ask(uint32(id+1), class))
+		c.Request(time.Duration(id)*ms, newRequest(uint32(id+1), class))
 		c.Decide(time.Duration(id) * ms)
 	}
 	c.Done(50*ms, 1, 50*ms, OK)
@@ -930,27 +952,29 @@
 	}
 }
 
-// A call that may be made again is given up once it is rather lost than slow, later each time, and never so
-// late that it could not be made again; one with an effect, or with nothing to compare, gets all its time.
-func TestACallThatIsRatherLostThanSlowIsGivenUp(t *testing.T) {
-	for _, k := range []struct {
+// A call that may be repeated is given up once it is more likely lost than slow: later with each try, but early
+// enough to be made again. A call with an effect, or without known call times to compare with, gets all the
+// time that is left.
+func TestCallThatIsLikelyLostIsGivenUp(t *testing.T) {
+	for _, test := range []struct {
 		name  string
-		known uint32
+		known uint32 // calls measured before
 		class int
 		first time.Duration
 		again bool
 	}{
-		{"known", 10, 2, 250 * ms, true},
-		{"not known", 2, 2, 3 * time.Second, false},
-		{"an effect", 10, 3, 9 * time.Second, false},
+		{"known call times", 10, 2, 250 * ms, true},
+		{"unknown call times", 2, 2, 3 * time.Second, false},
+		{"call with an effect", 10, 3, 9 * time.Second, false},
 	} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Classes[2].Aim, cfg.Classes[2].Deadline = 3*time.Second, 9*time.Second
-		cfg.Classes = append(cfg.Classes, Class{Aim: 3 * time.Second, Deadline: 9 * time.Second, Effect: Keyed, Calls: true})
-		c, w := begin(t, cfg)
-		for id := uint32(1); id <= k.known; id++ {
+		cfg.Classes = append(cfg.Classes,
+			Class{Aim: 3 * time.Second, Deadline: 9 * time.Second, Effect: Keyed, Calls: true})
+		c, w := newController(t, cfg)
+		for id := uint32(1); id <= test.known; id++ {
 			now := time.Duration(id) * time.Second
-			c.Request(now, ask(id, 2))
+			c.Request(now, newRequest(id, 2))
 			c.Decide(now)
 			c.AtCall(now, id)
 			c.Decide(now)
@@ -958,8 +982,8 @@
 			c.Done(now+60*ms, id, 60*ms, OK)
 		}
 		w.called = nil
-		now := time.Duration(k.known)*time.Second + 100*ms
-		q := ask(30, k.class)
+		now := time.Duration(test.known)*time.Second + 100*ms
+		q := newRequest(30, test.class)
 		q.Left = 9 * time.Second
 		c.Request(now, q)
 		c.Decide(now)
@@ -970,43 +994,44 @@
 		now += w.patience
 		c.CallDone(now, 30, w.patience, TimedOut)
 		c.Decide(now)
-		if again := len(w.called) > 0; first != k.first || again != k.again || again && w.patience < 2*first {
-			t.Errorf("%s: given up after %v, again %v after %v", k.name, first, again, w.patience)
+		if again := len(w.called) > 0; first != test.first || again != test.again || again && w.patience < 2*first {
+			t.Errorf("%s: given up after %v, then made again %v and given up after %v",
+				test.name, first, again, w.patience)
 		}
 	}
 }
 
-// Half of the runs without a hint take longer than their class's mean: one that could end in time only if it
-// took the mean is turned away at once, while its caller may still go elsewhere.
-func TestARunWithoutAHintMayTakeLongerThanTheMean(t *testing.T) {
-	for _, k := range []struct {
+// Half of the runs without a hint take longer than the mean of their class. A request that would end in time only
+// with the mean run time is refused at once, while its caller may still try elsewhere.
+func TestRunWithoutHintIsExpectedToExceedTheMean(t *testing.T) {
+	for _, test := range []struct {
 		waited  time.Duration
 		refused bool
 	}{{300 * ms, false}, {500 * ms, true}} {
-		c, w := begin(t, plain())
+		c, w := newController(t, baseConfig())
 		for id := uint32(1); id <= 10; id++ {
 			now := time.Duration(id) * time.Second
-			c.Request(now, ask(id, 0))
+			c.Request(now, newRequest(id, 0))
 			c.Decide(now)
 			c.Done(now+400*ms, id, 400*ms, OK)
 			c.Decide(now + 400*ms)
 		}
-		q := ask(20, 0)
-		q.Waited = k.waited
+		q := newRequest(20, 0)
+		q.Waited = test.waited
 		c.Request(20*time.Second, q)
 		c.Decide(20 * time.Second)
-		if has(w.refused, 20) != k.refused {
-			t.Errorf("waited %v: refused %v", k.waited, w.refused)
+		if contains(w.refused, 20) != test.refused {
+			t.Errorf("waited %v: refused %v", test.waited, w.refused)
 		}
 	}
 }
 
-// Where callers outnumber the credits, a rounding down to none would keep all of them away for good.
-func TestCreditsNeverAddUpToNone(t *testing.T) {
+// Where callers outnumber the credits, rounding the credits down to zero would keep all callers away for good.
+func TestCreditsNeverRoundDownToZero(t *testing.T) {
 	for _, callers := range []int{1, 4, 1100, 100000} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Advert, cfg.Callers = AdvertCredit, callers
-		c, w := begin(t, cfg)
+		c, w := newController(t, cfg)
 		now := time.Duration(0)
 		for i := 0; i < 4; i++ {
 			now = flood(c, now, 900*ms, 1)
@@ -1017,98 +1042,101 @@
 	}
 }
 
-// A gauge that reads nothing must not stop the cursor or count as idle cores.
-func TestGaugesThatReadNothingAreUnknown(t *testing.T) {
-	for _, use := range []float64{math.NaN(), -1} {
-		c, w := begin(t, plain())
-		flood(c, flood(c, 0, 0, use), 300*ms, use)
+// An invalid gauge must not stop the cursor or count as idle cores.
+func TestInvalidGaugesAreIgnored(t *testing.T) {
+	for _, coreUse := range []float64{math.NaN(), -1} {
+		c, w := newController(t, baseConfig())
+		flood(c, flood(c, 0, 0, coreUse), 300*ms, coreUse)
 		if w.level <= 0 || len(w.refused) == 0 {
-			t.Errorf("use %v: level %v, refused %d, after two seconds of queuing", use, w.level, len(w.refused))
+			t.Errorf("core use %v: level %v, refused %d, after two seconds of queuing",
+				coreUse, w.level, len(w.refused))
 		}
 	}
 }
 
-// A tenant that asks for more than its part is pressed down within its class, its high worth never under another
-// class; one within its part never pays, however often all of them try again.
-func TestOnlyTheTenantOverItsPartIsPressedDown(t *testing.T) {
-	for _, k := range []struct {
+// A tenant over its quota is demoted within its class, but its requests of higher worth never rank below another
+// class. A tenant within its quota is never demoted, however often all tenants retry.
+func TestOnlyTheTenantOverItsQuotaIsDemoted(t *testing.T) {
+	for _, test := range []struct {
 		name  string
-		every [2]time.Duration // between two requests of each tenant
+		every [2]time.Duration // interval between requests of each tenant
 		over  [2]bool
 	}{
-		{"as their quotas are", [2]time.Duration{20 * ms, 20 * ms}, [2]bool{false, false}},
-		{"a storm of tries by all", [2]time.Duration{2 * ms, 2 * ms}, [2]bool{false, false}},
-		{"one asks for four times as much", [2]time.Duration{5 * ms, 20 * ms}, [2]bool{true, false}},
-		{"one asks for next to nothing, the other for its quota", [2]time.Duration{40 * ms, 900 * ms}, [2]bool{}},
+		{"rates in proportion to the quotas", [2]time.Duration{20 * ms, 20 * ms}, [2]bool{false, false}},
+		{"a retry storm of all tenants", [2]time.Duration{2 * ms, 2 * ms}, [2]bool{false, false}},
+		{"one at four times the rate of the other", [2]time.Duration{5 * ms, 20 * ms}, [2]bool{true, false}},
+		{"one almost idle, the other at its quota", [2]time.Duration{40 * ms, 900 * ms}, [2]bool{}},
 	} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Tenants = []Tenant{{Share: 0.5, Quota: 30}, {Share: 0.5, Quota: 30}}
-		c, _ := begin(t, cfg)
+		c, _ := newController(t, cfg)
 		id := uint32(0)
 		for now := time.Duration(0); now < 10*time.Second; now += ms {
-			for who, every := range k.every {
+			for who, every := range test.every {
 				if now%every != 0 {
 					continue
 				}
 				id++
-				q := ask(id, 0)
+				q := newRequest(id, 0)
 				q.Tenant, q.Rank = who, 0.49 // near the top of the lower of two worths
 				if id%2 == 0 {
 					q.Class, q.Rank = 1, 0.51
 				}
 				c.Request(now, q)
-				if r := c.all[id]; r != nil && (r.Rank > q.Rank || r.Rank >= 0.5 != (q.Class == 1) || k.over[who] && c.tenants[who].over > 0.5 && r.Rank > 0.3 && q.Class == 0) {
-					t.Fatalf("%s: rank %v from %v, out of its worth or not pressed down", k.name, r.Rank, q.Rank)
+				if r := c.requests[id]; r != nil && (r.Rank > q.Rank || r.Rank >= 0.5 != (q.Class == 1) ||
+					test.over[who] && c.tenants[who].overQuota > 0.5 && r.Rank > 0.3 && q.Class == 0) {
+					t.Fatalf("%s: rank %v from %v, outside the band of its worth or not demoted",
+						test.name, r.Rank, q.Rank)
 				}
 				c.Gone(now, id)
 			}
 			c.Decide(now)
 		}
-		for who := range k.over {
-			if over := c.tenants[who].over > 0; over != k.over[who] {
-				t.Errorf("%s: tenant %d over %v, want %v", k.name, who, c.tenants[who].over, k.over[who])
+		for who := range test.over {
+			if over := c.tenants[who].overQuota > 0; over != test.over[who] {
+				t.Errorf("%s: tenant %d over %v, want %v", test.name, who, c.tenants[who].overQuota, test.over[who])
 			}
 		}
 	}
 }
 
-// A share of under one call is kept over every window of the dependency, whatever the calls take: all workers of a
-// fleet may do the same at once.
-// Calls to a tier that refuses for itself are no shared dependency's: with no share stated, one call in hand
-// must not keep the others waiting.
-func TestCallsToATierAreBoundedByTheCrowdAlone(t *testing.T) {
-	for _, tier := range []bool{false, true} {
-		cfg := plain()
-		cfg.CallShare, cfg.CallsTier, cfg.Cores = 0, tier, 6
-		c, w := begin(t, cfg)
+// A downstream service that sheds load by itself needs no call share: with none set, one call in flight must not
+// make the others wait.
+func TestCallsToASheddingServiceAreBoundedByTheCrowdAlone(t *testing.T) {
+	for _, sheds := range []bool{false, true} {
+		cfg := baseConfig()
+		cfg.CallShare, cfg.CallsTier, cfg.Cores = 0, sheds, 6
+		c, w := newController(t, cfg)
 		for id := uint32(1); id <= 6; id++ {
-			c.Request(0, ask(id, 2))
+			c.Request(0, newRequest(id, 2))
 		}
 		c.Decide(0)
 		for _, id := range w.ran {
 			c.AtCall(10*ms, id)
 		}
 		c.Decide(10 * ms)
-		if want := map[bool]int{false: 1, true: 6}[tier]; len(w.called) != want {
-			t.Errorf("tier %v: %d calls of %d runs, want %d", tier, len(w.called), len(w.ran), want)
+		if want := map[bool]int{false: 1, true: 6}[sheds]; len(w.called) != want {
+			t.Errorf("service sheds %v: %d calls of %d runs, want %d", sheds, len(w.called), len(w.ran), want)
 		}
 	}
 }
 
-func TestAShareUnderOneCallIsKeptInEveryWindow(t *testing.T) {
+// A call share below one holds over every window of the dependency, whatever the call time, as all workers of the
+// fleet may call at the same time.
+func TestCallShareBelowOneHoldsInEveryWindow(t *testing.T) {
 	for _, share := range []float64{0.3, 0.9} {
 		for _, slow := range []time.Duration{100 * ms, time.Second, 20 * time.Second} {
-			cfg := plain()
+			cfg := baseConfig()
 			cfg.CallShare, cfg.Crowd, cfg.Memory = share, 100, 0
 			cfg.Classes[1].Calls, cfg.Classes[1].Deadline = true, 30*time.Second
 			cfg.Classes[1].Aim = 10 * time.Second
-			c, w := begin(t, cfg)
-			inHand := []float64{0} // seconds in hand up to each 10 ms
+			c, w := newController(t, cfg)
+			inFlight := []float64{0} // seconds with a call in flight, up to each step of 10 ms
 			var since, until time.Duration
 			for i := 1; i <= 4000; i++ {
 				now := time.Duration(i) * 10 * ms
 				if i%20 == 0 {
-					q := ask(uint32(i), 1)
+					q := newRequest(uint32(i), 1)
 					q.Left = 25 * time.Second
 					c.Request(now, q)
 					c.Decide(now)
@@ -1122,7 +1150,7 @@
 					id := w.called[len(w.called)-1]
 					c.CallDone(now, id, now-since, how)
 					if how == TimedOut {
-						c.Decide(now) // it may have taken effect: the request fails
+						c.Decide(now) // the call may have taken effect, so the request fails
 						how = Stopped
 					}
 					c.Done(now, id, now-since, how)
@@ -1140,9 +1168,10 @@
 				if until > 0 {
 					busy = 0.01
 				}
-				inHand = append(inHand, inHand[i-1]+busy)
-				if i >= 500 && (inHand[i]-inHand[i-500])/5 > share {
-					t.Fatalf("share %v, calls of %v: %v in hand up to %v", share, slow, (inHand[i]-inHand[i-500])/5, now)
+				inFlight = append(inFlight, inFlight[i-1]+busy)
+				if i >= 500 && (inFlight[i]-inFlight[i-500])/5 > share {
+					t.Fatalf("share %v, calls of %v: a mean of %v in flight up to %v",
+						share, slow, (inFlight[i]-inFlight[i-500])/5, now)
 				}
 			}
 			if len(w.called) < 2 {
@@ -1152,30 +1181,32 @@
 	}
 }
 
-// When what is read has waited unread for most of an aim, reading itself falls behind, and only callers that stay
-// away can help: the level rises at once, not by a sixth a window.
-func TestReadingThatFallsBehindRaisesTheLevelAtOnce(t *testing.T) {
-	for _, k := range []struct {
-		waited   time.Duration
-		low, top float64
+// When requests have waited unread for most of an aim, reading itself falls behind and only fewer requests help:
+// the level rises at once, instead of by at most alphaMax per window.
+func TestLateReadingRaisesTheLevelAtOnce(t *testing.T) {
+	for _, test := range []struct {
+		waited    time.Duration
+		low, high float64
 	}{{300 * ms, 0.05, 0.6}, {950 * ms, 0.85, 1}} {
-		c, w := begin(t, plain())
+		c, w := newController(t, baseConfig())
 		now := flood(c, 0, 0, 1)
-		flood(c, now, k.waited, 1)
-		if w.level < k.low || w.level > k.top {
-			t.Errorf("unread for %v: level %v after two seconds, want %v to %v", k.waited, w.level, k.low, k.top)
+		flood(c, now, test.waited, 1)
+		if w.level < test.low || w.level > test.high {
+			t.Errorf("unread for %v: level %v after two seconds, want %v to %v",
+				test.waited, w.level, test.low, test.high)
 		}
 	}
 }
 
-// A table fills in the first seconds of a worker's life: what tells of it must not start from nothing.
-func TestAYoungWorkerClosesIdleConnectionsToo(t *testing.T) {
-	cfg := plain()
+// The connection table can fill in the first seconds after the start, so the rate that sets the idle timeout must
+// not start from zero.
+func TestNewWorkerClosesIdleConnections(t *testing.T) {
+	cfg := baseConfig()
 	cfg.IdleMax = 30 * time.Second
-	c, w := begin(t, cfg)
+	c, w := newController(t, cfg)
 	for i := uint32(1); i <= 20; i++ {
 		now := time.Duration(i) * 100 * ms
-		q := ask(i, 0)
+		q := newRequest(i, 0)
 		q.Caller = i
 		c.Tick(now, Gauges{CoreUse: 0.05, OnCores: 1})
 		c.Request(now, q)
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,23 +7,23 @@
 	"larchscale/control"
 )
 
-// shop is a worker in memory: it only prints what it is told.
-type shop struct{}
+// printer is a worker that only prints its actions.
+type printer struct{}
 
-func (shop) Run(id uint32)                             { fmt.Println("run", id) }
-func (shop) Stop(id uint32)                            { fmt.Println("stop", id) }
-func (shop) Refuse(id uint32, _ time.Duration, _ bool) { fmt.Println("refuse", id) }
-func (shop) Fail(id uint32)                            { fmt.Println("fail", id) }
-func (shop) Call(id uint32, _ time.Duration)           { fmt.Println("call", id) }
-func (shop) Skip(id uint32)                            { fmt.Println("skip", id) }
-func (shop) Keep(id uint32, _ time.Duration)           { fmt.Println("keep", id) }
-func (shop) Forget(id uint32)                          { fmt.Println("forget", id) }
-func (shop) Replay(id uint32)                          { fmt.Println("replay", id) }
-func (shop) SetLevel(x float64)                        { fmt.Println("level", x) }
-func (shop) SetHealth(ok, _ bool)                      { fmt.Println("health", ok) }
-func (shop) CloseIdle(time.Duration)                   {}
-func (shop) Wake(time.Duration)                        {}
-func (shop) Log(text string)                           { fmt.Println(text) }
+func (printer) Run(id uint32)                             { fmt.Println("run", id) }
+func (printer) Stop(id uint32)                            { fmt.Println("stop", id) }
+func (printer) Refuse(id uint32, _ time.Duration, _ bool) { fmt.Println("refuse", id) }
+func (printer) Fail(id uint32)                            { fmt.Println("fail", id) }
+func (printer) Call(id uint32, _ time.Duration)           { fmt.Println("call", id) }
+func (printer) Skip(id uint32)                            { fmt.Println("skip", id) }
+func (printer) Keep(id uint32, _ time.Duration)           { fmt.Println("keep", id) }
+func (printer) Forget(id uint32)                          { fmt.Println("forget", id) }
+func (printer) Replay(id uint32)                          { fmt.Println("replay", id) }
+func (printer) SetLevel(x float64)                        { fmt.Println("level", x) }
+func (printer) SetHealth(ok, _ bool)                      { fmt.Println("health", ok) }
+func (printer) CloseIdle(time.Duration)                   {}
+func (printer) Wake(time.Duration)                        {}
+func (printer) Log(text string)                           { fmt.Println(text) }
 
 func Example() {
 	cfg := control.Config{
@@ -35,7 +35,7 @@
 		},
 	}
 	now := time.Duration(0)
-	c, err := control.New(cfg, now, shop{})
+	c, err := control.New(cfg, now, printer{})
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/control/heap.go
+++ b/control/heap.go
@@ -2,66 +2,67 @@
 
 import "time"
 
-// timed is an entry of a heap: an id and the time at which it comes up.
-type timed struct {
+// heapEntry is an entry of a heap: an id and its time.
+type heapEntry struct {
 	at time.Duration
 	id uint32
 }
 
-// heap is an indexed heap of ids by time, the earliest first and equal times by id.
+// heap is an indexed binary heap of ids by time, the earliest first and equal times by id.
 type heap struct {
-	list []timed
-	pos  map[uint32]int
+	list  []heapEntry
+	index map[uint32]int // position in list of each id
 }
 
-func newHeap() *heap { return &heap{pos: map[uint32]int{}} }
+func newHeap() *heap { return &heap{index: map[uint32]int{}} }
 
 func (h *heap) len() int { return len(h.list) }
 
-func (h *heap) first() timed { return h.list[0] }
+// first returns the earliest entry of a heap that is not empty.
+func (h *heap) first() heapEntry { return h.list[0] }
 
-// before is how many come up before a time.
-func (h *heap) before(at time.Duration) int {
+// countBefore returns the number of entries with a time before at.
+func (h *heap) countBefore(at time.Duration) int {
 	n := 0
-	for _, x := range h.list {
-		if x.at < at {
+	for _, entry := range h.list {
+		if entry.at < at {
 			n++
 		}
 	}
 	return n
 }
 
-// expire drops all that have come up by now, and tells how many.
+// expire removes the entries whose time is now or earlier, and returns their number.
 func (h *heap) expire(now time.Duration) int {
 	n := 0
 	for ; len(h.list) > 0 && h.list[0].at <= now; n++ {
-		h.drop(h.list[0].id)
+		h.remove(h.list[0].id)
 	}
 	return n
 }
 
-// set adds id or moves it to another time.
+// set adds id, or changes its time.
 func (h *heap) set(id uint32, at time.Duration) {
-	i, ok := h.pos[id]
+	i, ok := h.index[id]
 	if !ok {
 		i = len(h.list)
-		h.list = append(h.list, timed{at, id})
-		h.pos[id] = i
+		h.list = append(h.list, heapEntry{at, id})
+		h.index[id] = i
 	}
 	h.list[i].at = at
 	h.down(h.up(i))
 }
 
-// drop removes id, if it is there.
-func (h *heap) drop(id uint32) {
-	i, ok := h.pos[id]
+// remove removes id, if it is in the heap.
+func (h *heap) remove(id uint32) {
+	i, ok := h.index[id]
 	if !ok {
 		return
 	}
 	last := len(h.list) - 1
 	h.swap(i, last)
 	h.list = h.list[:last]
-	delete(h.pos, id)
+	delete(h.index, id)
 	if i < last {
 		h.down(h.up(i))
 	}
@@ -77,35 +78,37 @@
 
 func (h *heap) swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.pos[h.list[i].id] = i
-	h.pos[h.list[j].id] = j
+	h.index[h.list[i].id] = i
+	h.index[h.list[j].id] = j
 }
 
+// up moves the entry at i up to its position, and returns that position.
 func (h *heap) up(i int) int {
 	for i > 0 {
-		p := (i - 1) / 2
-		if !h.less(i, p) {
+		parent := (i - 1) / 2
+		if !h.less(i, parent) {
 			break
 		}
-		h.swap(i, p)
-		i = p
+		h.swap(i, parent)
+		i = parent
 	}
 	return i
 }
 
+// down moves the entry at i down to its position.
 func (h *heap) down(i int) {
 	for {
-		k := 2*i + 1
-		if k >= len(h.list) {
+		child := 2*i + 1
+		if child >= len(h.list) {
 			return
 		}
-		if k+1 < len(h.list) && h.less(k+1, k) {
-			k++
+		if child+1 < len(h.list) && h.less(child+1, child) {
+			child++
 		}
-		if !h.less(k, i) {
+		if !h.less(child, i) {
 			return
 		}
-		h.swap(i, k)
-		i = k
+		h.swap(i, child)
+		i = child
 	}
 }
--- a/control/line.go
+++ b/control/line.go
@@ -2,29 +2,29 @@
 
 import "sort"
 
-// line is a list of requests kept in the order of a less function, which must be a strict total order
-// that does not change while a request is in the line.
-type line struct {
+// requestList is a list of requests in the order of a less function, which must be a strict total order
+// that does not change while a request is in the list.
+type requestList struct {
 	list []*request
 	less func(a, b *request) bool
 }
 
-// place is where r is, or would go.
-func (l *line) place(r *request) int {
+// position returns the index of r, or the index at which it would be inserted.
+func (l *requestList) position(r *request) int {
 	return sort.Search(len(l.list), func(i int) bool { return !l.less(l.list[i], r) })
 }
 
-// add puts r in its place.
-func (l *line) add(r *request) {
-	i := l.place(r)
+// add inserts r at its position.
+func (l *requestList) add(r *request) {
+	i := l.position(r)
 	l.list = append(l.list, nil)
 	copy(l.list[i+1:], l.list[i:])
 	l.list[i] = r
 }
 
-// drop takes r out, if it is in.
-func (l *line) drop(r *request) {
-	i := l.place(r)
+// remove removes r, if it is in the list.
+func (l *requestList) remove(r *request) {
+	i := l.position(r)
 	if i == len(l.list) || l.list[i] != r {
 		return
 	}
--- a/control/seen.go
+++ b/control/seen.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// seen remembers when each of many ids came last. It holds a fixed number: an id that falls on the slot of
-// another takes it over, and the other counts as new when it comes again.
-type seen [512]struct {
-	id uint32
-	at time.Duration
-	in bool
+// arrivalTable records when each caller last sent a request. It has a fixed number of slots: a caller that
+// hashes to the slot of another replaces it, and the other counts as new at its next request.
+type arrivalTable [512]struct {
+	id   uint32
+	at   time.Duration
+	used bool
 }
 
-// gap is how long ago id came last; false = not known to have come. From now on it came now.
-func (s *seen) gap(id uint32, now time.Duration) (time.Duration, bool) {
-	e := &s[id*2654435761>>23]
-	known, gap := e.in && e.id == id, now-e.at
-	e.id, e.at, e.in = id, now, true
+// update records an arrival of id at now. It returns the time since its previous arrival, and whether that
+// one is known.
+func (t *arrivalTable) update(id uint32, now time.Duration) (time.Duration, bool) {
+	slot := &t[id*2654435761>>23]
+	known, gap := slot.used && slot.id == id, now-slot.at
+	slot.id, slot.at, slot.used = id, now, true
 	return gap, known
 }
