--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts many larchscale controllers on the simulator's wire: batches of events on
-// standard input, one reply to each on standard output. It decides nothing.
+// Command adapter hosts many larchscale controllers for the simulator. It reads batches of events from standard
+// input and writes one reply to each batch to standard output. It makes no decisions of its own.
 package main
 
 import (
@@ -22,6 +22,7 @@
 	}
 }
 
+// serve replies to each batch from in, until the input ends.
 func serve(in io.Reader, out io.Writer) error {
 	h := host{workers: map[uint32]*worker{}}
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
@@ -33,7 +34,7 @@
 		if err != nil {
 			return err
 		}
-		if _, err := w.Write(h.answer()); err != nil {
+		if _, err := w.Write(h.handleBatch()); err != nil {
 			return err
 		}
 		if err := w.Flush(); err != nil {
@@ -42,66 +43,69 @@
 	}
 }
 
+// host holds the simulated workers, and the batch that is handled with its reply.
 type host struct {
-	workers map[uint32]*worker
-	batch   wire.Batch
-	reply   wire.Reply
-	turn    []*worker // those with an event in this batch, in order of appearance
-	batches uint64
+	workers    map[uint32]*worker // by number
+	batch      wire.Batch
+	reply      wire.Reply
+	active     []*worker // workers with an event in this batch, in order of their first event
+	batchCount uint64
 }
 
-// worker is one instance: it carries the controller's actions to the wire.
+// worker is one simulated worker: it adds the actions of its controller to the reply.
 type worker struct {
-	host   *host
-	who    uint32
-	ctl    *control.Controller
-	gauges []string
-	failed bool
-	seen   uint64 // the batch in which it last had an event
+	host       *host
+	number     uint32
+	controller *control.Controller
+	gauges     []string // names of the gauges that its events carry
+	failed     bool     // its settings are invalid or its controller panicked; it gets no further events
+	lastBatch  uint64   // number of the batch in which it last had an event
 }
 
-func (h *host) answer() []byte {
+// handleBatch passes the events of the batch to their workers, lets these workers decide, and returns the reply.
+func (h *host) handleBatch() []byte {
 	h.reply.Reset()
-	h.turn = h.turn[:0]
-	h.batches++
+	h.active = h.active[:0]
+	h.batchCount++
 	now := time.Duration(h.batch.NowUs) * time.Microsecond
 	for i := range h.batch.Events {
-		h.feed(now, &h.batch.Events[i])
+		h.handleEvent(now, &h.batch.Events[i])
 	}
-	for _, w := range h.turn {
-		if h.workers[w.who] == w {
-			w.guard(func() { w.ctl.Decide(now) })
+	for _, w := range h.active {
+		if h.workers[w.number] == w {
+			w.guard(func() { w.controller.Decide(now) })
 		}
 	}
 	return h.reply.Bytes()
 }
 
-func (h *host) feed(now time.Duration, e *wire.Event) {
+// handleEvent creates or removes a worker, or passes the event to its worker.
+func (h *host) handleEvent(now time.Duration, e *wire.Event) {
 	switch e.Code {
 	case wire.Kill:
 		delete(h.workers, e.Who)
 		return
 	case wire.Born:
-		w := &worker{host: h, who: e.Who}
+		w := &worker{host: h, number: e.Who}
 		h.workers[e.Who] = w
-		w.guard(func() { w.born(now, e) })
+		w.guard(func() { w.start(now, e) })
 	}
 	w := h.workers[e.Who]
 	if w == nil || w.failed {
 		return
 	}
-	if w.seen != h.batches {
-		w.seen = h.batches
-		h.turn = append(h.turn, w)
+	if w.lastBatch != h.batchCount {
+		w.lastBatch = h.batchCount
+		h.active = append(h.active, w)
 	}
-	w.guard(func() { w.event(now, e) })
+	w.guard(func() { w.dispatch(now, e) })
 }
 
-// guard turns a panic of the module into the worker's own failure.
+// guard runs f and turns a panic of the controller into a failure of this worker alone.
 func (w *worker) guard(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			w.giveIn(fmt.Sprint(p))
+			w.disable(fmt.Sprint(p))
 		}
 	}()
 	if !w.failed {
@@ -109,55 +113,60 @@
 	}
 }
 
-func (w *worker) giveIn(text string) {
+// disable reports the failure of the worker to the simulator and stops passing events to it.
+func (w *worker) disable(text string) {
 	w.failed = true
-	w.host.reply.Text(wire.GiveIn, w.who, text)
+	w.host.reply.Text(wire.GiveIn, w.number, text)
 }
 
-func (w *worker) born(now time.Duration, e *wire.Event) {
+// start creates the controller from the settings in e.
+func (w *worker) start(now time.Duration, e *wire.Event) {
 	s, err := wire.ParseSettings(e.Settings)
 	if err != nil {
-		w.giveIn(err.Error())
+		w.disable(err.Error())
 		return
 	}
 	w.gauges = s.FamilyInfo.OwnStats
-	w.ctl, err = control.New(settings.Config(s, e.Seed), now, w)
+	w.controller, err = control.New(settings.Config(s, e.Seed), now, w)
 	if err != nil {
-		w.giveIn(err.Error())
+		w.disable(err.Error())
 	}
 }
 
-func (w *worker) event(now time.Duration, e *wire.Event) {
+// dispatch reports the event to the controller.
+func (w *worker) dispatch(now time.Duration, e *wire.Event) {
 	switch e.Code {
 	case wire.Order:
-		w.ctl.Request(now, requestOf(e))
+		w.controller.Request(now, requestOf(e))
 	case wire.Done:
-		w.ctl.Done(now, e.Request, us(e.RttUs), outcomeOf(e.Reason))
+		w.controller.Done(now, e.Request, duration(e.RttUs), outcomeOf(e.Reason))
 	case wire.Aborted:
-		w.ctl.Gone(now, e.Request)
+		w.controller.Gone(now, e.Request)
 	case wire.Blocked:
-		w.ctl.AtCall(now, e.Request)
+		w.controller.AtCall(now, e.Request)
 	case wire.Called:
-		w.ctl.CallDone(now, e.Request, us(e.RttUs), outcomeOf(e.Reason))
+		w.controller.CallDone(now, e.Request, duration(e.RttUs), outcomeOf(e.Reason))
 	case wire.Notice:
-		w.ctl.Leave(now, us(e.LeftUs))
+		w.controller.Leave(now, duration(e.LeftUs))
 	case wire.Due:
-		w.ctl.Tick(now, settings.Gauges(w.gauges, e.Gauges))
+		w.controller.Tick(now, settings.Gauges(w.gauges, e.Gauges))
 	}
 }
 
-func us(n uint32) time.Duration { return time.Duration(n) * time.Microsecond }
+// duration converts the microseconds of a wire field.
+func duration(us uint32) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// micros is d on the wire, rounded up so that a short time never becomes none.
-func micros(d time.Duration) uint32 {
+// microseconds converts d for a wire field, rounded up so that a short time does not become zero.
+func microseconds(d time.Duration) uint32 {
 	if d <= 0 {
 		return 0
 	}
 	return uint32(min((d+time.Microsecond-1)/time.Microsecond, math.MaxUint32))
 }
 
-func outcomeOf(code uint16) control.Outcome {
-	switch code {
+// outcomeOf returns the outcome for the status code of an event.
+func outcomeOf(status uint16) control.Outcome {
+	switch status {
 	case 200:
 		return control.OK
 	case 503:
@@ -176,56 +185,57 @@
 	return control.Errored
 }
 
+// requestOf returns the request of an arrival event.
 func requestOf(e *wire.Event) control.Request {
 	r := control.Request{
 		ID: e.Request, Class: int(e.Class), Tenant: int(e.Group),
 		Rank: float64(e.Standing), Memory: float64(e.Footprint),
-		Left: us(e.LeftUs), Waited: us(e.WaitedUs),
+		Left: duration(e.LeftUs), Waited: duration(e.WaitedUs),
 		Caller: e.Origin, Subject: e.Affinity, Repeat: e.DupOf,
 		Retry: e.Options&wire.IsRetry != 0,
 	}
 	if e.Options&wire.HasHint != 0 {
-		r.Work = us(e.WorkUs)
+		r.Work = duration(e.WorkUs)
 	}
 	return r
 }
 
-// The worker's actions, as the wire has them.
+// The methods of control.Worker, each of which adds one action to the reply.
 
-func (w *worker) Run(id uint32)    { w.host.reply.Action(wire.Run, w.who, id) }
-func (w *worker) Stop(id uint32)   { w.host.reply.Action(wire.Yank, w.who, id) }
-func (w *worker) Fail(id uint32)   { w.host.reply.Action(wire.Abort, w.who, id) }
-func (w *worker) Skip(id uint32)   { w.host.reply.Action(wire.GoOn, w.who, id) }
-func (w *worker) Forget(id uint32) { w.host.reply.Action(wire.Erase, w.who, id) }
-func (w *worker) Replay(id uint32) { w.host.reply.Action(wire.Replay, w.who, id) }
-func (w *worker) Log(text string)  { w.host.reply.Text(wire.NoteDown, w.who, text) }
+func (w *worker) Run(id uint32)    { w.host.reply.Action(wire.Run, w.number, id) }
+func (w *worker) Stop(id uint32)   { w.host.reply.Action(wire.Yank, w.number, id) }
+func (w *worker) Fail(id uint32)   { w.host.reply.Action(wire.Abort, w.number, id) }
+func (w *worker) Skip(id uint32)   { w.host.reply.Action(wire.GoOn, w.number, id) }
+func (w *worker) Forget(id uint32) { w.host.reply.Action(wire.Erase, w.number, id) }
+func (w *worker) Replay(id uint32) { w.host.reply.Action(wire.Replay, w.number, id) }
+func (w *worker) Log(text string)  { w.host.reply.Text(wire.NoteDown, w.number, text) }
 func (w *worker) SetLevel(x float64) {
-	w.host.reply.Action(wire.Say, w.who, math.Float32bits(float32(x)))
+	w.host.reply.Action(wire.Say, w.number, math.Float32bits(float32(x)))
 }
 
 func (w *worker) Refuse(id uint32, away time.Duration, last bool) {
-	w.host.reply.Action(wire.PushBack, w.who, id, micros(away))
+	w.host.reply.Action(wire.PushBack, w.number, id, microseconds(away))
 	w.host.reply.Flag(last)
 }
 
 func (w *worker) Call(id uint32, patience time.Duration) {
-	w.host.reply.Action(wire.CallBelow, w.who, id, micros(patience))
+	w.host.reply.Action(wire.CallBelow, w.number, id, microseconds(patience))
 }
 
 func (w *worker) Keep(id uint32, term time.Duration) {
-	w.host.reply.Action(wire.Pin, w.who, id, micros(term))
+	w.host.reply.Action(wire.Pin, w.number, id, microseconds(term))
 }
 
 func (w *worker) SetHealth(ok, stored bool) {
-	w.host.reply.Action(wire.Readiness, w.who)
+	w.host.reply.Action(wire.Readiness, w.number)
 	w.host.reply.Flag(ok)
 	w.host.reply.Flag(stored)
 }
 
 func (w *worker) CloseIdle(after time.Duration) {
-	w.host.reply.Action(wire.Keepalive, w.who, micros(after))
+	w.host.reply.Action(wire.Keepalive, w.number, microseconds(after))
 }
 
 func (w *worker) Wake(in time.Duration) {
-	w.host.reply.Action(wire.SetTimer, w.who, 0, micros(in))
+	w.host.reply.Action(wire.SetTimer, w.number, 0, microseconds(in))
 }
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -14,53 +14,58 @@
  "Advert": "level", "RunFactor": 8, "OwnStats": ["core_use", "on_cores"]},
  "Safety": {"FallMultiple": 5, "FallUs": 2000000}, "Unknown": 1}`
 
+// frame builds a batch of events.
 type frame struct {
 	count uint32
 	body  []byte
 }
 
-func (f *frame) born(who uint32, text string) {
+// start adds the event that creates a worker with settings in JSON.
+func (f *frame) start(number uint32, settings string) {
 	f.count++
 	f.body = binary.BigEndian.AppendUint16(f.body, wire.Born)
-	f.body = binary.BigEndian.AppendUint32(f.body, who)
+	f.body = binary.BigEndian.AppendUint32(f.body, number)
 	f.body = binary.BigEndian.AppendUint64(f.body, 1)
-	f.body = binary.BigEndian.AppendUint32(f.body, uint32(len(text)))
-	f.body = append(f.body, text...)
+	f.body = binary.BigEndian.AppendUint32(f.body, uint32(len(settings)))
+	f.body = append(f.body, settings...)
 }
 
-func (f *frame) order(who, id uint32) {
+// request adds the arrival of a request with three seconds left.
+func (f *frame) request(number, id uint32) {
 	f.count++
-	p := make([]byte, 50)
-	binary.BigEndian.PutUint16(p, wire.Order)
-	binary.BigEndian.PutUint32(p[2:], who)
-	binary.BigEndian.PutUint32(p[6:], id)
-	binary.BigEndian.PutUint32(p[11:], 3000000)
-	f.body = append(f.body, p...)
+	event := make([]byte, 50)
+	binary.BigEndian.PutUint16(event, wire.Order)
+	binary.BigEndian.PutUint32(event[2:], number)
+	binary.BigEndian.PutUint32(event[6:], id)
+	binary.BigEndian.PutUint32(event[11:], 3000000)
+	f.body = append(f.body, event...)
 }
 
+// bytes returns the batch as the simulator sends it.
 func (f *frame) bytes(now uint64) []byte {
-	p := binary.BigEndian.AppendUint32(nil, f.count)
-	p = binary.BigEndian.AppendUint32(p, uint32(len(f.body)))
-	p = binary.BigEndian.AppendUint64(p, now)
-	return append(p, f.body...)
+	batch := binary.BigEndian.AppendUint32(nil, f.count)
+	batch = binary.BigEndian.AppendUint32(batch, uint32(len(f.body)))
+	batch = binary.BigEndian.AppendUint64(batch, now)
+	return append(batch, f.body...)
 }
 
-// actions lists the codes in a stream of replies with no text but GIVE_IN's and NOTE_DOWN's.
+// actions returns the action codes in a stream of replies. Actions with an unlisted size carry a text (GIVE_IN,
+// NOTE_DOWN).
 func actions(t *testing.T, out []byte) (codes []uint16) {
 	t.Helper()
-	size := map[uint16]int{wire.Run: 10, wire.Readiness: 8, wire.Say: 10, wire.SetTimer: 14, wire.PushBack: 15}
+	sizes := map[uint16]int{wire.Run: 10, wire.Readiness: 8, wire.Say: 10, wire.SetTimer: 14, wire.PushBack: 15}
 	for len(out) > 0 {
-		n := binary.BigEndian.Uint32(out)
-		body := out[4 : 4+n]
-		out = out[4+n:]
+		length := binary.BigEndian.Uint32(out)
+		body := out[4 : 4+length]
+		out = out[4+length:]
 		for len(body) > 0 {
 			code := binary.BigEndian.Uint16(body)
-			k, ok := size[code]
+			size, ok := sizes[code]
 			if !ok {
-				k = 8 + int(binary.BigEndian.Uint16(body[6:]))
+				size = 8 + int(binary.BigEndian.Uint16(body[6:]))
 			}
 			codes = append(codes, code)
-			body = body[k:]
+			body = body[size:]
 		}
 	}
 	return codes
@@ -75,17 +80,18 @@
 	return n
 }
 
-func TestHostsInstancesAndEndsWithItsInput(t *testing.T) {
+// Each worker gets its own events; those of a worker that does not exist are ignored.
+func TestHostsWorkersUntilTheInputEnds(t *testing.T) {
 	var in, out bytes.Buffer
 	in.Write((&frame{}).bytes(1))
 	var f frame
-	f.born(1, oneServer)
-	f.born(2, oneServer)
+	f.start(1, oneServer)
+	f.start(2, oneServer)
 	in.Write(f.bytes(2))
 	f = frame{}
-	f.order(1, 7)
-	f.order(2, 8)
-	f.order(9, 9) // an instance that was never born
+	f.request(1, 7)
+	f.request(2, 8)
+	f.request(9, 9) // a worker that does not exist
 	in.Write(f.bytes(3))
 	if err := serve(&in, &out); err != nil {
 		t.Fatal(err)
@@ -95,14 +101,15 @@
 	}
 }
 
-func TestBadSettingsGiveInForThatInstanceAlone(t *testing.T) {
+// Invalid settings of one worker disable it, and no other.
+func TestInvalidSettingsDisableOnlyThatWorker(t *testing.T) {
 	for _, bad := range []string{`{`, `{"Safety": {"FallUs": -1}}`} {
 		var in, out bytes.Buffer
 		var f frame
-		f.born(1, bad)
-		f.born(2, oneServer)
-		f.order(1, 7)
-		f.order(2, 8)
+		f.start(1, bad)
+		f.start(2, oneServer)
+		f.request(1, 7)
+		f.request(2, 8)
 		in.Write(f.bytes(2))
 		if err := serve(&in, &out); err != nil {
 			t.Fatal(err)
@@ -114,9 +121,9 @@
 	}
 }
 
-func TestABrokenStreamIsAnError(t *testing.T) {
+func TestInvalidBatchIsAnError(t *testing.T) {
 	err := serve(strings.NewReader("not a frame"), &bytes.Buffer{})
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatal("no error for an invalid batch")
 	}
 }
