--- a/internal/store/clock.go
+++ b/internal/store/clock.go
@@ -12,27 +12,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// The processes that share a directory of keys write into its files when a key expires. They count that on one clock that
-// nobody steps: the machine's monotonic one, plus the offset of the wall clock when the first of them began, which stands
-// in the file ".clock" with the boot that it is of. So a step of the wall clock frees no key before its window is over,
-// whether it comes while a process runs or before its successor starts.
+// Processes that share a claim directory write each key's expiry into its file, so they need one clock that is never
+// stepped. They use the machine's monotonic clock plus the offset to the wall clock that the first of them measured.
+// The offset is stored in the file ".clock" with the ID of the boot it belongs to. A step of the wall clock therefore
+// frees no key before its window has passed, whether the step happens while a process runs or before its successor
+// starts.
 
 const (
-	clockFile = ".clock"
-	bootFile  = "/proc/sys/kernel/random/boot_id"
+	clockFileName = ".clock"
+	bootIDFile    = "/proc/sys/kernel/random/boot_id"
 )
 
-// machineClocks are the clocks of a machine, and which boot of it the monotonic one counts from.
+// machineClocks holds the clocks of a machine and the boot that the monotonic clock counts from.
 type machineClocks struct {
 	boot      string
 	wall      func() time.Time
 	monotonic func() (time.Duration, error) // since the boot, the same for all processes
 }
 
-// ofMachine returns this machine's clocks.
-func ofMachine() machineClocks {
-	boot, err := os.ReadFile(bootFile)
-	if err != nil { // one boot cannot be told from another: the offset is then good for as long as the directory is
+// systemClocks returns the clocks of this machine.
+func systemClocks() machineClocks {
+	boot, err := os.ReadFile(bootIDFile)
+	// Boots cannot be told apart, so the stored offset is used for as long as the directory exists.
+	if err != nil {
 		boot = []byte("unknown")
 	}
 	return machineClocks{strings.TrimSpace(string(boot)), time.Now, monotonic}
@@ -46,51 +48,51 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// sharedClock returns the clock of a directory. Where the file cannot be used err says why, and the clock is this
-// process's own: it takes no steps from here on either.
+// sharedClock returns the clock of a directory. If the clock file cannot be used it returns the reason together with
+// a clock of this process alone, which is not affected by later steps of the wall clock either.
 func sharedClock(dir string, m machineClocks) (now func() time.Time, err error) {
 	started := m.wall()
-	own := func() time.Time { return started.Add(m.wall().Sub(started)) } // by its monotonic reading
-	since, err := m.monotonic()
+	own := func() time.Time { return started.Add(m.wall().Sub(started)) } // uses the monotonic readings of both times
+	sinceBoot, err := m.monotonic()
 	if err != nil {
 		return own, err
 	}
-	offset, err := sharedOffset(filepath.Join(dir, clockFile), m.boot, time.Duration(started.UnixNano())-since)
+	offset, err := sharedOffset(filepath.Join(dir, clockFileName), m.boot, time.Duration(started.UnixNano())-sinceBoot)
 	if err != nil {
 		return own, err
 	}
-	base := time.Unix(0, int64(offset+since))
+	base := time.Unix(0, int64(offset+sinceBoot))
 	return func() time.Time { return base.Add(m.wall().Sub(started)) }, nil
 }
 
-// sharedOffset reads the offset that the first process of this boot wrote, or writes its own.
+// sharedOffset returns the offset that the first process of this boot wrote, or writes own if there is none.
 func sharedOffset(path, boot string, own time.Duration) (time.Duration, error) {
 	if offset, ok, err := readOffset(path, boot); ok || err != nil {
 		return offset, err
 	}
-	next, err := os.CreateTemp(filepath.Dir(path), clockFile+unfinished)
+	temp, err := os.CreateTemp(filepath.Dir(path), clockFileName+unfinishedSuffix)
 	if err != nil {
 		return 0, err
 	}
-	defer os.Remove(next.Name())
-	_, err = fmt.Fprintf(next, "%s %d\n", boot, int64(own))
-	if err = errors.Join(err, next.Close()); err != nil {
+	defer os.Remove(temp.Name())
+	_, err = fmt.Fprintf(temp, "%s %d\n", boot, int64(own))
+	if err = errors.Join(err, temp.Close()); err != nil {
 		return 0, err
 	}
-	if _, err := os.Stat(path); err == nil { // of another boot, or spoilt
-		return own, os.Rename(next.Name(), path)
+	if _, err := os.Stat(path); err == nil { // written during another boot, or corrupt
+		return own, os.Rename(temp.Name(), path)
 	}
-	if err := os.Link(next.Name(), path); err != nil && !errors.Is(err, fs.ErrExist) {
+	if err := os.Link(temp.Name(), path); err != nil && !errors.Is(err, fs.ErrExist) {
 		return 0, err
 	}
-	offset, ok, err := readOffset(path, boot) // another process may have been faster
+	offset, ok, err := readOffset(path, boot) // another process may have written it first
 	if err == nil && !ok {
-		err = fmt.Errorf("%s is spoilt", path)
+		err = fmt.Errorf("%s is corrupt", path)
 	}
 	return offset, err
 }
 
-// readOffset reads a clock file; false = there is none of this boot that can be read.
+// readOffset reads a clock file. It returns false if there is no readable file of this boot.
 func readOffset(path, boot string) (offset time.Duration, ok bool, err error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -99,10 +101,10 @@
 	if err != nil {
 		return 0, false, err
 	}
-	var of string
-	var n int64
-	if _, err := fmt.Sscanf(string(text), "%s %d\n", &of, &n); err != nil || of != boot {
+	var fileBoot string
+	var nanoseconds int64
+	if _, err := fmt.Sscanf(string(text), "%s %d\n", &fileBoot, &nanoseconds); err != nil || fileBoot != boot {
 		return 0, false, nil
 	}
-	return time.Duration(n), true, nil
+	return time.Duration(nanoseconds), true, nil
 }
--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -18,123 +18,131 @@
 	"larchscale/internal/core"
 )
 
-// sweepEach is how often expired claims and results are removed, and the bytes on the disk counted anew. A sweep
-// reads every file: each second, it cost a run of 102,400 requests twice its time.
-const sweepEach = 20 * time.Second
+// sweepInterval is the interval at which expired claims and results are removed and the bytes on disk are counted again.
+// A sweep reads every file: sweeping every second doubled the duration of a run of 102,400 requests.
+const sweepInterval = 20 * time.Second
 
 const (
-	lockWait   = 250 * time.Millisecond // for the directory's lock at the most, the first time that it does not come
-	lockEach   = time.Millisecond       // between two tries for it
-	endsEach   = 100 * time.Millisecond // between two tries for it while ends of runs wait for it
-	spoiltFor  = 24 * time.Hour         // a spoilt file is kept, unless a claim whose life is over by then comes sooner
-	expiryLen  = 8                      // bytes of the expiry at the head of a file
-	unfinished = ".new"                 // ends the name of a file that is not whole yet
+	maxLockWait       = 250 * time.Millisecond // longest wait for the directory lock, until a first attempt has failed
+	lockPollInterval  = time.Millisecond       // polling interval while waiting for the directory lock
+	endsRetryInterval = 100 * time.Millisecond // retry interval for the lock while ends of runs are pending
+	// corruptFileTTL is the age at which a corrupt file is removed. A claim whose own lifetime has passed since the file was
+	// written replaces it earlier.
+	corruptFileTTL   = 24 * time.Hour
+	expiryBytes      = 8      // length of the expiry at the start of a file
+	unfinishedSuffix = ".new" // suffix of files that are still being written
 )
 
-// Files is a core.Store in a directory that two processes of one server share, such as their $TMPDIR in a
-// replacement: a keyed write that ran in one of them is not run by the other. A key is a file named by the hash
-// of its class and token, holding its expiry (8 bytes, Unix ns on their shared clock, big-endian) and a value as the Redis store
-// writes it. Every change is done under an flock of the directory and replaces a file whole by a rename, so a
-// process that dies between two steps leaves either the old state or the new. The loop never waits: one
-// goroutine does the file work, and a claim that finds no room in its queue is a store that is down. So is one that
-// gets no lock in time, as while the other process is stopped with it held; ends of runs are kept until it comes.
+// Files implements core.Store in a directory shared by two processes of one server, for example $TMPDIR while one
+// replaces the other: a keyed write that ran in one of them is not run again by the other. Each key is a file named
+// by the hash of its class and token. It holds the expiry (8 bytes, Unix ns on the shared clock, big-endian) and a
+// value in the format of the Redis store.
+//
+// Every change holds an flock of the directory and replaces a file as a whole by a rename, so a process that dies at
+// any point leaves either the old state or the new one. Callers never block: one goroutine does the file work. A
+// claim is refused if the queue has no room, and answered with core.ClaimDown if the lock does not become free in
+// time, for example because the other process was stopped while holding it. Ends of runs wait until the lock is free.
 type Files struct {
-	dir   string
-	owner string
-	class []string
-	bound int64 // bytes of the directory; past it claims are refused
-	used  int64 // as last counted, and written since; the goroutine's alone
-	sink  func(core.Event)
-	log   *slog.Logger
-	work  chan job
-	ends  []job            // that wait for the lock, waiting at the most; the goroutine's alone, as is stuck
-	stuck bool             // the lock did not come the last time
-	now   func() time.Time // the clock that all processes of the directory share
+	dir         string
+	owner       string
+	classNames  []string
+	maxBytes    int64 // size limit of the directory in bytes; new claims are refused beyond it
+	usedBytes   int64 // bytes at the last sweep plus those written since; used by the goroutine of Run only
+	sink        func(core.Event)
+	log         *slog.Logger
+	queue       chan lockedJob
+	pendingEnds []lockedJob      // waiting for the lock, at most queueLimit; used by the goroutine of Run only, like lockFailed
+	lockFailed  bool             // the last attempt to take the lock failed
+	now         func() time.Time // the clock shared by all processes of the directory
 }
 
-// job is done with the directory's lock held. err tells that the lock did not come: nothing may be changed.
-type job func(err error)
+// lockedJob runs with the directory lock held. A non-nil err means that the lock could not be taken; the job must then
+// change nothing.
+type lockedJob func(err error)
 
-// OpenFiles makes the directory, if it is not there, and a store in it of at most bound bytes. A directory that cannot be
-// made for now, as on a full disk, is made with the first lock that can be: until then claims are refused.
-func OpenFiles(dir, owner string, class []string, bound int64, sink func(core.Event), log *slog.Logger) (*Files, error) {
-	if err := os.MkdirAll(dir, 0o700); passing(err) {
+// OpenFiles creates the directory if needed and opens a store of at most maxBytes bytes in it. If the directory cannot
+// be created because of a transient error, such as a full disk, it is created when the lock is first taken; claims
+// are refused until then.
+func OpenFiles(dir, owner string, classNames []string, maxBytes int64, sink func(core.Event),
+	log *slog.Logger) (*Files, error) {
+	if err := os.MkdirAll(dir, 0o700); isTransient(err) {
 		log.Warn("store", "do", "open", "err", err)
 	} else if err != nil {
 		return nil, fmt.Errorf("store: %w", err)
 	}
-	now, err := sharedClock(dir, ofMachine())
+	now, err := sharedClock(dir, systemClocks())
 	if err != nil {
 		log.Warn("store", "do", "clock", "err", err)
 	}
-	return &Files{dir: dir, owner: owner, class: class, bound: bound, sink: sink, log: log,
-		work: make(chan job, waiting), now: now}, nil
+	return &Files{dir: dir, owner: owner, classNames: classNames, maxBytes: maxBytes, sink: sink, log: log,
+		queue: make(chan lockedJob, queueLimit), now: now}, nil
 }
 
-// Run works until ctx ends, and then does what was asked before.
+// Run processes the queue until ctx ends, and then completes the work that is already queued.
 func (s *Files) Run(ctx context.Context) {
-	sweep := time.NewTicker(sweepEach)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
-	s.locked(s.sweep)
+	s.withLock(s.sweep)
 	for {
-		var again <-chan time.Time
-		if len(s.ends) > 0 {
-			again = time.After(endsEach)
+		var retry <-chan time.Time
+		if len(s.pendingEnds) > 0 {
+			retry = time.After(endsRetryInterval)
 		}
 		select {
-		case f := <-s.work:
-			s.locked(f)
+		case f := <-s.queue:
+			s.withLock(f)
 		case <-sweep.C:
-			s.locked(s.sweep)
-		case <-again:
-			s.locked(func(error) {})
+			s.withLock(s.sweep)
+		case <-retry:
+			s.withLock(func(error) {})
 		case <-ctx.Done():
-			for len(s.work) > 0 {
-				s.locked(<-s.work)
+			for len(s.queue) > 0 {
+				s.withLock(<-s.queue)
 			}
-			if len(s.ends) > 0 {
-				s.locked(func(error) {})
+			if len(s.pendingEnds) > 0 {
+				s.withLock(func(error) {})
 			}
 			return
 		}
 	}
 }
 
-func (s *Files) do(f job) bool {
+func (s *Files) enqueue(f lockedJob) bool {
 	select {
-	case s.work <- f:
+	case s.queue <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// locked does f with the directory's lock held, after the ends that wait for it; or tells f that the lock did not come.
-func (s *Files) locked(f job) {
-	lock, err := s.lock()
+// withLock runs f with the directory lock held, after the ends of runs that wait for it. If the lock cannot be taken,
+// it passes the error to f.
+func (s *Files) withLock(f lockedJob) {
+	lock, err := s.acquireLock()
 	if err != nil {
-		if !s.stuck {
+		if !s.lockFailed {
 			s.log.Warn("store", "do", "lock", "err", err)
 		}
-		s.stuck = true
+		s.lockFailed = true
 		f(err)
 		return
 	}
 	defer lock.Close()
-	s.stuck = false
-	ends := s.ends
-	s.ends = nil
+	s.lockFailed = false
+	ends := s.pendingEnds
+	s.pendingEnds = nil
 	for _, end := range ends {
 		end(nil)
 	}
 	f(nil)
 }
 
-// lock takes the directory's lock, which the file's Close gives up. It waits up to lockWait, and not at all where it
-// waited in vain the last time: what is asked meanwhile is told so at once.
-func (s *Files) lock() (*os.File, error) {
+// acquireLock takes the directory lock; closing the returned file releases it. It waits up to maxLockWait, but makes only
+// one attempt if the previous call failed, so that callers get their refusals without delay meanwhile.
+func (s *Files) acquireLock() (*os.File, error) {
 	file, err := s.openLock()
-	if errors.Is(err, fs.ErrNotExist) { // the directory could not be made at the start, or somebody has removed it
+	if errors.Is(err, fs.ErrNotExist) { // the directory could not be created at the start, or was removed since
 		if err = os.MkdirAll(s.dir, 0o700); err == nil {
 			file, err = s.openLock()
 		}
@@ -142,13 +150,13 @@
 	if err != nil {
 		return nil, err
 	}
-	for end := time.Now().Add(lockWait); ; time.Sleep(lockEach) {
+	for end := time.Now().Add(maxLockWait); ; time.Sleep(lockPollInterval) {
 		err = syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if err == nil {
 			return file, nil
 		}
-		held := errors.Is(err, syscall.EWOULDBLOCK)
-		if !held && !errors.Is(err, syscall.EINTR) || held && (s.stuck || time.Now().After(end)) {
+		busy := errors.Is(err, syscall.EWOULDBLOCK)
+		if !busy && !errors.Is(err, syscall.EINTR) || busy && (s.lockFailed || time.Now().After(end)) {
 			file.Close()
 			return nil, fmt.Errorf("%s: %w", file.Name(), err)
 		}
@@ -159,10 +167,10 @@
 	return os.OpenFile(filepath.Join(s.dir, ".lock"), os.O_CREATE|os.O_RDWR, 0o600)
 }
 
-// passing reports whether an error of a file system may be over a while later.
-func passing(err error) bool {
-	for _, one := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
-		if errors.Is(err, one) {
+// isTransient reports whether a file system error is likely to go away by itself.
+func isTransient(err error) bool {
+	for _, transient := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EIO, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOMEM} {
+		if errors.Is(err, transient) {
 			return true
 		}
 	}
@@ -170,98 +178,98 @@
 }
 
 func (s *Files) path(k core.Key) string {
-	sum := sha256.Sum256([]byte(s.class[k.Class] + ":" + k.Token))
+	sum := sha256.Sum256([]byte(s.classNames[k.Class] + ":" + k.Token))
 	return filepath.Join(s.dir, hex.EncodeToString(sum[:16]))
 }
 
-// get gives the value of a key that has not expired, nil = none, and the size of the file that is there. A spoilt file
-// is an error until life has passed since it was written: what it held may have run.
-func (s *Files) get(path string, life time.Duration) ([]byte, int, error) {
-	b, err := os.ReadFile(path)
+// load returns the value of a key that has not expired, or nil if there is none, and the size of the file that exists.
+// A corrupt file is an error until life has passed since it was written, because the key it held may have been run.
+func (s *Files) load(path string, life time.Duration) ([]byte, int, error) {
+	file, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
 	}
 	if err != nil {
 		return nil, 0, err
 	}
-	switch until := expiry(b); {
+	switch until := expiry(file); {
 	case until == 0:
 		info, err := os.Stat(path)
 		if err != nil {
-			return nil, len(b), err
+			return nil, len(file), err
 		}
-		// The system stamps a file by the wall clock, which may have been stepped since: the shorter age counts.
+		// The file system uses the wall clock, which may have been stepped since: the smaller of both ages counts.
 		if written := info.ModTime(); min(s.now().Sub(written), time.Since(written)) < life {
-			return nil, len(b), fmt.Errorf("%s: %d bytes are no key", path, len(b))
+			return nil, len(file), fmt.Errorf("%s: corrupt key file of %d bytes", path, len(file))
 		}
-		return nil, len(b), nil
+		return nil, len(file), nil
 	case until <= s.now().UnixNano():
-		return nil, len(b), nil
+		return nil, len(file), nil
 	}
-	return b[expiryLen:], len(b), nil
+	return file[expiryBytes:], len(file), nil
 }
 
-// expiry gives a file's, in Unix ns; 0 = it is spoilt: too short, or zeros, as a disk that went down with its machine
-// may leave it.
+// expiry returns the expiry of a file in Unix ns, or 0 if the file is corrupt: too short, or filled with zeros, as a
+// power failure may leave it.
 func expiry(file []byte) int64 {
-	if len(file) < expiryLen {
+	if len(file) < expiryBytes {
 		return 0
 	}
 	return int64(binary.BigEndian.Uint64(file))
 }
 
-// put replaces a key's file, of size was, whole.
-func (s *Files) put(path string, value []byte, life time.Duration, was int) error {
+// save replaces the file of a key, whose previous size is oldSize bytes.
+func (s *Files) save(path string, value []byte, life time.Duration, oldSize int) error {
 	file := binary.BigEndian.AppendUint64(nil, uint64(s.now().Add(life).UnixNano()))
 	file = append(file, value...)
-	next := path + unfinished
-	if err := os.WriteFile(next, file, 0o600); err != nil {
+	temp := path + unfinishedSuffix
+	if err := os.WriteFile(temp, file, 0o600); err != nil {
 		return err
 	}
-	if err := os.Rename(next, path); err != nil {
+	if err := os.Rename(temp, path); err != nil {
 		return err
 	}
-	s.used += int64(len(file) - was)
+	s.usedBytes += int64(len(file) - oldSize)
 	return nil
 }
 
-// Claim asks for a key.
+// Claim queues a claim of a key. It returns false if the queue is full.
 func (s *Files) Claim(p core.Piece) bool {
-	k, sum, life := p.Key, p.Sum, p.Life
-	return s.do(func(err error) {
+	key, sum, life := p.Key, p.Sum, p.Life
+	return s.enqueue(func(err error) {
 		state, result := core.ClaimDown, []byte(nil)
-		if err == nil { // else it is told in the log already
-			if state, result, err = s.claim(s.path(k), sum, life); err != nil {
+		if err == nil { // otherwise withLock has logged it
+			if state, result, err = s.claim(s.path(key), sum, life); err != nil {
 				s.log.Warn("store", "do", "claim", "err", err)
 				state = core.ClaimDown
 			}
 		}
-		s.sink(core.Claimed{Key: k, State: state, Result: result})
+		s.sink(core.Claimed{Key: key, State: state, Result: result})
 	})
 }
 
 func (s *Files) claim(path string, sum [32]byte, life time.Duration) (core.Claim, []byte, error) {
-	mine := value(markClaim, sum, []byte(s.owner))
-	old, was, err := s.get(path, life)
+	mine := encodeValue(markClaim, sum, []byte(s.owner))
+	current, size, err := s.load(path, life)
 	if err != nil {
 		return core.ClaimDown, nil, err
 	}
-	if old != nil {
-		return read(old, mine)
+	if current != nil {
+		return interpretValue(current, mine)
 	}
-	if s.used > s.bound {
-		return core.ClaimDown, nil, fmt.Errorf("%d bytes of keys, %d at most", s.used, s.bound)
+	if s.usedBytes > s.maxBytes {
+		return core.ClaimDown, nil, fmt.Errorf("the keys take %d bytes, the limit is %d", s.usedBytes, s.maxBytes)
 	}
-	if err := s.put(path, mine, life, was); err != nil {
+	if err := s.save(path, mine, life, size); err != nil {
 		return core.ClaimDown, nil, err
 	}
 	return core.ClaimWon, nil, nil
 }
 
-// Holds implements core.Store: a claim is this process's until it gives it up or it expires.
+// Holds implements core.Store. A claim belongs to this process until it is released or expires.
 func (s *Files) Holds() bool { return true }
 
-// Finish replaces this server's claim by the end of its run. Nothing waits for that.
+// Finish replaces this process's claim by the outcome of the run. No event follows.
 func (s *Files) Finish(k core.Key, sum [32]byte, ok bool, result []byte, life time.Duration) bool {
 	mark := byte(markFailed)
 	if !ok {
@@ -269,49 +277,49 @@
 	} else {
 		mark = markDone
 	}
-	end := value(mark, sum, result)
-	s.replace(k, "finish", func(path string, was int) error { return s.put(path, end, max(life, time.Second), was) })
+	end := encodeValue(mark, sum, result)
+	s.replace(k, "finish", func(path string, was int) error { return s.save(path, end, max(life, time.Second), was) })
 	return false
 }
 
-// Release gives up this server's claim on what never ran.
+// Release removes this process's claim on a request that never ran.
 func (s *Files) Release(k core.Key) {
 	s.replace(k, "release", func(path string, was int) error {
-		s.used -= int64(was)
+		s.usedBytes -= int64(was)
 		return os.Remove(path)
 	})
 }
 
-// replace changes a key only while it is this server's claim. A change that finds no room is lost: a result
-// that is not shared leaves its repeats in the other process without an answer until their deadline.
-func (s *Files) replace(k core.Key, what string, change func(path string, was int) error) {
-	lost := func() { s.log.Warn("store", "do", what, "err", "no room") }
-	var end job
+// replace changes a key only while it holds this process's claim. A change that finds no room in the queue is
+// dropped: repeats at the other process then get no answer until their deadline, because the result is not shared.
+func (s *Files) replace(k core.Key, operation string, change func(path string, size int) error) {
+	logDropped := func() { s.log.Warn("store", "do", operation, "err", "the queue is full") }
+	var end lockedJob
 	end = func(unlocked error) {
 		path := s.path(k)
-		old, was, err := s.get(path, spoiltFor)
-		switch mine := err == nil && len(old) >= 1+sumLen && old[0] == markClaim && string(old[1+sumLen:]) == s.owner; {
-		case !mine: // nobody else makes it so
+		current, size, err := s.load(path, corruptFileTTL)
+		switch mine := err == nil && len(current) >= 1+hexSumLen && current[0] == markClaim && string(current[1+hexSumLen:]) == s.owner; {
+		case !mine: // no other process writes a claim with this owner
 		case unlocked == nil:
-			err = change(path, was)
-		case len(s.ends) < waiting:
-			s.ends = append(s.ends, end)
+			err = change(path, size)
+		case len(s.pendingEnds) < queueLimit:
+			s.pendingEnds = append(s.pendingEnds, end)
 		default:
-			lost()
+			logDropped()
 		}
 		if err != nil {
-			s.log.Warn("store", "do", what, "err", err)
+			s.log.Warn("store", "do", operation, "err", err)
 		}
 	}
-	if !s.do(end) {
-		lost()
+	if !s.enqueue(end) {
+		logDropped()
 	}
 }
 
-// sweep removes what has expired, and what a process left half written, and counts the bytes anew. A spoilt file stays
-// for long: what it held may have run.
+// sweep removes expired files and unfinished files, and counts the bytes again. A corrupt file stays for
+// corruptFileTTL, because the key it held may have been run.
 func (s *Files) sweep(err error) {
-	if err != nil { // no lock
+	if err != nil { // the lock was not taken
 		return
 	}
 	entries, err := os.ReadDir(s.dir)
@@ -320,25 +328,25 @@
 		return
 	}
 	now := s.now()
-	s.used = 0
+	s.usedBytes = 0
 	for _, e := range entries {
 		name := e.Name()
 		if strings.HasPrefix(name, ".") {
 			continue
 		}
 		path := filepath.Join(s.dir, name)
-		b, err := os.ReadFile(path)
+		file, err := os.ReadFile(path)
 		if err != nil {
 			continue
 		}
-		until := expiry(b)
+		until := expiry(file)
 		if info, err := e.Info(); until == 0 && err == nil {
-			until = info.ModTime().Add(spoiltFor).UnixNano()
+			until = info.ModTime().Add(corruptFileTTL).UnixNano()
 		}
-		if strings.HasSuffix(name, unfinished) || until <= now.UnixNano() {
+		if strings.HasSuffix(name, unfinishedSuffix) || until <= now.UnixNano() {
 			os.Remove(path)
 			continue
 		}
-		s.used += int64(len(b))
+		s.usedBytes += int64(len(file))
 	}
 }
--- a/internal/store/files_test.go
+++ b/internal/store/files_test.go
@@ -14,8 +14,8 @@
 	"larchscale/internal/core"
 )
 
-// twoProcesses opens two stores on one directory, as two processes of one server in a replacement, on a clock
-// that the test moves.
+// twoProcesses opens two stores on one directory, like the two processes of a server while one replaces the other,
+// with a clock that the test advances.
 func twoProcesses(t *testing.T, bound int64) (a, b *Files, events chan core.Event, clock *atomic.Int64) {
 	t.Helper()
 	dir := t.TempDir()
@@ -29,13 +29,13 @@
 		}
 		s.now = func() time.Time { return time.Unix(0, clock.Load()) }
 		ctx, stop := context.WithCancel(context.Background())
-		over := make(chan struct{})
+		stopped := make(chan struct{})
 		t.Cleanup(func() {
 			stop()
-			<-over
+			<-stopped
 		})
 		go func() {
-			defer close(over)
+			defer close(stopped)
 			s.Run(ctx)
 		}()
 		return s
@@ -51,17 +51,17 @@
 	return (<-events).(core.Claimed)
 }
 
-// settle waits until what was queued on s is done.
-func settle(s *Files) {
+// waitForQueue waits until the work queued on s is done.
+func waitForQueue(s *Files) {
 	done := make(chan struct{})
-	for !s.do(func(error) { close(done) }) {
+	for !s.enqueue(func(error) { close(done) }) {
 	}
 	<-done
 }
 
-// A keyed write claimed by one process is not run by the other: it is told that the other has it, then the
-// result, and a body that differs is told so.
-func TestFilesKeepOneWriteOverTwoProcesses(t *testing.T) {
+// Checks that a keyed write claimed by one process is not run by the other, which learns of the claim, then of the
+// result, and that a different body under the same key is reported as a conflict.
+func TestFilesKeyClaimedByOneOfTwoProcesses(t *testing.T) {
 	old, next, events, clock := twoProcesses(t, 1<<20)
 	k, sum, other := core.Key{Class: 1, Token: "t1"}, [32]byte{1}, [32]byte{2}
 	for _, step := range []struct {
@@ -74,12 +74,12 @@
 		}
 	}
 	old.Finish(k, sum, true, []byte("booked"), 10*time.Second)
-	settle(old)
+	waitForQueue(old)
 	if got := claim(t, next, events, k, sum); got.State != core.ClaimDone || string(got.Result) != "booked" {
 		t.Fatalf("after the old one finished: %v %q", got.State, got.Result)
 	}
-	next.Release(k) // not its claim: nothing changes
-	settle(next)
+	next.Release(k) // owned by the other process: nothing changes
+	waitForQueue(next)
 	if got := claim(t, next, events, k, sum); got.State != core.ClaimDone {
 		t.Fatalf("after a release by another: %v", got.State)
 	}
@@ -89,8 +89,9 @@
 	}
 }
 
-// A failed run is told as failed to the other process; a released claim of what never ran frees the key.
-func TestFilesFailedAndReleased(t *testing.T) {
+// Checks that a failed run is reported as failed to the other process and that releasing the claim of a request that
+// never ran frees its key.
+func TestFilesFailedRunAndReleasedClaim(t *testing.T) {
 	old, next, events, _ := twoProcesses(t, 1<<20)
 	sum := [32]byte{3}
 	failed, released := core.Key{Class: 1, Token: "f"}, core.Key{Class: 1, Token: "r"}
@@ -98,7 +99,7 @@
 	claim(t, old, events, released, sum)
 	old.Finish(failed, sum, false, []byte("ignored"), time.Second)
 	old.Release(released)
-	settle(old)
+	waitForQueue(old)
 	if got := claim(t, next, events, failed, sum); got.State != core.ClaimFailed {
 		t.Fatalf("a failed run: %v", got.State)
 	}
@@ -107,8 +108,8 @@
 	}
 }
 
-// Past its bound of bytes the store refuses new claims; what expired is swept and makes room again.
-func TestFilesBound(t *testing.T) {
+// Checks that the store refuses new claims beyond its size limit, and that a sweep of expired files makes room again.
+func TestFilesSizeLimit(t *testing.T) {
 	old, _, events, clock := twoProcesses(t, 200)
 	sum := [32]byte{4}
 	n := 0
@@ -122,15 +123,15 @@
 	}
 	clock.Add(int64(time.Minute))
 	done := make(chan struct{})
-	old.do(func(err error) { old.sweep(err); close(done) })
+	old.enqueue(func(err error) { old.sweep(err); close(done) })
 	<-done
 	if got := claim(t, old, events, core.Key{Class: 0, Token: "z"}, sum); got.State != core.ClaimWon {
 		t.Fatalf("after the sweep: %v", got.State)
 	}
 }
 
-// stand has somebody hold the directory's lock, as a process does that is stopped with it, until go on is called.
-func stand(t *testing.T, s *Files) (goOn func()) {
+// holdLock holds the directory lock, like a process that is stopped while it has it, until goOn is called.
+func holdLock(t *testing.T, s *Files) (goOn func()) {
 	t.Helper()
 	lock, err := os.OpenFile(filepath.Join(s.dir, ".lock"), os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
@@ -143,8 +144,8 @@
 	return func() { lock.Close() }
 }
 
-// A process that is stopped with the directory's lock held has the other one refuse what is claimed, soon, and run none
-// of it; the ends of its runs are shared once the lock is free. Then claims go on.
+// Checks that claims are refused without long waits while the other process is stopped with the directory lock held,
+// that ends of runs are stored once the lock is free, and that claims then succeed again.
 func TestFilesWhileTheOtherProcessHoldsTheLock(t *testing.T) {
 	old, next, events, _ := twoProcesses(t, 1<<20)
 	sum := [32]byte{1}
@@ -154,8 +155,8 @@
 			t.Fatalf("claim of %s: %v", k.Token, got.State)
 		}
 	}
-	settle(old) // no sweep of it is under way
-	goOn := stand(t, next)
+	waitForQueue(old) // its first sweep is over
+	goOn := holdLock(t, next)
 	began := time.Now()
 	for i := range 100 {
 		if got := claim(t, next, events, core.Key{Class: 1, Token: string(rune('A' + i))}, sum); got.State != core.ClaimDown {
@@ -168,24 +169,25 @@
 	next.Finish(ran, sum, true, []byte("booked"), 10*time.Second)
 	next.Finish(failed, sum, false, nil, 10*time.Second)
 	next.Release(free)
-	for i := range 2 * waiting { // what was refused is released, and takes no room from the ends of runs
+	for i := range 2 * queueLimit { // releasing refused claims must not displace pending ends of runs
 		next.Release(core.Key{Class: 1, Token: string(rune('A' + i))})
-		settle(next)
+		waitForQueue(next)
 	}
 	goOn()
 	for k, want := range map[core.Key]core.Claim{ran: core.ClaimDone, failed: core.ClaimFailed, free: core.ClaimWon} {
-		settle(next) // it comes after the ends
+		waitForQueue(next) // runs after the pending ends
 		if got := claim(t, old, events, k, sum); got.State != want {
 			t.Errorf("%s: %v, want %v", k.Token, got.State, want)
 		}
 	}
 }
 
-// What is queued when the store ends is done: the last run of a process that leaves is known to the next one.
-func TestFilesDoWhatWasAskedBeforeTheEnd(t *testing.T) {
+// Checks that work queued when the store stops is completed, so that the successor knows the last run of the old
+// process.
+func TestFilesCompleteQueuedWorkOnStop(t *testing.T) {
 	old, next, events, _ := twoProcesses(t, 1<<20)
 	k, sum := core.Key{Class: 1, Token: "last"}, [32]byte{1}
-	last, err := OpenFiles(old.dir, "n1-last", old.class, 1<<20, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
+	last, err := OpenFiles(old.dir, "n1-last", old.classNames, 1<<20, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,96 +203,98 @@
 	}
 }
 
-// A queue that is full refuses a claim, and keeps no key for it; what was taken before is answered, each once.
+// Checks that a full queue refuses a claim and leaves no trace of its key, and that every claim accepted before is
+// answered exactly once.
 func TestFilesQueueFull(t *testing.T) {
 	_, next, events, _ := twoProcesses(t, 1<<20)
-	got := make(chan core.Event, waiting)
-	slow, err := OpenFiles(next.dir, "n1-slow", next.class, 1<<20, func(e core.Event) { got <- e }, slog.New(slog.DiscardHandler))
+	got := make(chan core.Event, queueLimit)
+	slow, err := OpenFiles(next.dir, "n1-slow", next.classNames, 1<<20, func(e core.Event) { got <- e }, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	slow.now = next.now
 	sum, key := [32]byte{1}, func(i int) core.Key { return core.Key{Class: 1, Token: string(rune('A' + i))} }
-	for i := range waiting {
+	for i := range queueLimit {
 		if !slow.Claim(core.Piece{Key: key(i), Sum: sum, Life: 10 * time.Second}) {
 			t.Fatalf("no room for claim %d", i)
 		}
 	}
-	if slow.Claim(core.Piece{Key: key(waiting), Sum: sum, Life: 10 * time.Second}) {
+	if slow.Claim(core.Piece{Key: key(queueLimit), Sum: sum, Life: 10 * time.Second}) {
 		t.Fatal("a claim beyond the queue's room was taken")
 	}
-	slow.Release(key(waiting)) // waits for nothing
+	slow.Release(key(queueLimit)) // must not block
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		slow.Run(ctx)
 	}()
 	defer func() {
 		stop()
-		<-over
+		<-stopped
 	}()
-	for range waiting {
+	for range queueLimit {
 		if e := (<-got).(core.Claimed); e.State != core.ClaimWon {
 			t.Errorf("%q: %v", e.Key.Token, e.State)
 		}
 	}
-	if got := claim(t, next, events, key(waiting), sum); got.State != core.ClaimWon {
+	if got := claim(t, next, events, key(queueLimit), sum); got.State != core.ClaimWon {
 		t.Errorf("the claim that found no room: %v", got.State)
 	}
 }
 
-// A file that is spoilt refuses its own key alone, as long as what it held may have run, over sweeps; then the key is free.
-func TestFilesSpoilt(t *testing.T) {
+// Checks that a corrupt file blocks only its own key, for as long as that key may have been run and across sweeps,
+// and that the key is free afterwards.
+func TestFilesCorruptFileBlocksOnlyItsKey(t *testing.T) {
 	sum := [32]byte{1}
 	whole := binary.BigEndian.AppendUint64(nil, uint64(time.Unix(1_000_005, 0).UnixNano()))
 	for name, c := range map[string]struct {
 		spoil func(path string) error
-		after core.Claim // once its life is over
+		after core.Claim // result of a claim once its lifetime has passed
 	}{
-		"empty":               {func(path string) error { return os.WriteFile(path, nil, 0o600) }, core.ClaimWon},
-		"short":               {func(path string) error { return os.WriteFile(path, whole[:7], 0o600) }, core.ClaimWon},
-		"zeros":               {func(path string) error { return os.WriteFile(path, make([]byte, 80), 0o600) }, core.ClaimWon},
-		"no value":            {func(path string) error { return os.WriteFile(path, whole, 0o600) }, core.ClaimWon},
-		"half a value":        {func(path string) error { return os.WriteFile(path, append(whole, "c00"...), 0o600) }, core.ClaimWon},
-		"a directory":         {func(path string) error { return os.Mkdir(path, 0o700) }, core.ClaimDown},
-		"no room for the new": {func(path string) error { return os.MkdirAll(filepath.Join(path+unfinished, "x"), 0o700) }, core.ClaimDown},
+		"empty":                                {func(path string) error { return os.WriteFile(path, nil, 0o600) }, core.ClaimWon},
+		"short":                                {func(path string) error { return os.WriteFile(path, whole[:7], 0o600) }, core.ClaimWon},
+		"zeros":                                {func(path string) error { return os.WriteFile(path, make([]byte, 80), 0o600) }, core.ClaimWon},
+		"no value":                             {func(path string) error { return os.WriteFile(path, whole, 0o600) }, core.ClaimWon},
+		"truncated value":                      {func(path string) error { return os.WriteFile(path, append(whole, "c00"...), 0o600) }, core.ClaimWon},
+		"a directory":                          {func(path string) error { return os.Mkdir(path, 0o700) }, core.ClaimDown},
+		"the temporary file cannot be written": {func(path string) error { return os.MkdirAll(filepath.Join(path+unfinishedSuffix, "x"), 0o700) }, core.ClaimDown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, next, events, clock := twoProcesses(t, 1<<20)
-			k, other := core.Key{Class: 1, Token: "spoilt"}, core.Key{Class: 1, Token: "other"}
+			k, other := core.Key{Class: 1, Token: "corrupt"}, core.Key{Class: 1, Token: "other"}
 			path := next.path(k)
 			if err := c.spoil(path); err != nil {
 				t.Fatal(err)
 			}
-			os.Chtimes(path, time.Time{}, next.now()) // it is not there in one of the cases
+			os.Chtimes(path, time.Time{}, next.now()) // the file does not exist in one of the cases
 			sweep := func() {
 				done := make(chan struct{})
-				next.do(func(err error) { next.sweep(err); close(done) })
+				next.enqueue(func(err error) { next.sweep(err); close(done) })
 				<-done
 			}
 			for range 2 {
 				if got := claim(t, next, events, k, sum); got.State != core.ClaimDown {
-					t.Errorf("its key: %v", got.State)
+					t.Errorf("claim of the corrupt key: %v", got.State)
 				}
 				sweep()
 				if got := claim(t, next, events, other, sum); got.State != core.ClaimWon {
-					t.Errorf("another key: %v", got.State)
+					t.Errorf("claim of another key: %v", got.State)
 				}
 			}
-			clock.Add(int64(11 * time.Second)) // a claim of these tests lives for 10 s
+			clock.Add(int64(11 * time.Second)) // claims in these tests live for 10 s
 			if got := claim(t, next, events, k, sum); got.State != c.after {
-				t.Errorf("once its life is over: %v, want %v", got.State, c.after)
+				t.Errorf("after the lifetime: %v, want %v", got.State, c.after)
 			}
 		})
 	}
 }
 
-// A claim that a process left half written is no claim, and in nobody's way.
-func TestFilesHalfWritten(t *testing.T) {
+// Checks that an unfinished file left by a process does not count as a claim and does not prevent one.
+func TestFilesUnfinishedFileIsIgnored(t *testing.T) {
 	_, next, events, _ := twoProcesses(t, 1<<20)
 	k := core.Key{Class: 1, Token: "k"}
-	if err := os.WriteFile(next.path(k)+unfinished, []byte("half"), 0o600); err != nil {
+	if err := os.WriteFile(next.path(k)+unfinishedSuffix, []byte("half"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got := claim(t, next, events, k, [32]byte{1}); got.State != core.ClaimWon {
@@ -298,30 +302,31 @@
 	}
 }
 
-// A run that ends after the window of its key, with no life left for its result, is told all the same to who asks just
-// then, and expires.
-func TestFilesLateEnd(t *testing.T) {
+// Checks that the result of a run that ends after its key's window, with no lifetime left, is still returned to a
+// request that arrives right after it, and then expires.
+func TestFilesResultAfterWindow(t *testing.T) {
 	old, next, events, clock := twoProcesses(t, 1<<20)
 	for _, life := range []time.Duration{0, -time.Minute} {
 		k, sum := core.Key{Class: 1, Token: life.String()}, [32]byte{1}
 		claim(t, old, events, k, sum)
 		old.Finish(k, sum, true, []byte("late"), life)
-		settle(old)
+		waitForQueue(old)
 		if got := claim(t, next, events, k, sum); got.State != core.ClaimDone || string(got.Result) != "late" {
-			t.Errorf("a life of %v: %v %q", life, got.State, got.Result)
+			t.Errorf("lifetime %v: %v %q", life, got.State, got.Result)
 		}
 		clock.Add(int64(2 * time.Second))
 		if got := claim(t, next, events, k, sum); got.State != core.ClaimWon {
-			t.Errorf("a life of %v, 2 s later: %v", life, got.State)
+			t.Errorf("lifetime %v, 2 s later: %v", life, got.State)
 		}
 	}
 }
 
-// A directory that is not there, as it could not be made at the start, is made with the first claim that can have it.
-func TestADirectoryThatComesLater(t *testing.T) {
+// Checks that a directory that could not be created at the start is created by the first claim that can, and which
+// errors count as transient.
+func TestFilesDirectoryCreatedLater(t *testing.T) {
 	a, b, events, _ := twoProcesses(t, 1<<20)
-	settle(a)
-	settle(b)
+	waitForQueue(a)
+	waitForQueue(b)
 	if err := os.RemoveAll(a.dir); err != nil {
 		t.Fatal(err)
 	}
@@ -333,11 +338,11 @@
 		t.Errorf("the other process's: %v", got.State)
 	}
 	for _, err := range []error{syscall.ENOSPC, syscall.EIO, syscall.EMFILE} {
-		if !passing(&os.PathError{Op: "mkdir", Err: err}) {
-			t.Errorf("%v does not pass", err)
+		if !isTransient(&os.PathError{Op: "mkdir", Err: err}) {
+			t.Errorf("%v is not transient", err)
 		}
 	}
-	if passing(nil) || passing(syscall.EACCES) || passing(syscall.ENOTDIR) {
-		t.Error("what does not pass does")
+	if isTransient(nil) || isTransient(syscall.EACCES) || isTransient(syscall.ENOTDIR) {
+		t.Error("a permanent error counts as transient")
 	}
 }
--- a/internal/store/redis.go
+++ b/internal/store/redis.go
@@ -1,5 +1,5 @@
-// Package store shares the table of keys between servers, by Redis: a keyed request that may come to any of
-// them runs on one. The core's interface for it is core.Store.
+// Package store implements core.Store, the table of claimed keys shared between servers or processes, so that a keyed
+// request that may reach any of them runs on one only. It has an implementation in Redis and one in a directory.
 package store
 
 import (
@@ -20,67 +20,67 @@
 	"larchscale/internal/core"
 )
 
-// Options is the operator's table [store].
+// Options is the table [store] of the operator's configuration.
 type Options struct {
 	Redis     string `toml:"redis"`      // "host:port"; empty = no shared store
-	Prefix    string `toml:"prefix"`     // of all keys
-	TimeoutMs int    `toml:"timeout_ms"` // for one command; a store that takes longer counts as down
+	Prefix    string `toml:"prefix"`     // prefix of all keys in Redis
+	TimeoutMs int    `toml:"timeout_ms"` // for one command; a store that takes longer counts as unavailable
 }
 
-// Defaults is what holds where the operator's file says nothing.
+// Defaults returns the options that apply where the operator's file sets none.
 func Defaults() Options { return Options{Prefix: "larchscale:", TimeoutMs: 250} }
 
 const (
-	lanes   = 8   // goroutines; all that concerns one key goes through one of them, in order
-	waiting = 256 // commands a lane may have waiting: with no room the store counts as down
-	tries   = 4   // of a result: a lost one leaves its repeats elsewhere without an answer
+	workerCount    = 8   // worker goroutines; all commands for one key go through one of them, in order
+	queueLimit     = 256 // queue limit of each worker; when it is reached the store counts as unavailable
+	finishAttempts = 4   // attempts to store a result; if it is lost, repeats on other servers get no answer
 )
 
-// A value is a mark, the hex sum of the body, and a claim's owner or a run's result.
+// A value consists of a mark, the body's checksum in hex, and the owner of a claim or the result of a run.
 const (
 	markClaim  = 'c'
 	markDone   = 'd'
 	markFailed = 'f'
-	sumLen     = 64
+	hexSumLen  = 64
 )
 
-// Owner names one process of a server in its claims. The platform's settings do not do: the processes of a
-// replacement are started with the same, and each would take the other's claims for its own.
+// Owner returns an identifier of this process for its claims. The server's name from the settings is not enough: both
+// processes of a replacement have the same one, and each would take the other's claims for its own.
 func Owner(server string) string {
 	return fmt.Sprintf("%s-%d-%016x", server, os.Getpid(), rand.Uint64())
 }
 
-// Redis is a core.Store.
+// Redis implements core.Store in a Redis server.
 type Redis struct {
-	opt   Options
-	owner string // of this process: another of the same server may have run what it claimed
-	class []string
-	sink  func(core.Event)
-	log   *slog.Logger
-	db    *redis.Client
-	lane  [lanes]chan func()
-	seed  maphash.Seed
+	options    Options
+	owner      string // identifies this process; another process of the same server may have run what it claimed
+	classNames []string
+	sink       func(core.Event)
+	log        *slog.Logger
+	client     *redis.Client
+	queues     [workerCount]chan func()
+	seed       maphash.Seed
 }
 
-// New makes a store that tells sink what became of claims; class names the classes in keys.
+// New returns a store that passes the answers to claims to sink. class lists the class names used in keys.
 func New(opt Options, owner string, class []string, sink func(core.Event), log *slog.Logger) *Redis {
 	timeout := time.Duration(opt.TimeoutMs) * time.Millisecond
-	s := &Redis{opt: opt, owner: owner, class: class, sink: sink, log: log, seed: maphash.MakeSeed(),
-		db: redis.NewClient(&redis.Options{Addr: opt.Redis, DialTimeout: timeout, ReadTimeout: timeout,
-			WriteTimeout: timeout, PoolSize: lanes, MaxRetries: -1, DisableIdentity: true, Protocol: 2,
+	s := &Redis{options: opt, owner: owner, classNames: class, sink: sink, log: log, seed: maphash.MakeSeed(),
+		client: redis.NewClient(&redis.Options{Addr: opt.Redis, DialTimeout: timeout, ReadTimeout: timeout,
+			WriteTimeout: timeout, PoolSize: workerCount, MaxRetries: -1, DisableIdentity: true, Protocol: 2,
 			ContextTimeoutEnabled: true})}
-	for i := range s.lane {
-		s.lane[i] = make(chan func(), waiting)
+	for i := range s.queues {
+		s.queues[i] = make(chan func(), queueLimit)
 	}
 	return s
 }
 
-// Run works until ctx ends, and then does what was asked before.
+// Run processes the queues until ctx ends, and then completes the work that is already queued.
 func (s *Redis) Run(ctx context.Context) {
-	defer s.db.Close()
-	var all sync.WaitGroup
-	for _, lane := range s.lane {
-		all.Go(func() {
+	defer s.client.Close()
+	var workers sync.WaitGroup
+	for _, lane := range s.queues {
+		workers.Go(func() {
 			for {
 				select {
 				case f := <-lane:
@@ -94,17 +94,19 @@
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 }
 
-func (s *Redis) key(k core.Key) string { return s.opt.Prefix + s.class[k.Class] + ":" + k.Token }
+func (s *Redis) redisKey(k core.Key) string {
+	return s.options.Prefix + s.classNames[k.Class] + ":" + k.Token
+}
 
-// do queues work on a key; false = no room.
-func (s *Redis) do(k core.Key, f func(ctx context.Context, key string)) bool {
-	key := s.key(k)
+// enqueue queues work on a key. It returns false if the queue is full.
+func (s *Redis) enqueue(k core.Key, f func(ctx context.Context, key string)) bool {
+	key := s.redisKey(k)
 	select {
-	case s.lane[maphash.String(s.seed, key)%lanes] <- func() {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.opt.TimeoutMs)*time.Millisecond)
+	case s.queues[maphash.String(s.seed, key)%workerCount] <- func() {
+		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(s.options.TimeoutMs)*time.Millisecond)
 		defer cancel()
 		f(ctx, key)
 	}:
@@ -114,10 +116,10 @@
 	}
 }
 
-// Claim asks for a key.
+// Claim queues a claim of a key. It returns false if the queue is full.
 func (s *Redis) Claim(p core.Piece) bool {
 	k, sum, life := p.Key, p.Sum, p.Life
-	return s.do(k, func(ctx context.Context, key string) {
+	return s.enqueue(k, func(ctx context.Context, key string) {
 		state, result, err := s.claim(ctx, key, sum, life)
 		if err != nil {
 			s.log.Warn("store", "do", "claim", "err", err)
@@ -128,54 +130,54 @@
 }
 
 func (s *Redis) claim(ctx context.Context, key string, sum [32]byte, life time.Duration) (core.Claim, []byte, error) {
-	mine := value(markClaim, sum, []byte(s.owner))
+	mine := encodeValue(markClaim, sum, []byte(s.owner))
 	for range 2 {
-		err := s.db.SetArgs(ctx, key, mine, redis.SetArgs{Mode: "NX", TTL: life}).Err()
+		err := s.client.SetArgs(ctx, key, mine, redis.SetArgs{Mode: "NX", TTL: life}).Err()
 		if err == nil {
 			return core.ClaimWon, nil, nil
 		}
 		if !errors.Is(err, redis.Nil) {
 			return core.ClaimDown, nil, err
 		}
-		old, err := s.db.Get(ctx, key).Bytes()
-		if errors.Is(err, redis.Nil) { // it was released just now
+		current, err := s.client.Get(ctx, key).Bytes()
+		if errors.Is(err, redis.Nil) { // released between the two commands
 			continue
 		}
 		if err != nil {
 			return core.ClaimDown, nil, err
 		}
-		state, result, err := read(old, mine)
+		state, result, err := interpretValue(current, mine)
 		return state, result, err
 	}
 	return core.ClaimOther, nil, nil
 }
 
-// read tells what a value that is there means to one who would write mine.
-func read(old, mine []byte) (core.Claim, []byte, error) {
+// interpretValue interprets the value current of a key for a process whose claim would have the value mine.
+func interpretValue(current, mine []byte) (core.Claim, []byte, error) {
 	switch {
-	case len(old) < 1+sumLen:
-		return core.ClaimDown, nil, fmt.Errorf("a value of %d bytes is none of ours", len(old))
-	case !bytes.Equal(old[1:1+sumLen], mine[1:1+sumLen]):
+	case len(current) < 1+hexSumLen:
+		return core.ClaimDown, nil, fmt.Errorf("unexpected value of %d bytes", len(current))
+	case !bytes.Equal(current[1:1+hexSumLen], mine[1:1+hexSumLen]):
 		return core.ClaimOff, nil, nil
-	case bytes.Equal(old, mine): // an answer of the store was lost, and nothing ran here
+	case bytes.Equal(current, mine): // an earlier answer of the store was lost and nothing ran here
 		return core.ClaimWon, nil, nil
-	case old[0] == markDone:
-		return core.ClaimDone, old[1+sumLen:], nil
-	case old[0] == markFailed:
+	case current[0] == markDone:
+		return core.ClaimDone, current[1+hexSumLen:], nil
+	case current[0] == markFailed:
 		return core.ClaimFailed, nil, nil
 	}
 	return core.ClaimOther, nil, nil
 }
 
-func value(mark byte, sum [32]byte, rest []byte) []byte {
+func encodeValue(mark byte, sum [32]byte, rest []byte) []byte {
 	out := hex.AppendEncode([]byte{mark}, sum[:])
 	return append(out, rest...)
 }
 
-// Holds implements core.Store: a claim is this process's until it gives it up or it expires.
+// Holds implements core.Store. A claim belongs to this process until it is released or expires.
 func (s *Redis) Holds() bool { return true }
 
-// Finish replaces this server's claim by the end of its run. Nothing waits for that.
+// Finish replaces this process's claim by the outcome of the run. No event follows.
 func (s *Redis) Finish(k core.Key, sum [32]byte, ok bool, result []byte, life time.Duration) bool {
 	mark := byte(markFailed)
 	if ok {
@@ -183,30 +185,30 @@
 	} else {
 		result = nil
 	}
-	end := value(mark, sum, result)
-	s.replace(k, "finish", tries, func(ctx context.Context, tx redis.Pipeliner, key string) {
+	end := encodeValue(mark, sum, result)
+	s.replace(k, "finish", finishAttempts, func(ctx context.Context, tx redis.Pipeliner, key string) {
 		tx.Set(ctx, key, end, max(life, time.Second))
 	})
 	return false
 }
 
-// Release gives up this server's claim on what never ran.
+// Release removes this process's claim on a request that never ran.
 func (s *Redis) Release(k core.Key) {
 	s.replace(k, "release", 1, func(ctx context.Context, tx redis.Pipeliner, key string) { tx.Del(ctx, key) })
 }
 
-// replace changes a key only while it is this server's claim.
-func (s *Redis) replace(k core.Key, what string, left int, change func(context.Context, redis.Pipeliner, string)) {
-	taken := s.do(k, func(ctx context.Context, key string) {
-		err := s.db.Watch(ctx, func(tx *redis.Tx) error {
-			old, err := tx.Get(ctx, key).Bytes()
+// replace changes a key only while it holds this process's claim.
+func (s *Redis) replace(k core.Key, operation string, triesLeft int, change func(context.Context, redis.Pipeliner, string)) {
+	queued := s.enqueue(k, func(ctx context.Context, key string) {
+		err := s.client.Watch(ctx, func(tx *redis.Tx) error {
+			current, err := tx.Get(ctx, key).Bytes()
 			if errors.Is(err, redis.Nil) {
 				return nil
 			}
 			if err != nil {
 				return err
 			}
-			if len(old) < 1+sumLen || old[0] != markClaim || string(old[1+sumLen:]) != s.owner {
+			if len(current) < 1+hexSumLen || current[0] != markClaim || string(current[1+hexSumLen:]) != s.owner {
 				return nil
 			}
 			_, err = tx.TxPipelined(ctx, func(p redis.Pipeliner) error {
@@ -217,13 +219,13 @@
 		}, key)
 		switch {
 		case err == nil:
-		case left > 1:
-			time.AfterFunc(time.Duration(s.opt.TimeoutMs)*time.Millisecond, func() { s.replace(k, what, left-1, change) })
+		case triesLeft > 1:
+			time.AfterFunc(time.Duration(s.options.TimeoutMs)*time.Millisecond, func() { s.replace(k, operation, triesLeft-1, change) })
 		default:
-			s.log.Warn("store", "do", what, "err", err)
+			s.log.Warn("store", "do", operation, "err", err)
 		}
 	})
-	if !taken {
-		s.log.Warn("store", "do", what, "err", "too much is waiting")
+	if !queued {
+		s.log.Warn("store", "do", operation, "err", "the queue is full")
 	}
 }
--- a/internal/store/redis_test.go
+++ b/internal/store/redis_test.go
@@ -15,19 +15,19 @@
 	"larchscale/internal/store"
 )
 
-// box is one server's view of the store.
-type box struct {
+// testServer is one server's client of the store.
+type testServer struct {
 	t      *testing.T
-	db     *store.Redis
+	store  *store.Redis
 	events chan core.Event
 }
 
-func open(t *testing.T, addr, owner string, timeoutMs int) *box {
+func open(t *testing.T, addr, owner string, timeoutMs int) *testServer {
 	opt := store.Defaults()
 	opt.Redis, opt.TimeoutMs = addr, timeoutMs
-	b := &box{t: t, events: make(chan core.Event, 8)}
-	b.db = store.New(opt, owner, []string{"book"}, func(e core.Event) { b.events <- e }, slog.New(slog.DiscardHandler))
-	go b.db.Run(t.Context())
+	b := &testServer{t: t, events: make(chan core.Event, 8)}
+	b.store = store.New(opt, owner, []string{"book"}, func(e core.Event) { b.events <- e }, slog.New(slog.DiscardHandler))
+	go b.store.Run(t.Context())
 	return b
 }
 
@@ -36,10 +36,10 @@
 	sum = [32]byte{1}
 )
 
-// claim expects what a claim of the key comes to.
-func (b *box) claim(sum [32]byte, state core.Claim, result string) {
+// claim checks the answer to a claim of the key.
+func (b *testServer) claim(sum [32]byte, state core.Claim, result string) {
 	b.t.Helper()
-	if !b.db.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute}) {
+	if !b.store.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute}) {
 		b.t.Fatal("no room")
 	}
 	want := core.Claimed{Key: key, State: state}
@@ -51,50 +51,51 @@
 	}
 }
 
-const patient = 10000 // no claim of these tests takes so long, on any machine
+const longTimeoutMs = 10000 // milliseconds; no command of these tests takes so long on any machine
 
-// One server has a key; the others learn so, and then the end of its run. What never ran can be given up.
-func TestAKeyIsClaimedOnce(t *testing.T) {
+// Checks that one server claims a key, that others learn of the claim and then of the result, and that the claim of a
+// request that never ran can be released.
+func TestRedisKeyClaimedOnce(t *testing.T) {
 	stand := scenario.Listen(t)
 	s := keystore.New()
 	go s.Serve(stand.Listener())
-	a, b := open(t, stand.Addr, "a", patient), open(t, stand.Addr, "b", patient)
+	a, b := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", longTimeoutMs)
 	a.claim(sum, core.ClaimWon, "")
 	b.claim(sum, core.ClaimOther, "")
 	b.claim([32]byte{2}, core.ClaimOff, "")
-	b.db.Release(key) // not its own: nothing happens
+	b.store.Release(key) // owned by the other server: nothing happens
 	b.claim(sum, core.ClaimOther, "")
-	a.claim(sum, core.ClaimWon, "") // its own, as after a lost answer
-	a.db.Release(key)
-	a.claim(sum, core.ClaimWon, "") // one key's commands keep their order
-	a.db.Release(key)
+	a.claim(sum, core.ClaimWon, "") // its own claim, as after a lost answer
+	a.store.Release(key)
+	a.claim(sum, core.ClaimWon, "") // commands for one key stay in order
+	a.store.Release(key)
 	a.claim([32]byte{2}, core.ClaimWon, "")
-	a.db.Finish(key, [32]byte{2}, true, []byte("ride 7"), time.Minute)
+	a.store.Finish(key, [32]byte{2}, true, []byte("ride 7"), time.Minute)
 	a.claim([32]byte{2}, core.ClaimDone, "ride 7")
 	b.claim([32]byte{2}, core.ClaimDone, "ride 7")
-	a.db.Release(key) // it ran: it stays
+	a.store.Release(key) // the request ran, so its key stays
 	a.claim([32]byte{2}, core.ClaimDone, "ride 7")
 }
 
-// A run that failed is failed everywhere.
-func TestAFailedRunIsShared(t *testing.T) {
+// Checks that a failed run is reported as failed to every server.
+func TestRedisFailedRunIsShared(t *testing.T) {
 	stand := scenario.Listen(t)
 	s := keystore.New()
 	go s.Serve(stand.Listener())
-	a, b := open(t, stand.Addr, "a", patient), open(t, stand.Addr, "b", patient)
+	a, b := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", longTimeoutMs)
 	a.claim(sum, core.ClaimWon, "")
-	a.db.Finish(key, sum, false, nil, time.Minute)
+	a.store.Finish(key, sum, false, nil, time.Minute)
 	a.claim(sum, core.ClaimFailed, "")
 	b.claim(sum, core.ClaimFailed, "")
 }
 
-// A store that is away, does not answer, or holds what is not ours tells nothing; once it is back, keys and
-// claims go on.
-func TestAStoreThatDiesIsLateAndComesBack(t *testing.T) {
+// Checks that claims are answered as unavailable while the store is down, does not answer or holds an unknown value,
+// and that keys and claims work again once it is back.
+func TestRedisUnavailableAndRecovered(t *testing.T) {
 	stand := scenario.Listen(t)
 	s := keystore.New()
 	go s.Serve(stand.Listener())
-	a, quick := open(t, stand.Addr, "a", patient), open(t, stand.Addr, "b", 100)
+	a, quick := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", 100)
 	a.claim(sum, core.ClaimWon, "")
 	s.Silence(true)
 	quick.claim(sum, core.ClaimDown, "")
@@ -108,24 +109,25 @@
 	}
 	defer l.Close()
 	go s.Serve(l)
-	b := open(t, stand.Addr, "b", patient)
+	b := open(t, stand.Addr, "b", longTimeoutMs)
 	b.claim(sum, core.ClaimOther, "")
 	s.Put("larchscale:book:k", "odd")
 	b.claim(sum, core.ClaimDown, "")
 }
 
-// What is queued when the store ends is done: the last run of a server that leaves is known to the others.
-func TestRedisDoesWhatWasAskedBeforeTheEnd(t *testing.T) {
+// Checks that work queued when the store stops is completed, so that other servers know the last run of a server that
+// leaves.
+func TestRedisCompletesQueuedWorkOnStop(t *testing.T) {
 	stand := scenario.Listen(t)
 	s := keystore.New()
 	go s.Serve(stand.Listener())
 	opt := store.Defaults()
-	opt.Redis, opt.TimeoutMs = stand.Addr, patient
+	opt.Redis, opt.TimeoutMs = stand.Addr, longTimeoutMs
 	last := store.New(opt, "last", []string{"book"}, func(core.Event) {}, slog.New(slog.DiscardHandler))
 	last.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute})
-	last.Finish(key, sum, true, []byte("ride 7"), -time.Minute) // a run that ended after its window: no life is left
+	last.Finish(key, sum, true, []byte("ride 7"), -time.Minute) // the run ended after its window, with no lifetime left
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	last.Run(ctx)
-	open(t, stand.Addr, "b", patient).claim(sum, core.ClaimDone, "ride 7")
+	open(t, stand.Addr, "b", longTimeoutMs).claim(sum, core.ClaimDone, "ride 7")
 }
