--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -18,16 +18,16 @@
 	"larchscale/internal/core"
 )
 
-// sweepInterval is the interval at which expired claims and results are removed and the bytes on disk are counted again.
-// A sweep reads every file: sweeping every second doubled the duration of a run of 102,400 requests.
+// sweepInterval is the interval at which expired claims and results are removed and the bytes on disk are counted
+// again. A sweep reads every file: sweeping every second doubled the duration of a run of 102,400 requests.
 const sweepInterval = 20 * time.Second
 
 const (
 	maxLockWait       = 250 * time.Millisecond // longest wait for the directory lock, until a first attempt has failed
 	lockPollInterval  = time.Millisecond       // polling interval while waiting for the directory lock
 	endsRetryInterval = 100 * time.Millisecond // retry interval for the lock while ends of runs are pending
-	// corruptFileTTL is the age at which a corrupt file is removed. A claim whose own lifetime has passed since the file was
-	// written replaces it earlier.
+	// corruptFileTTL is the age at which a corrupt file is removed. A claim whose own lifetime has passed since the
+	// file was written replaces it earlier.
 	corruptFileTTL   = 24 * time.Hour
 	expiryBytes      = 8      // length of the expiry at the start of a file
 	unfinishedSuffix = ".new" // suffix of files that are still being written
@@ -43,15 +43,16 @@
 // claim is refused if the queue has no room, and answered with core.ClaimDown if the lock does not become free in
 // time, for example because the other process was stopped while holding it. Ends of runs wait until the lock is free.
 type Files struct {
-	dir         string
-	owner       string
-	classNames  []string
-	maxBytes    int64 // size limit of the directory in bytes; new claims are refused beyond it
-	usedBytes   int64 // bytes at the last sweep plus those written since; used by the goroutine of Run only
-	sink        func(core.Event)
-	log         *slog.Logger
-	queue       chan lockedJob
-	pendingEnds []lockedJob      // waiting for the lock, at most queueLimit; used by the goroutine of Run only, like lockFailed
+	dir        string
+	owner      string
+	classNames []string
+	maxBytes   int64 // size limit of the directory in bytes; new claims are refused beyond it
+	usedBytes  int64 // bytes at the last sweep plus those written since; used by the goroutine of Run only
+	sink       func(core.Event)
+	log        *slog.Logger
+	queue      chan lockedJob
+	// Ends of runs that wait for the lock, at most queueLimit. Like lockFailed, used by the goroutine of Run only.
+	pendingEnds []lockedJob
 	lockFailed  bool             // the last attempt to take the lock failed
 	now         func() time.Time // the clock shared by all processes of the directory
 }
@@ -138,8 +139,8 @@
 	f(nil)
 }
 
-// acquireLock takes the directory lock; closing the returned file releases it. It waits up to maxLockWait, but makes only
-// one attempt if the previous call failed, so that callers get their refusals without delay meanwhile.
+// acquireLock takes the directory lock; closing the returned file releases it. It waits up to maxLockWait, but makes
+// only one attempt if the previous call failed, so that callers get their refusals without delay meanwhile.
 func (s *Files) acquireLock() (*os.File, error) {
 	file, err := s.openLock()
 	if errors.Is(err, fs.ErrNotExist) { // the directory could not be created at the start, or was removed since
@@ -182,9 +183,10 @@
 	return filepath.Join(s.dir, hex.EncodeToString(sum[:16]))
 }
 
-// load returns the value of a key that has not expired, or nil if there is none, and the size of the file that exists.
-// A corrupt file is an error until life has passed since it was written, because the key it held may have been run.
-func (s *Files) load(path string, life time.Duration) ([]byte, int, error) {
+// load returns the value of a key that has not expired, or nil if there is none, and the size of the file that
+// exists. A corrupt file is an error until lifetime has passed since it was written, because the key it held may have
+// been run.
+func (s *Files) load(path string, lifetime time.Duration) ([]byte, int, error) {
 	file, err := os.ReadFile(path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, 0, nil
@@ -199,7 +201,7 @@
 			return nil, len(file), err
 		}
 		// The file system uses the wall clock, which may have been stepped since: the smaller of both ages counts.
-		if written := info.ModTime(); min(s.now().Sub(written), time.Since(written)) < life {
+		if written := info.ModTime(); min(s.now().Sub(written), time.Since(written)) < lifetime {
 			return nil, len(file), fmt.Errorf("%s: corrupt key file of %d bytes", path, len(file))
 		}
 		return nil, len(file), nil
@@ -219,8 +221,8 @@
 }
 
 // save replaces the file of a key, whose previous size is oldSize bytes.
-func (s *Files) save(path string, value []byte, life time.Duration, oldSize int) error {
-	file := binary.BigEndian.AppendUint64(nil, uint64(s.now().Add(life).UnixNano()))
+func (s *Files) save(path string, value []byte, lifetime time.Duration, oldSize int) error {
+	file := binary.BigEndian.AppendUint64(nil, uint64(s.now().Add(lifetime).UnixNano()))
 	file = append(file, value...)
 	temp := path + unfinishedSuffix
 	if err := os.WriteFile(temp, file, 0o600); err != nil {
@@ -235,11 +237,11 @@
 
 // Claim queues a claim of a key. It returns false if the queue is full.
 func (s *Files) Claim(p core.Piece) bool {
-	key, sum, life := p.Key, p.Sum, p.Life
+	key, sum, lifetime := p.Key, p.Sum, p.Life
 	return s.enqueue(func(err error) {
 		state, result := core.ClaimDown, []byte(nil)
 		if err == nil { // otherwise withLock has logged it
-			if state, result, err = s.claim(s.path(key), sum, life); err != nil {
+			if state, result, err = s.claim(s.path(key), sum, lifetime); err != nil {
 				s.log.Warn("store", "do", "claim", "err", err)
 				state = core.ClaimDown
 			}
@@ -248,9 +250,9 @@
 	})
 }
 
-func (s *Files) claim(path string, sum [32]byte, life time.Duration) (core.Claim, []byte, error) {
+func (s *Files) claim(path string, sum [32]byte, lifetime time.Duration) (core.Claim, []byte, error) {
 	mine := encodeValue(markClaim, sum, []byte(s.owner))
-	current, size, err := s.load(path, life)
+	current, size, err := s.load(path, lifetime)
 	if err != nil {
 		return core.ClaimDown, nil, err
 	}
@@ -260,7 +262,7 @@
 	if s.usedBytes > s.maxBytes {
 		return core.ClaimDown, nil, fmt.Errorf("the keys take %d bytes, the limit is %d", s.usedBytes, s.maxBytes)
 	}
-	if err := s.save(path, mine, life, size); err != nil {
+	if err := s.save(path, mine, lifetime, size); err != nil {
 		return core.ClaimDown, nil, err
 	}
 	return core.ClaimWon, nil, nil
@@ -270,7 +272,7 @@
 func (s *Files) Holds() bool { return true }
 
 // Finish replaces this process's claim by the outcome of the run. No event follows.
-func (s *Files) Finish(k core.Key, sum [32]byte, ok bool, result []byte, life time.Duration) bool {
+func (s *Files) Finish(k core.Key, sum [32]byte, ok bool, result []byte, lifetime time.Duration) bool {
 	mark := byte(markFailed)
 	if !ok {
 		result = nil
@@ -278,14 +280,14 @@
 		mark = markDone
 	}
 	end := encodeValue(mark, sum, result)
-	s.replace(k, "finish", func(path string, was int) error { return s.save(path, end, max(life, time.Second), was) })
+	s.replace(k, "finish", func(path string, oldSize int) error { return s.save(path, end, max(lifetime, time.Second), oldSize) })
 	return false
 }
 
 // Release removes this process's claim on a request that never ran.
 func (s *Files) Release(k core.Key) {
-	s.replace(k, "release", func(path string, was int) error {
-		s.usedBytes -= int64(was)
+	s.replace(k, "release", func(path string, oldSize int) error {
+		s.usedBytes -= int64(oldSize)
 		return os.Remove(path)
 	})
 }
--- a/internal/store/files_test.go
+++ b/internal/store/files_test.go
@@ -16,14 +16,14 @@
 
 // twoProcesses opens two stores on one directory, like the two processes of a server while one replaces the other,
 // with a clock that the test advances.
-func twoProcesses(t *testing.T, bound int64) (a, b *Files, events chan core.Event, clock *atomic.Int64) {
+func twoProcesses(t *testing.T, maxBytes int64) (a, b *Files, events chan core.Event, clock *atomic.Int64) {
 	t.Helper()
 	dir := t.TempDir()
 	events = make(chan core.Event, 16)
 	clock = &atomic.Int64{}
 	clock.Store(time.Unix(1_000_000, 0).UnixNano())
 	open := func(owner string) *Files {
-		s, err := OpenFiles(dir, owner, []string{"quote", "book"}, bound, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
+		s, err := OpenFiles(dir, owner, []string{"quote", "book"}, maxBytes, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -220,7 +220,7 @@
 		}
 	}
 	if slow.Claim(core.Piece{Key: key(queueLimit), Sum: sum, Life: 10 * time.Second}) {
-		t.Fatal("a claim beyond the queue's room was taken")
+		t.Fatal("a claim beyond the queue's limit was accepted")
 	}
 	slow.Release(key(queueLimit)) // must not block
 	ctx, stop := context.WithCancel(context.Background())
@@ -239,7 +239,7 @@
 		}
 	}
 	if got := claim(t, next, events, key(queueLimit), sum); got.State != core.ClaimWon {
-		t.Errorf("the claim that found no room: %v", got.State)
+		t.Errorf("the claim that was refused before: %v", got.State)
 	}
 }
 
@@ -247,16 +247,16 @@
 // and that the key is free afterwards.
 func TestFilesCorruptFileBlocksOnlyItsKey(t *testing.T) {
 	sum := [32]byte{1}
-	whole := binary.BigEndian.AppendUint64(nil, uint64(time.Unix(1_000_005, 0).UnixNano()))
-	for name, c := range map[string]struct {
-		spoil func(path string) error
-		after core.Claim // result of a claim once its lifetime has passed
+	expiryOnly := binary.BigEndian.AppendUint64(nil, uint64(time.Unix(1_000_005, 0).UnixNano()))
+	for name, tc := range map[string]struct {
+		corrupt func(path string) error
+		after   core.Claim // result of a claim once its lifetime has passed
 	}{
 		"empty":                                {func(path string) error { return os.WriteFile(path, nil, 0o600) }, core.ClaimWon},
-		"short":                                {func(path string) error { return os.WriteFile(path, whole[:7], 0o600) }, core.ClaimWon},
+		"short":                                {func(path string) error { return os.WriteFile(path, expiryOnly[:7], 0o600) }, core.ClaimWon},
 		"zeros":                                {func(path string) error { return os.WriteFile(path, make([]byte, 80), 0o600) }, core.ClaimWon},
-		"no value":                             {func(path string) error { return os.WriteFile(path, whole, 0o600) }, core.ClaimWon},
-		"truncated value":                      {func(path string) error { return os.WriteFile(path, append(whole, "c00"...), 0o600) }, core.ClaimWon},
+		"no value":                             {func(path string) error { return os.WriteFile(path, expiryOnly, 0o600) }, core.ClaimWon},
+		"truncated value":                      {func(path string) error { return os.WriteFile(path, append(expiryOnly, "c00"...), 0o600) }, core.ClaimWon},
 		"a directory":                          {func(path string) error { return os.Mkdir(path, 0o700) }, core.ClaimDown},
 		"the temporary file cannot be written": {func(path string) error { return os.MkdirAll(filepath.Join(path+unfinishedSuffix, "x"), 0o700) }, core.ClaimDown},
 	} {
@@ -264,7 +264,7 @@
 			_, next, events, clock := twoProcesses(t, 1<<20)
 			k, other := core.Key{Class: 1, Token: "corrupt"}, core.Key{Class: 1, Token: "other"}
 			path := next.path(k)
-			if err := c.spoil(path); err != nil {
+			if err := tc.corrupt(path); err != nil {
 				t.Fatal(err)
 			}
 			os.Chtimes(path, time.Time{}, next.now()) // the file does not exist in one of the cases
@@ -283,8 +283,8 @@
 				}
 			}
 			clock.Add(int64(11 * time.Second)) // claims in these tests live for 10 s
-			if got := claim(t, next, events, k, sum); got.State != c.after {
-				t.Errorf("after the lifetime: %v, want %v", got.State, c.after)
+			if got := claim(t, next, events, k, sum); got.State != tc.after {
+				t.Errorf("after the lifetime: %v, want %v", got.State, tc.after)
 			}
 		})
 	}
@@ -306,17 +306,17 @@
 // request that arrives right after it, and then expires.
 func TestFilesResultAfterWindow(t *testing.T) {
 	old, next, events, clock := twoProcesses(t, 1<<20)
-	for _, life := range []time.Duration{0, -time.Minute} {
-		k, sum := core.Key{Class: 1, Token: life.String()}, [32]byte{1}
+	for _, lifetime := range []time.Duration{0, -time.Minute} {
+		k, sum := core.Key{Class: 1, Token: lifetime.String()}, [32]byte{1}
 		claim(t, old, events, k, sum)
-		old.Finish(k, sum, true, []byte("late"), life)
+		old.Finish(k, sum, true, []byte("late"), lifetime)
 		waitForQueue(old)
 		if got := claim(t, next, events, k, sum); got.State != core.ClaimDone || string(got.Result) != "late" {
-			t.Errorf("lifetime %v: %v %q", life, got.State, got.Result)
+			t.Errorf("lifetime %v: %v %q", lifetime, got.State, got.Result)
 		}
 		clock.Add(int64(2 * time.Second))
 		if got := claim(t, next, events, k, sum); got.State != core.ClaimWon {
-			t.Errorf("lifetime %v, 2 s later: %v", life, got.State)
+			t.Errorf("lifetime %v, 2 s later: %v", lifetime, got.State)
 		}
 	}
 }
--- a/internal/store/redis.go
+++ b/internal/store/redis.go
@@ -118,9 +118,9 @@
 
 // Claim queues a claim of a key. It returns false if the queue is full.
 func (s *Redis) Claim(p core.Piece) bool {
-	k, sum, life := p.Key, p.Sum, p.Life
+	k, sum, lifetime := p.Key, p.Sum, p.Life
 	return s.enqueue(k, func(ctx context.Context, key string) {
-		state, result, err := s.claim(ctx, key, sum, life)
+		state, result, err := s.claim(ctx, key, sum, lifetime)
 		if err != nil {
 			s.log.Warn("store", "do", "claim", "err", err)
 			state = core.ClaimDown
@@ -129,10 +129,10 @@
 	})
 }
 
-func (s *Redis) claim(ctx context.Context, key string, sum [32]byte, life time.Duration) (core.Claim, []byte, error) {
+func (s *Redis) claim(ctx context.Context, key string, sum [32]byte, lifetime time.Duration) (core.Claim, []byte, error) {
 	mine := encodeValue(markClaim, sum, []byte(s.owner))
 	for range 2 {
-		err := s.client.SetArgs(ctx, key, mine, redis.SetArgs{Mode: "NX", TTL: life}).Err()
+		err := s.client.SetArgs(ctx, key, mine, redis.SetArgs{Mode: "NX", TTL: lifetime}).Err()
 		if err == nil {
 			return core.ClaimWon, nil, nil
 		}
@@ -178,7 +178,7 @@
 func (s *Redis) Holds() bool { return true }
 
 // Finish replaces this process's claim by the outcome of the run. No event follows.
-func (s *Redis) Finish(k core.Key, sum [32]byte, ok bool, result []byte, life time.Duration) bool {
+func (s *Redis) Finish(k core.Key, sum [32]byte, ok bool, result []byte, lifetime time.Duration) bool {
 	mark := byte(markFailed)
 	if ok {
 		mark = markDone
@@ -187,7 +187,7 @@
 	}
 	end := encodeValue(mark, sum, result)
 	s.replace(k, "finish", finishAttempts, func(ctx context.Context, tx redis.Pipeliner, key string) {
-		tx.Set(ctx, key, end, max(life, time.Second))
+		tx.Set(ctx, key, end, max(lifetime, time.Second))
 	})
 	return false
 }
--- a/internal/store/redis_test.go
+++ b/internal/store/redis_test.go
@@ -51,15 +51,15 @@
 	}
 }
 
-const longTimeoutMs = 10000 // milliseconds; no command of these tests takes so long on any machine
+const longTimeoutMs = 10000 // no command of these tests takes so long on any machine
 
 // Checks that one server claims a key, that others learn of the claim and then of the result, and that the claim of a
 // request that never ran can be released.
 func TestRedisKeyClaimedOnce(t *testing.T) {
-	stand := scenario.Listen(t)
+	backend := scenario.Listen(t)
 	s := keystore.New()
-	go s.Serve(stand.Listener())
-	a, b := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", longTimeoutMs)
+	go s.Serve(backend.Listener())
+	a, b := open(t, backend.Addr, "a", longTimeoutMs), open(t, backend.Addr, "b", longTimeoutMs)
 	a.claim(sum, core.ClaimWon, "")
 	b.claim(sum, core.ClaimOther, "")
 	b.claim([32]byte{2}, core.ClaimOff, "")
@@ -79,10 +79,10 @@
 
 // Checks that a failed run is reported as failed to every server.
 func TestRedisFailedRunIsShared(t *testing.T) {
-	stand := scenario.Listen(t)
+	backend := scenario.Listen(t)
 	s := keystore.New()
-	go s.Serve(stand.Listener())
-	a, b := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", longTimeoutMs)
+	go s.Serve(backend.Listener())
+	a, b := open(t, backend.Addr, "a", longTimeoutMs), open(t, backend.Addr, "b", longTimeoutMs)
 	a.claim(sum, core.ClaimWon, "")
 	a.store.Finish(key, sum, false, nil, time.Minute)
 	a.claim(sum, core.ClaimFailed, "")
@@ -92,24 +92,24 @@
 // Checks that claims are answered as unavailable while the store is down, does not answer or holds an unknown value,
 // and that keys and claims work again once it is back.
 func TestRedisUnavailableAndRecovered(t *testing.T) {
-	stand := scenario.Listen(t)
+	backend := scenario.Listen(t)
 	s := keystore.New()
-	go s.Serve(stand.Listener())
-	a, quick := open(t, stand.Addr, "a", longTimeoutMs), open(t, stand.Addr, "b", 100)
+	go s.Serve(backend.Listener())
+	a, quick := open(t, backend.Addr, "a", longTimeoutMs), open(t, backend.Addr, "b", 100)
 	a.claim(sum, core.ClaimWon, "")
 	s.Silence(true)
 	quick.claim(sum, core.ClaimDown, "")
 	s.Silence(false)
-	stand.Close()
+	backend.Close()
 	s.Stop()
 	quick.claim(sum, core.ClaimDown, "")
-	l, err := net.Listen("tcp", stand.Addr)
+	l, err := net.Listen("tcp", backend.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
 	go s.Serve(l)
-	b := open(t, stand.Addr, "b", longTimeoutMs)
+	b := open(t, backend.Addr, "b", longTimeoutMs)
 	b.claim(sum, core.ClaimOther, "")
 	s.Put("larchscale:book:k", "odd")
 	b.claim(sum, core.ClaimDown, "")
@@ -118,16 +118,16 @@
 // Checks that work queued when the store stops is completed, so that other servers know the last run of a server that
 // leaves.
 func TestRedisCompletesQueuedWorkOnStop(t *testing.T) {
-	stand := scenario.Listen(t)
+	backend := scenario.Listen(t)
 	s := keystore.New()
-	go s.Serve(stand.Listener())
+	go s.Serve(backend.Listener())
 	opt := store.Defaults()
-	opt.Redis, opt.TimeoutMs = stand.Addr, longTimeoutMs
+	opt.Redis, opt.TimeoutMs = backend.Addr, longTimeoutMs
 	last := store.New(opt, "last", []string{"book"}, func(core.Event) {}, slog.New(slog.DiscardHandler))
 	last.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute})
 	last.Finish(key, sum, true, []byte("ride 7"), -time.Minute) // the run ended after its window, with no lifetime left
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
 	last.Run(ctx)
-	open(t, stand.Addr, "b", longTimeoutMs).claim(sum, core.ClaimDone, "ride 7")
+	open(t, backend.Addr, "b", longTimeoutMs).claim(sum, core.ClaimDone, "ride 7")
 }
