--- a/internal/keeper/batches.go
+++ b/internal/keeper/batches.go
@@ -8,16 +8,16 @@
 	"larchscale/internal/ledger"
 )
 
-// Next gives the oldest batch that is not acknowledged; nil = there is none.
+// Next returns the oldest batch that has not been acknowledged, as encoded bytes; bytes is nil if there is none.
 func (k *Keeper) Next(ctx context.Context) (bytes []byte, s ledger.Sealed, err error) {
-	call := k.do(ctx, func() {
+	callErr := k.runOnLoop(ctx, func() {
 		var ok bool
-		if s, ok = k.book.Next(); ok {
-			bytes, err = k.wal.ReadAt(k.batches[s.Seq])
+		if s, ok = k.ledger.Next(); ok {
+			bytes, err = k.wal.ReadAt(k.batchPositions[s.Seq])
 		}
 	})
-	if call != nil {
-		return nil, s, call
+	if callErr != nil {
+		return nil, s, callErr
 	}
 	if err == nil && bytes != nil && ledger.SumOf(bytes) != s.Hash {
 		err = fmt.Errorf("batch %d: %w", s.Seq, ledger.ErrRecord)
@@ -25,31 +25,31 @@
 	return bytes, s, err
 }
 
-// Acknowledge notes, on the disk, that a batch is the collector's.
+// Acknowledge records durably that the collector has a batch.
 func (k *Keeper) Acknowledge(ctx context.Context, s ledger.Sealed) (err error) {
-	call := k.do(ctx, func() {
-		rec, ok := k.book.ProposeAck(s.Seq, s.Hash)
+	callErr := k.runOnLoop(ctx, func() {
+		rec, ok := k.ledger.ProposeAck(s.Seq, s.Hash)
 		if !ok {
-			return // it is, already
+			return // already acknowledged
 		}
-		if _, err = k.promise(rec); err == nil {
-			delete(k.batches, s.Seq)
+		if _, err = k.commitRecord(rec); err == nil {
+			delete(k.batchPositions, s.Seq)
 		}
 	})
-	return errors.Join(call, err)
+	return errors.Join(callErr, err)
 }
 
-// Sealed tells, by a value, that there may be a new batch.
-func (k *Keeper) Sealed() <-chan struct{} { return k.moved }
+// Sealed returns a channel that receives a value when a new batch may be available.
+func (k *Keeper) Sealed() <-chan struct{} { return k.sealed }
 
-// Totals gives the sums over the ledger's life.
+// Totals returns the sums over the whole life of the ledger.
 func (k *Keeper) Totals(ctx context.Context) (t ledger.Totals, err error) {
-	call := k.do(ctx, func() { t, err = k.book.Totals() })
-	return t, errors.Join(call, err)
+	callErr := k.runOnLoop(ctx, func() { t, err = k.ledger.Totals() })
+	return t, errors.Join(callErr, err)
 }
 
-// PeriodStates gives what is sealed of each period.
+// PeriodStates returns the digest and the encoded sealed state of each period.
 func (k *Keeper) PeriodStates(ctx context.Context) (digests []ledger.Digest, states [][]byte, err error) {
-	err = k.do(ctx, func() { digests, states = k.book.PeriodStates() })
+	err = k.runOnLoop(ctx, func() { digests, states = k.ledger.PeriodStates() })
 	return digests, states, err
 }
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -8,11 +8,11 @@
 	"larchscale/internal/ledger"
 )
 
-// What the core's loop spends on an entry.
+// Measures the time that the core's loop spends on one entry.
 func BenchmarkBook(b *testing.B) {
 	for _, mode := range []string{Relaxed, Strict} {
 		b.Run(mode, func(b *testing.B) {
-			k, err := Open(faultfs.New(1), options(mode, Gap), site("n1"), quiet)
+			k, err := Open(faultfs.New(1), testOptions(mode, Gap), testConfig("n1"), discardLog)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/keeper/files.go
+++ b/internal/keeper/files.go
@@ -19,44 +19,45 @@
 	"larchscale/internal/wal"
 )
 
-const identityName = "identity.json"
+const identityFileName = "identity.json"
 
-// ErrForeign is a directory that holds another box's ledger.
+// ErrForeign reports a directory that holds the ledger of another server.
 var ErrForeign = errors.New("it is another box's ledger")
 
-// ErrNone is a directory without a ledger.
-var ErrNone = errors.New("there is no ledger")
+// ErrNone reports a directory without a ledger.
+var ErrNone = errors.New("the directory holds no ledger")
 
-func owner(box string, id ledger.ID) (o wal.Owner) {
-	h := sha256.Sum256(append([]byte(box+"\x00"), id[:]...))
-	copy(o[:], h[:])
-	return o
+func logOwner(server string, id ledger.ID) (owner wal.Owner) {
+	h := sha256.Sum256(append([]byte(server+"\x00"), id[:]...))
+	copy(owner[:], h[:])
+	return owner
 }
 
-// readIdentity says whose ledger the directory holds.
-func readIdentity(fsys wal.FS) (box string, id ledger.ID, err error) {
-	text, err := readSmall(fsys, identityName)
+// readIdentity returns the server and the ID of the ledger in the directory.
+func readIdentity(fsys wal.FS) (server string, id ledger.ID, err error) {
+	text, err := readSmallFile(fsys, identityFileName)
 	if err != nil {
 		return "", id, err
 	}
-	j := gjson.ParseBytes(text)
-	raw, err := hex.DecodeString(j.Get("ledger").String())
-	if box = j.Get("box").String(); !gjson.ValidBytes(text) || err != nil || len(raw) != len(id) || box == "" {
-		return "", id, fmt.Errorf("%s: damaged", identityName)
+	fields := gjson.ParseBytes(text)
+	raw, err := hex.DecodeString(fields.Get("ledger").String())
+	if server = fields.Get("box").String(); !gjson.ValidBytes(text) || err != nil || len(raw) != len(id) || server == "" {
+		return "", id, fmt.Errorf("%s: damaged", identityFileName)
 	}
-	if v := j.Get("version").Int(); v != 1 {
-		return "", id, fmt.Errorf("%s: version %d: %w", identityName, v, ledger.ErrNewer)
+	if v := fields.Get("version").Int(); v != 1 {
+		return "", id, fmt.Errorf("%s: version %d: %w", identityFileName, v, ledger.ErrNewer)
 	}
 	copy(id[:], raw)
-	return box, id, nil
+	return server, id, nil
 }
 
-// identity reads whose ledger the directory holds, or begins one in an empty directory.
-func identity(fsys wal.FS, box string) (ledger.ID, error) {
-	have, id, err := readIdentity(fsys)
+// openIdentity returns the ID of the ledger in the directory, and creates one in an empty directory. It fails if the
+// directory belongs to another server.
+func openIdentity(fsys wal.FS, server string) (ledger.ID, error) {
+	owner, id, err := readIdentity(fsys)
 	switch {
-	case err == nil && have != box:
-		return id, fmt.Errorf("%w: %s, not %s", ErrForeign, have, box)
+	case err == nil && owner != server:
+		return id, fmt.Errorf("%w: %s, not %s", ErrForeign, owner, server)
 	case err == nil:
 		return id, nil
 	case !errors.Is(err, fs.ErrNotExist):
@@ -68,21 +69,21 @@
 	}
 	for _, n := range names {
 		if strings.HasSuffix(n, ".wal") {
-			return id, fmt.Errorf("%s is missing beside %s", identityName, n)
+			return id, fmt.Errorf("%s is missing although %s exists", identityFileName, n)
 		}
 	}
 	if _, err := rand.Read(id[:]); err != nil {
 		return id, err
 	}
-	text, err := json.Marshal(map[string]any{"version": 1, "box": box, "ledger": id})
+	text, err := json.Marshal(map[string]any{"version": 1, "box": server, "ledger": id})
 	if err != nil {
 		return id, err
 	}
-	return id, replace(fsys, identityName, append(text, '\n'))
+	return id, replaceFile(fsys, identityFileName, append(text, '\n'))
 }
 
-// replace writes a file whole or not at all.
-func replace(fsys wal.FS, name string, text []byte) error {
+// replaceFile writes a file atomically: after a crash it has either its old or its new content.
+func replaceFile(fsys wal.FS, name string, text []byte) error {
 	f, err := fsys.Create(name + ".new")
 	if err != nil {
 		return err
@@ -99,16 +100,16 @@
 	return fsys.SyncDir()
 }
 
-const maxSmall = 8 << 10
+const maxSmallFileBytes = 8 << 10
 
-// readSmall reads a small file.
-func readSmall(fsys wal.FS, name string) ([]byte, error) {
+// readSmallFile reads a file of less than maxSmallFileBytes bytes.
+func readSmallFile(fsys wal.FS, name string) ([]byte, error) {
 	f, err := fsys.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	b := make([]byte, maxSmall)
+	b := make([]byte, maxSmallFileBytes)
 	n, err := f.ReadAt(b, 0)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
@@ -119,10 +120,10 @@
 	return b[:n], nil
 }
 
-// Read gives the book of a directory as it is on the disk now, beside a box that writes to it or not, and the
-// bytes of the batches that wait. It changes nothing.
+// Read returns the state of the ledger on disk and the bytes of its pending batches. It changes nothing and may run
+// while the server writes to the directory.
 func Read(fsys wal.FS, opt Options) (*ledger.Book, [][]byte, error) {
-	box, id, err := readIdentity(fsys)
+	server, id, err := readIdentity(fsys)
 	if errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, ErrNone
 	}
@@ -130,58 +131,59 @@
 		return nil, nil, err
 	}
 	for try := 0; ; try++ {
-		b := ledger.NewBook(box, id, opt.policy(), 0)
+		book := ledger.NewBook(server, id, opt.policy(), 0)
 		batches := map[uint64]wal.Position{}
-		l, _, err := wal.Open(wal.Options{FS: fsys, Owner: owner(box, id)}, func(_ uint64, at wal.Position, rec []byte) error {
-			return replay(b, batches, at, rec)
+		log, _, err := wal.Open(wal.Options{FS: fsys, Owner: logOwner(server, id)}, func(_ uint64, at wal.Position, rec []byte) error {
+			return replay(book, batches, at, rec)
 		})
-		if errors.Is(err, fs.ErrNotExist) && try < 10 { // the box has begun a new segment meanwhile
+		if errors.Is(err, fs.ErrNotExist) && try < 10 { // the server has rolled to a new segment meanwhile
 			continue
 		}
 		if err != nil {
 			return nil, nil, err
 		}
-		b.SetPolicy(opt.policy())
-		defer l.Close()
+		book.SetPolicy(opt.policy())
+		defer log.Close()
 		var out [][]byte
-		for _, s := range b.Pending() {
-			bytes, err := l.ReadAt(batches[s.Seq])
+		for _, s := range book.Pending() {
+			bytes, err := log.ReadAt(batches[s.Seq])
 			if err != nil {
 				return nil, nil, fmt.Errorf("batch %d: %w", s.Seq, err)
 			}
 			out = append(out, bytes)
 		}
-		return b, out, nil
+		return book, out, nil
 	}
 }
 
-// BatchEnding is how the names of batch files end.
+// BatchEnding is the suffix of batch file names.
 const BatchEnding = ".batch"
 
-// BatchName is the file name of a batch: box, ledger and sequence, in an order that sorts.
-func BatchName(b *ledger.Batch) string {
-	return fmt.Sprintf("%s-%s-%010d%s", url.PathEscape(b.Box), b.Ledger.String()[:12], b.Seq, BatchEnding)
+// BatchName returns the file name of a batch, made of server, ledger and sequence number so that names sort in
+// sequence order.
+func BatchName(batch *ledger.Batch) string {
+	return fmt.Sprintf("%s-%s-%010d%s", url.PathEscape(batch.Box), batch.Ledger.String()[:12], batch.Seq, BatchEnding)
 }
 
-// ErrDiffers is a batch file that is there with other bytes.
-var ErrDiffers = errors.New("it is there with other bytes")
+// ErrDiffers reports an existing batch file with different content.
+var ErrDiffers = errors.New("the file exists with different content")
 
-// WriteBatch writes a batch file, whole or not at all. One that is there already stays.
+// WriteBatch writes a batch file atomically. An existing file is kept; it is an error if its content differs.
 func WriteBatch(fsys wal.FS, name string, bytes []byte) error {
 	f, err := fsys.Open(name)
 	if errors.Is(err, fs.ErrNotExist) {
-		return replace(fsys, name, bytes)
+		return replaceFile(fsys, name, bytes)
 	}
 	if err != nil {
 		return err
 	}
 	defer f.Close()
-	have := make([]byte, len(bytes))
+	existing := make([]byte, len(bytes))
 	size, err := f.Size()
 	if err == nil {
-		_, err = f.ReadAt(have, 0)
+		_, err = f.ReadAt(existing, 0)
 	}
-	if size != int64(len(bytes)) || !slices.Equal(have, bytes) {
+	if size != int64(len(bytes)) || !slices.Equal(existing, bytes) {
 		return fmt.Errorf("%s: %w", name, ErrDiffers)
 	}
 	return err
--- a/internal/keeper/inbox.go
+++ b/internal/keeper/inbox.go
@@ -12,42 +12,43 @@
 	"larchscale/internal/wal"
 )
 
-// The inbox: operators leave corrections as files in the ledger's directory, and the box answers with a file
-// beside each. A correction is taken whole: its file gets its name once it is all there.
+// Operators submit corrections as files in the ledger's directory, called the inbox, and the server answers each with
+// a file of its own. A file appears under its final name only once it is complete, so a correction is never read in
+// part.
 
 const (
-	inEnding  = ".correction"
-	outEnding = ".answer"
-	maxInbox  = 64 // files at a time
+	correctionSuffix = ".correction"
+	answerSuffix     = ".answer"
+	maxInboxFiles    = 64 // files processed in one pass
 )
 
-// Answer is what the box says of a correction.
+// Answer is the server's response to a correction.
 type Answer struct {
-	Booked bool   `json:"booked"` // now or before: under one id it counts once
+	Booked bool   `json:"booked"` // applied now or earlier; an ID is applied once
 	Why    string `json:"why"`
 }
 
-func inboxName(id string) string {
+func correctionFileName(id string) string {
 	h := sha256.Sum256([]byte(id))
 	return fmt.Sprintf("%x", h[:8])
 }
 
-// Submit leaves a correction for the box that owns the directory.
+// Submit writes a correction for the server that owns the directory.
 func Submit(fsys wal.FS, c ledger.Correction) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
 	}
-	name := inboxName(c.ID)
-	if err := fsys.Remove(name + outEnding); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	name := correctionFileName(c.ID)
+	if err := fsys.Remove(name + answerSuffix); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	return replace(fsys, name+inEnding, text)
+	return replaceFile(fsys, name+correctionSuffix, text)
 }
 
-// Answered gives the answer to a correction, if there is one.
+// Answered returns the answer to a correction. ok is false if there is none yet.
 func Answered(fsys wal.FS, id string) (a Answer, ok bool, err error) {
-	text, err := readSmall(fsys, inboxName(id)+outEnding)
+	text, err := readSmallFile(fsys, correctionFileName(id)+answerSuffix)
 	if errors.Is(err, fs.ErrNotExist) {
 		return a, false, nil
 	}
@@ -57,82 +58,84 @@
 	return a, err == nil, err
 }
 
-// takenEnding ends the names of files that say that a batch was taken as a file.
-const takenEnding = ".taken"
+// exportedSuffix is the suffix of files which tell the server that a batch was exported as a file.
+const exportedSuffix = ".taken"
 
-// Taken tells the box that owns the directory that a batch has left it as a file.
+// Taken tells the server that owns the directory that a batch was exported as a file.
 func Taken(fsys wal.FS, s ledger.Sealed) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	return replace(fsys, fmt.Sprintf("%020d%s", s.Seq, takenEnding), text)
+	return replaceFile(fsys, fmt.Sprintf("%020d%s", s.Seq, exportedSuffix), text)
 }
 
-// take acknowledges a batch that has left as a file. One that is out of turn waits.
-func (k *Keeper) take(name string) (done bool) {
-	text, err := readSmall(k.fs, name)
+// acknowledgeExported acknowledges a batch that was exported as a file. It returns false if the file must be
+// processed again, for example because its batch is not next in order.
+func (k *Keeper) acknowledgeExported(name string) (done bool) {
+	text, err := readSmallFile(k.fs, name)
 	var s ledger.Sealed
 	if err != nil || json.Unmarshal(text, &s) != nil {
 		return true
 	}
-	if rec, ok := k.book.ProposeAck(s.Seq, s.Hash); ok {
-		if _, err := k.promise(rec); err != nil {
+	if rec, ok := k.ledger.ProposeAck(s.Seq, s.Hash); ok {
+		if _, err := k.commitRecord(rec); err != nil {
 			return false
 		}
-		delete(k.batches, s.Seq)
+		delete(k.batchPositions, s.Seq)
 		return true
 	}
-	next, ok := k.book.Next()
+	next, ok := k.ledger.Next()
 	return !ok || next.Seq >= s.Seq
 }
 
-// inbox takes what operators left. A correction that cannot be written stays for the next time.
-func (k *Keeper) inbox(now int64) {
+// processInbox processes the files that operators left. A correction that cannot be written is retried in the next
+// pass.
+func (k *Keeper) processInbox(now int64) {
 	names, err := k.fs.List()
 	if err != nil {
 		return
 	}
-	taken := 0
-	for _, n := range names { // sorted: batches are in their order
-		if strings.HasSuffix(n, takenEnding) && k.take(n) {
+	corrections := 0
+	for _, n := range names { // names are sorted, so batches come in order
+		if strings.HasSuffix(n, exportedSuffix) && k.acknowledgeExported(n) {
 			k.fs.Remove(n)
 		}
-		name, ok := strings.CutSuffix(n, inEnding)
-		if !ok || taken >= maxInbox {
+		name, ok := strings.CutSuffix(n, correctionSuffix)
+		if !ok || corrections >= maxInboxFiles {
 			continue
 		}
-		taken++
-		a, err := k.correct(n, now)
+		corrections++
+		answer, err := k.applyCorrection(n, now)
 		if err != nil {
 			k.log.Warn("ledger", "do", "correct", "err", err)
 			continue
 		}
-		text, _ := json.Marshal(a)
-		if err := replace(k.fs, name+outEnding, text); err == nil {
+		text, _ := json.Marshal(answer)
+		if err := replaceFile(k.fs, name+answerSuffix, text); err == nil {
 			k.fs.Remove(n)
 		}
 	}
 }
 
-func (k *Keeper) correct(name string, now int64) (Answer, error) {
-	var c ledger.Correction
-	text, err := readSmall(k.fs, name)
+func (k *Keeper) applyCorrection(name string, now int64) (Answer, error) {
+	var correction ledger.Correction
+	text, err := readSmallFile(k.fs, name)
 	if err != nil {
 		return Answer{Why: err.Error()}, nil
 	}
-	if err := json.Unmarshal(text, &c); err != nil {
+	if err := json.Unmarshal(text, &correction); err != nil {
 		return Answer{Why: err.Error()}, nil
 	}
-	rec, err := k.book.ProposeCorrection(c, now)
+	rec, err := k.ledger.ProposeCorrection(correction, now)
 	if err != nil {
 		return Answer{Why: err.Error()}, nil
 	}
 	if rec != nil {
-		if _, err := k.promise(rec); err != nil {
+		if _, err := k.commitRecord(rec); err != nil {
 			return Answer{}, err
 		}
-		k.log.Info("ledger", "do", "correct", "id", c.ID, "period", c.Period, "stand", c.Stand)
+		k.log.Info("ledger", "do", "correct", "id", correction.ID, "period", correction.Period, "stand", correction.Stand)
 	}
 	return Answer{Booked: true}, nil
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -17,105 +17,106 @@
 )
 
 const (
-	maxQueue   = 4096                   // entries that wait to be written one by one; beyond, they are summed
-	stalled    = 500 * time.Millisecond // an entry that waits longer shows a disk that does not answer
-	spacing    = 100 * time.Microsecond // between two groups in strict mode: under load they grow instead
-	maxDense   = 8192                   // cells of one quarter that have a place each
-	tellEach   = time.Minute            // between two lines of totals
-	choresEach = 250 * time.Millisecond
-	quarter    = 900_000 // ms: entries that are summed lie in one quarter of an hour, and so in one period
+	maxQueuedEntries    = 4096                   // entries queued one by one; further ones are summed
+	stallTimeout        = 500 * time.Millisecond // an entry that waits longer means that the disk does not respond
+	minGroupInterval    = 100 * time.Microsecond // between groups in strict mode; groups grow under load
+	maxDenseSums        = 8192                   // maximum size of the dense table of sums
+	totalsInterval      = time.Minute            // interval of the log line with the totals
+	maintenanceInterval = 250 * time.Millisecond
+	quarterMs           = 900_000 // summed entries lie in the same quarter of an hour, and so in one period
 )
 
-// ErrClosed is a keeper that has ended.
+// ErrClosed is returned by calls after the ledger store has ended.
 var ErrClosed = errors.New("the ledger is closed")
 
-// Keeper owns the book and its log. Book, Flush and Ready are the core's; all else goes to its own goroutine.
+// Keeper owns the in-memory ledger and its log. The core's loop calls Book, Flush and Ready; everything else runs on
+// the goroutine of Run.
 type Keeper struct {
-	opt        Options
-	fs         wal.FS
-	log        *slog.Logger
-	sink       func(core.Event)
-	tenants    []uint16 // stand by the core's tenant
-	classes    []uint16
-	none       uint16 // requests of no stand
-	classCount int    // classes that the book knows
-	began      time.Time
-	start      time.Duration // the core's start, since began
-	wall       func() time.Time
-	offset     atomic.Int64 // wall clock less the time since began, in ns
-	failing    atomic.Bool
-	runs       atomic.Bool
+	opt           Options
+	fs            wal.FS
+	log           *slog.Logger
+	sink          func(core.Event)
+	standOfTenant []uint16 // stand of each tenant of the core
+	classIndex    []uint16
+	noStand       uint16 // stand index of requests without a tenant
+	classCount    int    // classes known to the ledger
+	began         time.Time
+	coreStart     time.Duration // start of the core's clock relative to began
+	wall          func() time.Time
+	offset        atomic.Int64 // wall clock minus the time since began, in ns
+	failing       atomic.Bool
+	started       atomic.Bool
 
-	mu      sync.Mutex
-	queue   []ledger.Entry
-	dense   []ledger.Entry            // sums of one quarter, by stand, class, end and replay
-	used    []int                     // places in dense that hold something
-	denseAt int64                     // the quarter
-	folded  map[foldKey]*ledger.Entry // sums that have no place there
-	ticket  uint64
-	waits   int       // entries in both
-	oldest  time.Time // of them
+	mu            sync.Mutex
+	queue         []ledger.Entry
+	dense         []ledger.Entry           // sums of one quarter, indexed by stand, class, end and replay
+	denseUsed     []int                    // indexes of dense that are in use
+	denseQuarter  int64                    // the quarter that dense covers
+	sparse        map[sumKey]*ledger.Entry // sums that dense does not cover
+	lastTicket    uint64
+	waiting       int       // entries waiting in queue or in sums
+	oldestWaiting time.Time // when the oldest of them was added
 
-	wake  chan struct{}
-	calls chan func()
-	once  sync.Once
-	stop  chan struct{}
-	ended chan struct{}
+	wake      chan struct{}
+	calls     chan func()
+	closeOnce sync.Once
+	stop      chan struct{}
+	ended     chan struct{}
 
-	// Of the goroutine of Run alone.
-	book    *ledger.Book
-	wal     *wal.Log
-	clock   ledger.Clock
-	spare   []ledger.Entry
-	wrote   time.Time // the newest group
-	through uint64    // tickets that are in the book
-	batches map[uint64]wal.Position
-	moved   chan struct{} // a batch was sealed
-	chores  time.Time
-	told    time.Time // the newest line of totals
-	synced  time.Time
-	down    *outage // nil = the log can be written
-	slots   uint64  // writings of the outage slot
-	retry   *backoff.ExponentialBackOff
-	retryAt time.Time
+	// The fields below are used only by the goroutine of Run.
+	ledger          *ledger.Book
+	wal             *wal.Log
+	clock           ledger.Clock
+	spare           []ledger.Entry
+	lastWrite       time.Time // time of the newest group
+	recordedThrough uint64    // newest ticket recorded in the ledger
+	batchPositions  map[uint64]wal.Position
+	sealed          chan struct{} // signals that a batch was sealed
+	lastMaintenance time.Time
+	totalsLogged    time.Time // time of the newest log line with the totals
+	lastSync        time.Time
+	outage          *outage // nil while the log can be written
+	slotWrites      uint64  // number of writes to the outage slot
+	retry           *backoff.ExponentialBackOff
+	retryAt         time.Time
 }
 
-// Attach names who hears that entries are written, and from when on the times of entries count. It is called
-// before Run.
+// Attach sets the receiver of core.Booked events and the start of the core's clock, to which the times of entries are
+// relative. It must be called before Run.
 func (k *Keeper) Attach(sink func(core.Event), start time.Time) {
-	k.sink, k.start = sink, start.Sub(k.began)
+	k.sink, k.coreStart = sink, start.Sub(k.began)
 }
 
-// Run writes until Close. It runs once.
+// Run processes entries until Close is called. Only the first call has an effect.
 func (k *Keeper) Run() {
-	if k.runs.Swap(true) {
+	if k.started.Swap(true) {
 		return
 	}
 	defer close(k.ended)
-	tick := time.NewTicker(min(k.opt.ms(k.opt.WriteMs), k.opt.ms(k.opt.ExportMs), choresEach))
+	tick := time.NewTicker(min(k.opt.milliseconds(k.opt.WriteMs), k.opt.milliseconds(k.opt.ExportMs), maintenanceInterval))
 	defer tick.Stop()
 	for {
 		select {
 		case <-k.wake:
-			if gap := spacing - time.Since(k.wrote); gap > 0 && gap <= spacing {
+			if gap := minGroupInterval - time.Since(k.lastWrite); gap > 0 && gap <= minGroupInterval {
 				time.Sleep(gap)
 			}
 		case <-tick.C:
 		case f := <-k.calls:
 			f()
 		case <-k.stop:
-			k.end()
+			k.shutDown()
 			return
 		}
 		k.write()
-		k.doChores()
+		k.maintain()
 	}
 }
 
-// Close writes what is left and ends the incarnation, also of a keeper that never ran. It waits no longer than ctx:
-// the disk may not answer.
+// Close writes the remaining entries and ends the incarnation, also if Run was never called. It waits no longer than
+// ctx, because the disk may not respond.
 func (k *Keeper) Close(ctx context.Context) error {
-	k.once.Do(func() { close(k.stop) })
+	k.closeOnce.Do(func() { close(k.stop) })
 	go k.Run()
 	select {
 	case <-k.ended:
@@ -125,17 +126,17 @@
 	}
 }
 
-func (k *Keeper) end() {
+func (k *Keeper) shutDown() {
 	k.write()
-	if k.down != nil && k.roll() != nil {
+	if k.outage != nil && k.rollSegment() != nil {
 		return
 	}
-	k.put(k.book.Stop(k.now()), true)
+	k.appendRecord(k.ledger.Stop(k.now()), true)
 	k.wal.Close()
 }
 
-// do has f run by the keeper's goroutine.
-func (k *Keeper) do(ctx context.Context, f func()) error {
+// runOnLoop runs f on the goroutine of Run.
+func (k *Keeper) runOnLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
 	case k.calls <- func() { defer close(done); f() }:
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -21,20 +21,21 @@
 	"larchscale/internal/wal"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-func options(mode, onFailure string) Options {
+func testOptions(mode, onFailure string) Options {
 	o := Defaults()
 	o.Dir, o.Mode, o.OnFailure, o.Period, o.SegmentKB, o.DiskKB, o.ExportMs = "-", mode, onFailure, "hour", 64, 1024, 5000
 	return o
 }
 
-func site(box string) Site {
+func testConfig(box string) Site {
 	return Site{Box: box, Stands: []string{"north", "south"}, Classes: []string{"quote", "book"}, Boot: "x"}
 }
 
-// inBubble runs one draw of a property in a bubble of its own, as a property's own clock must be the real one.
-func inBubble(t *testing.T, f func()) {
+// runInBubble runs one draw of a property in a synctest bubble of its own, because the property's own clock must be the
+// real one.
+func runInBubble(t *testing.T, f func()) {
 	var failed any
 	synctest.Test(t, func(*testing.T) {
 		defer func() { failed = recover() }()
@@ -45,302 +46,302 @@
 	}
 }
 
-// box is a keeper driven step by step, and what it told the core.
-type box struct {
+// testStore is a ledger store that the test drives step by step, and the newest ticket that it confirmed to the core.
+type testStore struct {
 	*Keeper
 	through uint64
 }
 
-func open(fs wal.FS, o Options) (*box, error) {
-	k, err := Open(fs, o, site("n1"), quiet)
+func open(fs wal.FS, o Options) (*testStore, error) {
+	k, err := Open(fs, o, testConfig("n1"), discardLog)
 	if err != nil {
 		return nil, err
 	}
-	b := &box{Keeper: k}
+	b := &testStore{Keeper: k}
 	k.Attach(func(e core.Event) { b.through = e.(core.Booked).Through }, k.began)
 	return b, nil
 }
 
-func (b *box) use(tenant int) {
-	at := time.Since(b.began)
-	b.Book(core.Use{Class: 1, Tenant: tenant, Began: at, Ended: at, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}})
+func (b *testStore) record(tenant int) {
+	now := time.Since(b.began)
+	b.Book(core.Use{Class: 1, Tenant: tenant, Began: now, Ended: now, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}})
 }
 
-// pass lets time go by as Run would.
-func (b *box) pass(d time.Duration) {
-	for ; d > 0; d -= choresEach {
-		time.Sleep(choresEach)
+// advance lets time pass and does the periodic work as Run would.
+func (b *testStore) advance(d time.Duration) {
+	for ; d > 0; d -= maintenanceInterval {
+		time.Sleep(maintenanceInterval)
 		b.write()
-		b.doChores()
+		b.maintain()
 	}
 }
 
-// What was told to be written is booked or named as missing after any end of the process, whatever the disk
-// does, and never anything else: booked + missing lies between what was told and what was used, and nothing
-// waits but what the book says.
+// Checks under random disk faults and process ends that every entry confirmed as written is either recorded or
+// counted as missing: recorded + missing lies between the confirmed and the used entries, and every recorded entry is
+// in a sealed batch or waiting for one.
 func TestKeeperAgainstFaults(t *testing.T) {
 	for _, mode := range []string{Strict, Relaxed} {
 		for _, onFailure := range []string{Refuse, Gap} {
 			for _, syncMs := range []int{0, 1000} {
 				t.Run(fmt.Sprint(mode, onFailure, syncMs), func(t *testing.T) {
-					rapid.Check(t, func(r *rapid.T) { inBubble(t, func() { faults(r, mode, onFailure, syncMs) }) })
+					rapid.Check(t, func(r *rapid.T) { runInBubble(t, func() { checkUnderFaults(r, mode, onFailure, syncMs) }) })
 				})
 			}
 		}
 	}
 }
 
-func faults(t *rapid.T, mode, onFailure string, syncMs int) {
-	o := options(mode, onFailure)
-	o.SyncMs = syncMs
-	d := faultfs.New(rapid.Uint64().Draw(t, "disk"))
-	var b *box
-	var used, told int64 // of the whole life, and up to the last ticket told
-	var before int64     // used before this start
-	var taken []string   // hashes, as a collector keeps them
+func checkUnderFaults(t *rapid.T, mode, onFailure string, syncMs int) {
+	opt := testOptions(mode, onFailure)
+	opt.SyncMs = syncMs
+	disk := faultfs.New(rapid.Uint64().Draw(t, "disk"))
+	var store *testStore
+	var used, confirmed int64 // over the whole life of the ledger, and up to the last confirmed ticket
+	var before int64          // entries before this start
+	var taken []string        // batch hashes that the collector has
 	check := func() ledger.Totals {
-		s, err := b.book.Totals()
-		sum, err2 := s.Sealed.Add(s.Waiting)
-		if err != nil || err2 != nil || sum != s.Booked {
-			t.Fatalf("%+v: %v %v", s, err, err2)
+		totals, err := store.ledger.Totals()
+		sum, err2 := totals.Sealed.Add(totals.Waiting)
+		if err != nil || err2 != nil || sum != totals.Booked {
+			t.Fatalf("%+v: %v %v", totals, err, err2)
 		}
-		return s
+		return totals
 	}
 	start := func() {
 		var err error
-		if b, err = open(d, o); err != nil {
+		if store, err = open(disk, opt); err != nil {
 			t.Fatal(err)
 		}
-		s := check()
-		got := s.Booked[ledger.Requests] + s.Lost
-		if got < told || got > used {
-			t.Fatalf("%d booked, %d missing: told %d, used %d", s.Booked[ledger.Requests], s.Lost, told, used)
+		totals := check()
+		got := totals.Booked[ledger.Requests] + totals.Lost
+		if got < confirmed || got > used {
+			t.Fatalf("%d recorded, %d missing: %d confirmed, %d used", totals.Booked[ledger.Requests], totals.Lost, confirmed, used)
 		}
-		before, used, told = got, got, got
+		before, used, confirmed = got, got, got
 	}
 	start()
-	heal := func() { d.FailWith(nil); d.Room(-1) }
+	heal := func() { disk.FailWith(nil); disk.Room(-1) }
 	t.Repeat(map[string]func(*rapid.T){
 		"use": func(t *rapid.T) {
 			for range rapid.IntRange(1, 40).Draw(t, "n") {
-				b.use(rapid.IntRange(-1, 1).Draw(t, "stand"))
+				store.record(rapid.IntRange(-1, 1).Draw(t, "stand"))
 				used++
 			}
 		},
-		"write": func(*rapid.T) { b.write() },
-		"pass":  func(t *rapid.T) { b.pass(time.Duration(rapid.IntRange(1, 30).Draw(t, "s")) * time.Second) },
-		"hour":  func(*rapid.T) { time.Sleep(time.Hour); b.pass(time.Second) },
+		"write": func(*rapid.T) { store.write() },
+		"pass":  func(t *rapid.T) { store.advance(time.Duration(rapid.IntRange(1, 30).Draw(t, "s")) * time.Second) },
+		"hour":  func(*rapid.T) { time.Sleep(time.Hour); store.advance(time.Second) },
 		"fail": func(t *rapid.T) {
 			op := rapid.SampledFrom([]string{"write", "sync", "create", "rename", "patch", "syncdir", "remove"}).Draw(t, "op")
 			every := rapid.IntRange(1, 3).Draw(t, "every")
-			d.FailWith(func(o string, n int) error {
-				if o == op && n%every == 0 {
+			disk.FailWith(func(name string, n int) error {
+				if name == op && n%every == 0 {
 					return syscall.EIO
 				}
 				return nil
 			})
 		},
-		"full": func(t *rapid.T) { d.Room(int64(rapid.IntRange(0, 2000).Draw(t, "room"))) },
+		"full": func(t *rapid.T) { disk.Room(int64(rapid.IntRange(0, 2000).Draw(t, "room"))) },
 		"heal": func(*rapid.T) { heal() },
-		"kill": func(*rapid.T) { d.Kill(); heal(); start() },
+		"kill": func(*rapid.T) { disk.Kill(); heal(); start() },
 		"power": func(*rapid.T) {
-			if syncMs > 0 { // what was told may be lost with the power, and is not promised
-				told = 0
+			if syncMs > 0 { // without a sync per group, confirmed entries may be lost in a power failure
+				confirmed = 0
 			}
-			d.CutPower()
-			d.Restart()
+			disk.CutPower()
+			disk.Restart()
 			start()
 		},
 		"end": func(*rapid.T) {
 			heal()
-			b.pass(5 * time.Second)
-			b.end()
-			told = used
+			store.advance(5 * time.Second)
+			store.shutDown()
+			confirmed = used
 			start()
 		},
 		"export": func(t *rapid.T) {
-			s, ok := b.book.Next()
+			batch, ok := store.ledger.Next()
 			if !ok {
 				return
 			}
-			bytes, err := b.wal.ReadAt(b.batches[s.Seq])
-			if err != nil || ledger.SumOf(bytes) != s.Hash {
-				t.Fatalf("batch %d: %v", s.Seq, err)
+			bytes, err := store.wal.ReadAt(store.batchPositions[batch.Seq])
+			if err != nil || ledger.SumOf(bytes) != batch.Hash {
+				t.Fatalf("batch %d: %v", batch.Seq, err)
 			}
-			if len(taken) < int(s.Seq) {
-				taken = append(taken, s.Hash.String())
-			} else if taken[s.Seq-1] != s.Hash.String() {
-				t.Fatalf("batch %d was sent with other bytes", s.Seq)
+			if len(taken) < int(batch.Seq) {
+				taken = append(taken, batch.Hash.String())
+			} else if taken[batch.Seq-1] != batch.Hash.String() {
+				t.Fatalf("batch %d was sent with other bytes", batch.Seq)
 			}
-			if rec, ok := b.book.ProposeAck(s.Seq, s.Hash); ok && rapid.Bool().Draw(t, "acknowledged") {
-				if _, err := b.promise(rec); err == nil {
-					delete(b.batches, s.Seq)
+			if rec, ok := store.ledger.ProposeAck(batch.Seq, batch.Hash); ok && rapid.Bool().Draw(t, "acknowledged") {
+				if _, err := store.commitRecord(rec); err == nil {
+					delete(store.batchPositions, batch.Seq)
 				}
 			}
 		},
 		"": func(t *rapid.T) {
-			if b.through > 0 && mode == Strict {
-				told = max(told, before+int64(b.through))
+			if store.through > 0 && mode == Strict {
+				confirmed = max(confirmed, before+int64(store.through))
 			}
 			check()
 		},
 	})
 	heal()
-	b.pass(10 * time.Second)
-	s := check()
-	if got := s.Booked[ledger.Requests] + s.Lost; got != used {
+	store.advance(10 * time.Second)
+	totals := check()
+	if got := totals.Booked[ledger.Requests] + totals.Lost; got != used {
 		t.Fatalf("%d of %d", got, used)
 	}
 }
 
-// A disk that is full and has space again loses nothing; what a box that died meanwhile had not written is
-// named to the entry.
+// Checks that nothing is lost when a full disk gets space again, and that a process that died meanwhile reports
+// exactly the entries it could not write as missing.
 func TestDiskFullThenSpace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, dies := range []bool{false, true} {
-			d := faultfs.New(1)
-			b, err := open(d, options(Strict, Gap))
+		for _, crashes := range []bool{false, true} {
+			disk := faultfs.New(1)
+			b, err := open(disk, testOptions(Strict, Gap))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.use(0)
-			b.pass(time.Second)
-			d.Room(10)
+			b.record(0)
+			b.advance(time.Second)
+			disk.Room(10)
 			for range 5 {
-				b.use(0)
-				b.use(1)
-				b.pass(time.Second)
+				b.record(0)
+				b.record(1)
+				b.advance(time.Second)
 			}
 			if b.through != 11 || !b.Ready() {
-				t.Errorf("told %d, ready %v", b.through, b.Ready())
+				t.Errorf("confirmed %d, ready %v", b.through, b.Ready())
 			}
-			d.Kill()
-			d.Room(-1)
+			disk.Kill()
+			disk.Room(-1)
 			want := map[string]int64{"north": 6, "south": 5}
 			missing := map[string]int64{}
-			if dies {
-				if b, err = open(d, options(Strict, Gap)); err != nil {
+			if crashes {
+				if b, err = open(disk, testOptions(Strict, Gap)); err != nil {
 					t.Fatal(err)
 				}
 				want, missing = map[string]int64{"north": 1}, map[string]int64{"north": 5, "south": 5}
 			}
-			b.pass(5 * time.Second)
-			s, err := b.book.Statement(b.book.Periods()[0].Name, b.now())
-			if err != nil || s.Complete == dies {
+			b.advance(5 * time.Second)
+			s, err := b.ledger.Statement(b.ledger.Periods()[0].Name, b.now())
+			if err != nil || s.Complete == crashes {
 				t.Errorf("%+v, %v", s, err)
 			}
 			for _, h := range s.Stands {
 				if h.Used[ledger.Requests] != want[h.Stand] || h.Missing != missing[h.Stand] {
-					t.Errorf("dies %v: %+v", dies, h)
+					t.Errorf("crash %v: %+v", crashes, h)
 				}
 			}
 		}
 	})
 }
 
-// With on_failure = refuse, a disk that fails or does not answer stops new work, and nothing is told until a
-// new segment stands.
+// Checks that with on_failure = refuse a disk that fails or does not respond stops new work, and that nothing is
+// confirmed until a new segment is written.
 func TestRefuseUntilWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := faultfs.New(1)
-		b, err := open(d, options(Strict, Refuse))
+		disk := faultfs.New(1)
+		b, err := open(disk, testOptions(Strict, Refuse))
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.use(0) // and the disk does not answer: nothing is written
+		b.record(0) // the disk does not respond: nothing is written
 		time.Sleep(time.Second)
 		if b.Ready() {
 			t.Error("ready, though an entry has waited for a second")
 		}
-		d.FailWith(func(op string, _ int) error {
+		disk.FailWith(func(op string, _ int) error {
 			if op == "sync" {
 				return syscall.EIO
 			}
 			return nil
 		})
-		b.pass(5 * time.Second)
+		b.advance(5 * time.Second)
 		if b.Ready() || b.through > 1 {
-			t.Errorf("ready %v, told %d", b.Ready(), b.through)
+			t.Errorf("ready %v, confirmed %d", b.Ready(), b.through)
 		}
-		d.FailWith(nil)
-		b.pass(10 * time.Second)
+		disk.FailWith(nil)
+		b.advance(10 * time.Second)
 		if !b.Ready() || b.through != 1 {
-			t.Errorf("ready %v, told %d", b.Ready(), b.through)
+			t.Errorf("ready %v, confirmed %d", b.Ready(), b.through)
 		}
 	})
 }
 
-// Entries that find no room while a disk does not answer are summed, not dropped.
-func TestQueueFoldsBeyondItsBound(t *testing.T) {
+// Checks that entries beyond the queue's limit are summed instead of dropped while the disk does not respond.
+func TestFullQueueSumsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, err := open(faultfs.New(1), options(Strict, Gap))
+		b, err := open(faultfs.New(1), testOptions(Strict, Gap))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i := range 3 * maxQueue {
-			b.use(i % 2)
+		for i := range 3 * maxQueuedEntries {
+			b.record(i % 2)
 		}
-		if len(b.queue)+len(b.folded)+len(b.used) > maxQueue+2 {
-			t.Errorf("%d, %d and %d wait", len(b.queue), len(b.folded), len(b.used))
+		if len(b.queue)+len(b.sparse)+len(b.denseUsed) > maxQueuedEntries+2 {
+			t.Errorf("%d, %d and %d wait", len(b.queue), len(b.sparse), len(b.denseUsed))
 		}
-		b.pass(time.Second)
-		if s, _ := b.book.Totals(); s.Booked[ledger.Requests] != 3*maxQueue || s.Booked[ledger.Worth] != 9*maxQueue {
+		b.advance(time.Second)
+		if s, _ := b.ledger.Totals(); s.Booked[ledger.Requests] != 3*maxQueuedEntries || s.Booked[ledger.Worth] != 9*maxQueuedEntries {
 			t.Errorf("%+v", s)
 		}
 	})
 }
 
-// With the collector away for weeks the disk's bound is kept, in rolls that are no more than they must be, and
-// nothing is missing from what it gets in the end: periods that closed meanwhile are whole.
-func TestCollectorAwayWhilePeriodsClose(t *testing.T) {
+// Checks that the disk budget is kept with few rolls while the collector is unavailable for weeks, and that the
+// collector gets complete periods once it is back.
+func TestCollectorUnavailableWhilePeriodsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := faultfs.New(1)
-		o := options(Strict, Gap)
-		o.SegmentKB, o.DiskKB, o.ExportMs = 64, 2048, 1000
-		b, err := open(d, o)
+		disk := faultfs.New(1)
+		opt := testOptions(Strict, Gap)
+		opt.SegmentKB, opt.DiskKB, opt.ExportMs = 64, 2048, 1000
+		b, err := open(disk, opt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		const n = 6000
-		most, rolls, segment := 0, 0, uint32(0)
+		maxUsed, rolls, segment := 0, 0, uint32(0)
 		for i := range n {
-			b.use(i%3 - 1)
+			b.record(i%3 - 1)
 			time.Sleep(5 * time.Minute) // three weeks in all
 			b.write()
-			b.doChores()
-			most = max(most, d.Used())
+			b.maintain()
+			maxUsed = max(maxUsed, disk.Used())
 			if b.wal.Segment() != segment {
 				segment = b.wal.Segment()
 				rolls++
 			}
 		}
-		if most > o.DiskKB<<10 {
-			t.Errorf("%d KB on the disk", most>>10)
+		if maxUsed > opt.DiskKB<<10 {
+			t.Errorf("%d KB on the disk", maxUsed>>10)
 		}
-		waiting := len(b.book.Pending())
+		waiting := len(b.ledger.Pending())
 		if waiting < 100 || rolls > 60 {
 			t.Errorf("%d batches wait, %d rolls", waiting, rolls)
 		}
-		var x ledger.Exports
+		var exports ledger.Exports
 		for range 2 * n { // the collector is back
-			b.pass(time.Second)
-			s, ok := b.book.Next()
+			b.advance(time.Second)
+			s, ok := b.ledger.Next()
 			if !ok {
 				break
 			}
-			bytes, err := b.wal.ReadAt(b.batches[s.Seq])
+			bytes, err := b.wal.ReadAt(b.batchPositions[s.Seq])
 			if err == nil {
-				err = x.Add(bytes)
+				err = exports.Add(bytes)
 			}
-			rec, ok := b.book.ProposeAck(s.Seq, s.Hash)
+			rec, ok := b.ledger.ProposeAck(s.Seq, s.Hash)
 			if err != nil || !ok {
 				t.Fatal(err)
 			}
-			if _, err := b.promise(rec); err != nil {
+			if _, err := b.commitRecord(rec); err != nil {
 				t.Fatal(err)
 			}
 		}
-		f := x.Reconcile()
+		f := exports.Reconcile()
 		closed, all := 0, int64(0)
 		for _, p := range f.Periods() {
 			s, err := f.Statement(p.Name, ledger.Expect{})
@@ -358,26 +359,26 @@
 	})
 }
 
-// The wall clock steps by an hour, for good or for a moment: nothing is lost or counted twice, and a step for good
-// is in the log and the batches.
+// Checks that a step of the wall clock by an hour, permanent or temporary, neither loses entries nor counts them
+// twice, and that a permanent step is recorded in the batches.
 func TestWallClockSteps(t *testing.T) {
 	for name, x := range map[string]struct {
 		by   time.Duration
-		back bool // it is taken back after half a minute
+		back bool // the step is undone after half a minute
 	}{"forward": {time.Hour, false}, "back": {-time.Hour, false}, "forward for a moment": {time.Hour, true}, "back for a moment": {-time.Hour, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			var off time.Duration
-			s := site("n1")
+			s := testConfig("n1")
 			s.Wall = func() time.Time { return time.Now().Add(off) }
-			k, err := Open(faultfs.New(1), options(Strict, Gap), s, quiet)
+			k, err := Open(faultfs.New(1), testOptions(Strict, Gap), s, discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &box{Keeper: k}
+			b := &testStore{Keeper: k}
 			serve := func(d time.Duration) {
 				for range int(d / time.Second) {
-					b.use(0)
-					b.pass(time.Second)
+					b.record(0)
+					b.advance(time.Second)
 				}
 			}
 			serve(time.Minute)
@@ -398,17 +399,17 @@
 			if got := b.now() - before; got < want-2000 || got > want+2000 {
 				t.Errorf("%s: %d ms passed, not %d", name, got, want)
 			}
-			b.pass(time.Minute)
+			b.advance(time.Minute)
 			n, steps := int64(0), 0
-			for _, p := range b.book.Periods() {
-				st, err := b.book.Statement(p.Name, b.now()+7_200_000)
+			for _, p := range b.ledger.Periods() {
+				st, err := b.ledger.Statement(p.Name, b.now()+7_200_000)
 				if err != nil {
 					t.Fatal(err)
 				}
 				n += st.Total.Used[ledger.Requests]
 			}
-			for _, s := range b.book.Pending() {
-				bytes, err := b.wal.ReadAt(b.batches[s.Seq])
+			for _, s := range b.ledger.Pending() {
+				bytes, err := b.wal.ReadAt(b.batchPositions[s.Seq])
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -425,42 +426,43 @@
 	}
 }
 
-// Another kind of period, less room and other names between two starts change nothing of what was booked.
-func TestOtherSettingsAtTheNextStart(t *testing.T) {
+// Checks that another kind of period, a smaller budget and other names at the next start change nothing that was
+// recorded before.
+func TestSettingsChangedBetweenStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := faultfs.New(1)
-		o := options(Strict, Gap)
-		b, err := open(d, o)
+		disk := faultfs.New(1)
+		opt := testOptions(Strict, Gap)
+		b, err := open(disk, opt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.use(0)
-		b.pass(6 * time.Second) // into a batch
-		b.use(1)
-		b.pass(time.Second)
-		was, err := b.book.Statement(b.book.Periods()[0].Name, b.now())
+		b.record(0)
+		b.advance(6 * time.Second) // sealed in a batch
+		b.record(1)
+		b.advance(time.Second)
+		was, err := b.ledger.Statement(b.ledger.Periods()[0].Name, b.now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Kill()
-		o.Period, o.Zone = "day", "UTC"
-		s := site("n1")
+		disk.Kill()
+		opt.Period, opt.Zone = "day", "UTC"
+		s := testConfig("n1")
 		s.Stands = []string{"west", "south"}
-		k, err := Open(d, o, s, quiet)
+		k, err := Open(disk, opt, s, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		now, err := k.book.Statement(was.Period.Name, k.now())
+		now, err := k.ledger.Statement(was.Period.Name, k.now())
 		if diff := cmp.Diff(was, now); diff != "" || err != nil {
 			t.Errorf("%s %v", diff, err)
 		}
-		b = &box{Keeper: k}
-		b.use(0)
-		b.use(1)
-		b.pass(6 * time.Second)
-		total, day := b.book.Periods(), map[string]int64{}
+		b = &testStore{Keeper: k}
+		b.record(0)
+		b.record(1)
+		b.advance(6 * time.Second)
+		total, day := b.ledger.Periods(), map[string]int64{}
 		for _, p := range total {
-			st, err := b.book.Statement(p.Name, b.now())
+			st, err := b.ledger.Statement(p.Name, b.now())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -474,60 +476,60 @@
 	})
 }
 
-// A directory of another box, of a later version, without its identity, or damaged is refused with a clear
-// word, and left as it was.
-func TestFilesThatCannotBe(t *testing.T) {
+// Checks that a directory of another server, of a newer version, without its identity, or with damage is refused with
+// an error and left unchanged.
+func TestInvalidFilesRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := faultfs.New(2)
-		if _, err := Open(other, options(Relaxed, Gap), site("n2"), quiet); err != nil {
+		if _, err := Open(other, testOptions(Relaxed, Gap), testConfig("n2"), discardLog); err != nil {
 			t.Fatal(err)
 		}
 		for name, x := range map[string]struct {
-			spoil func(*faultfs.Disk)
-			want  error
+			corrupt func(*faultfs.Disk)
+			want    error
 		}{
-			"another box":     {func(d *faultfs.Disk) { d.Put(identityName, other.Bytes(identityName)) }, ErrForeign},
-			"another segment": {func(d *faultfs.Disk) { d.Put("0000000001.wal", other.Bytes("0000000001.wal")) }, wal.ErrForeign},
-			"newer": {func(d *faultfs.Disk) {
-				d.Put(identityName, []byte(`{"version":2,"box":"n1","ledger":"00000000000000000000000000000000"}`))
+			"another server":  {func(disk *faultfs.Disk) { disk.Put(identityFileName, other.Bytes(identityFileName)) }, ErrForeign},
+			"another segment": {func(disk *faultfs.Disk) { disk.Put("0000000001.wal", other.Bytes("0000000001.wal")) }, wal.ErrForeign},
+			"newer": {func(disk *faultfs.Disk) {
+				disk.Put(identityFileName, []byte(`{"version":2,"box":"n1","ledger":"00000000000000000000000000000000"}`))
 			}, ledger.ErrNewer},
-			"no identity":   {func(d *faultfs.Disk) { d.Remove(identityName) }, nil},
-			"torn identity": {func(d *faultfs.Disk) { d.Put(identityName, []byte("{")) }, nil},
-			"damaged": {func(d *faultfs.Disk) {
-				b := d.Bytes("0000000001.wal")
+			"no identity":   {func(disk *faultfs.Disk) { disk.Remove(identityFileName) }, nil},
+			"torn identity": {func(disk *faultfs.Disk) { disk.Put(identityFileName, []byte("{")) }, nil},
+			"damaged": {func(disk *faultfs.Disk) {
+				b := disk.Bytes("0000000001.wal")
 				b[60] ^= 1
-				d.Put("0000000001.wal", b)
+				disk.Put("0000000001.wal", b)
 			}, new(wal.DamageError)},
 		} {
-			d := faultfs.New(1)
-			b, err := open(d, options(Relaxed, Gap))
+			disk := faultfs.New(1)
+			b, err := open(disk, testOptions(Relaxed, Gap))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.use(0)
-			b.pass(2 * time.Second)
-			b.use(0)
-			b.pass(2 * time.Second)
-			b.end()
-			x.spoil(d)
-			names, _ := d.List()
+			b.record(0)
+			b.advance(2 * time.Second)
+			b.record(0)
+			b.advance(2 * time.Second)
+			b.shutDown()
+			x.corrupt(disk)
+			names, _ := disk.List()
 			var damage *wal.DamageError
-			_, err = open(d, options(Relaxed, Gap))
+			_, err = open(disk, testOptions(Relaxed, Gap))
 			if err == nil || x.want != nil && !errors.Is(err, x.want) && !errors.As(err, &damage) {
 				t.Errorf("%s: %v", name, err)
 			}
-			if now, _ := d.List(); !cmp.Equal(names, now) {
+			if now, _ := disk.List(); !cmp.Equal(names, now) {
 				t.Errorf("%s: %v, then %v", name, names, now)
 			}
 		}
 	})
 }
 
-// A correction left in the inbox is booked once and answered, also when its file is read again.
+// Checks that a correction in the inbox is applied once and answered, even if its file is read again.
 func TestInbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := faultfs.New(1)
-		b, err := open(d, options(Relaxed, Gap))
+		disk := faultfs.New(1)
+		b, err := open(disk, testOptions(Relaxed, Gap))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -536,68 +538,68 @@
 		bad.ID, bad.Stand = "c2", "west"
 		for range 2 {
 			for _, x := range []ledger.Correction{c, bad} {
-				if err := Submit(d, x); err != nil {
+				if err := Submit(disk, x); err != nil {
 					t.Fatal(err)
 				}
 			}
-			d.Put("zz"+inEnding, []byte("{"))
-			b.pass(time.Second)
-			good, ok, err := Answered(d, "c1")
-			refused, ok2, err2 := Answered(d, "c2")
+			disk.Put("zz"+correctionSuffix, []byte("{"))
+			b.advance(time.Second)
+			good, ok, err := Answered(disk, "c1")
+			refused, ok2, err2 := Answered(disk, "c2")
 			if !ok || !good.Booked || err != nil || !ok2 || refused.Booked || refused.Why != `unknown stand "west"` || err2 != nil {
 				t.Errorf("%+v %v, %+v %v", good, err, refused, err2)
 			}
 		}
-		s, _ := b.book.Statement(c.Period, b.now())
+		s, _ := b.ledger.Statement(c.Period, b.now())
 		if len(s.Adjustments) != 1 || s.Total.Net[ledger.Worth] != 4 {
 			t.Errorf("%+v", s)
 		}
-		names, _ := d.List()
-		if slices.ContainsFunc(names, func(n string) bool { return n == "zz"+inEnding }) {
-			t.Error("a file that cannot be read stays")
+		names, _ := disk.List()
+		if slices.ContainsFunc(names, func(n string) bool { return n == "zz"+correctionSuffix }) {
+			t.Error("an unreadable file was not removed")
 		}
-		read, _, err := Read(d, options(Relaxed, Gap))
-		if err != nil || !cmp.Equal(read.Snapshot(), b.book.Snapshot()) {
-			t.Errorf("read beside the box: %v", err)
+		read, _, err := Read(disk, testOptions(Relaxed, Gap))
+		if err != nil || !cmp.Equal(read.Snapshot(), b.ledger.Snapshot()) {
+			t.Errorf("read while the server runs: %v", err)
 		}
 	})
 }
 
-// On a real directory: one process owns it, and the end of Run leaves nothing to be missed.
+// Checks on a real directory that one process owns the lock and that Close leaves no entry unwritten.
 func TestRunOnADirectory(t *testing.T) {
-	d := wal.Dir(t.TempDir())
-	lock, err := d.Lock()
+	disk := wal.Dir(t.TempDir())
+	lock, err := disk.Lock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer lock.Close()
-	if _, err := d.Lock(); !errors.Is(err, wal.ErrLocked) {
+	if _, err := disk.Lock(); !errors.Is(err, wal.ErrLocked) {
 		t.Errorf("a second owner: %v", err)
 	}
-	k, err := Open(d, options(Strict, Gap), site("n1"), quiet)
+	k, err := Open(disk, testOptions(Strict, Gap), testConfig("n1"), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan uint64, 10)
-	k.Attach(func(e core.Event) { told <- e.(core.Booked).Through }, k.began)
+	confirmed := make(chan uint64, 10)
+	k.Attach(func(e core.Event) { confirmed <- e.(core.Booked).Through }, k.began)
 	go k.Run()
-	b := &box{Keeper: k}
-	b.use(0)
+	b := &testStore{Keeper: k}
+	b.record(0)
 	k.Flush()
-	if n := <-told; n != 1 {
-		t.Errorf("told %d", n)
+	if n := <-confirmed; n != 1 {
+		t.Errorf("confirmed %d", n)
 	}
 	if s, err := k.Totals(context.Background()); err != nil || s.Booked[ledger.Requests] != 1 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	b.use(1)
+	b.record(1)
 	if err := k.Close(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := k.Totals(context.Background()); !errors.Is(err, ErrClosed) {
 		t.Errorf("%v", err)
 	}
-	book, _, err := Read(d, options(Strict, Gap))
+	book, _, err := Read(disk, testOptions(Strict, Gap))
 	if s, _ := book.Totals(); err != nil || s.Booked[ledger.Requests] != 2 {
 		t.Errorf("%+v, %v", s, err)
 	}
@@ -607,7 +609,7 @@
 	o := outage{count: 1, segment: 2, lsn: 3, at: 4, first: map[uint16]int64{1: 2}, later: map[uint16]int64{0: 9}}
 	f.Add(o.encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if got, ok := decodeOutage(b); ok && len(got.first)+len(got.later) < maxPairs {
+		if got, ok := decodeOutage(b); ok && len(got.first)+len(got.later) < maxSlotPairs {
 			if _, ok := decodeOutage(got.encode()); !ok {
 				t.Error("what was read cannot be written")
 			}
--- a/internal/keeper/open.go
+++ b/internal/keeper/open.go
@@ -15,37 +15,37 @@
 	"larchscale/internal/wal"
 )
 
-// Site is what a keeper is told of its box.
+// Site describes the server whose ledger is opened.
 type Site struct {
 	Box             string
-	Stands, Classes []string         // in the order of the core's numbers
-	Boot            string           // of the machine
+	Stands, Classes []string         // names in the order of the core's indexes
+	Boot            string           // identifies the boot of the machine
 	Wall            func() time.Time // nil = time.Now
 }
 
-// Open opens the ledger in fs, or begins one, and writes the start of this incarnation. What cannot be is an
-// error: another box's files, a later version's, damage. The keeper works once Run does.
-func Open(fs wal.FS, opt Options, site Site, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{opt: opt, fs: fs, log: log, began: time.Now(), wall: site.Wall, wake: make(chan struct{}, 1), calls: make(chan func()),
-		stop: make(chan struct{}), ended: make(chan struct{}), batches: map[uint64]wal.Position{}, moved: make(chan struct{}, 1),
-		folded: map[foldKey]*ledger.Entry{}, sink: func(core.Event) {}}
+// Open opens the ledger in fs, or creates one, and writes the start of this incarnation. It fails if the files belong
+// to another server, were written by a newer version or are damaged. Entries are written once Run is called.
+func Open(fs wal.FS, opt Options, config Site, log *slog.Logger) (*Keeper, error) {
+	k := &Keeper{opt: opt, fs: fs, log: log, began: time.Now(), wall: config.Wall, wake: make(chan struct{}, 1), calls: make(chan func()),
+		stop: make(chan struct{}), ended: make(chan struct{}), batchPositions: map[uint64]wal.Position{}, sealed: make(chan struct{}, 1),
+		sparse: map[sumKey]*ledger.Entry{}, sink: func(core.Event) {}}
 	if k.wall == nil {
 		k.wall = time.Now
 	}
 	k.retry = backoff.NewExponentialBackOff()
 	k.retry.InitialInterval, k.retry.MaxInterval = 100*time.Millisecond, 2*time.Second
-	k.observe()
-	id, err := identity(fs, site.Box)
+	k.observeClock()
+	id, err := openIdentity(fs, config.Box)
 	if err != nil {
 		return nil, err
 	}
 	now := k.now()
-	k.book = ledger.NewBook(site.Box, id, opt.policy(), now)
-	cut, err := k.read(id)
+	k.ledger = ledger.NewBook(config.Box, id, opt.policy(), now)
+	cut, err := k.replayLog(id)
 	if err != nil {
 		return nil, err
 	}
-	if err := k.begin(site, now); err != nil {
+	if err := k.startIncarnation(config, now); err != nil {
 		return nil, err
 	}
 	if cut != nil {
@@ -54,20 +54,20 @@
 	return k, nil
 }
 
-// read brings the book to where the log ends.
-func (k *Keeper) read(id ledger.ID) (*wal.Cut, error) {
-	l, got, err := wal.Open(wal.Options{FS: k.fs, Owner: owner(k.book.Box, id), Segment: int64(k.opt.SegmentKB) << 10},
+// replayLog replays the log into the in-memory ledger. It returns the torn tail of the log, if any.
+func (k *Keeper) replayLog(id ledger.ID) (*wal.Cut, error) {
+	log, recovered, err := wal.Open(wal.Options{FS: k.fs, Owner: logOwner(k.ledger.Box, id), Segment: int64(k.opt.SegmentKB) << 10},
 		func(lsn uint64, at wal.Position, rec []byte) error {
-			if err := replay(k.book, k.batches, at, rec); err != nil {
+			if err := replay(k.ledger, k.batchPositions, at, rec); err != nil {
 				return fmt.Errorf("record %d: %w", lsn, err)
 			}
 			return nil
 		})
-	k.wal = l
-	return got.Cut, err
+	k.wal = log
+	return recovered.Cut, err
 }
 
-// replay applies a record that was read, and notes where a batch's bytes are.
+// replay applies a record that was read from the log and remembers the position of a batch's bytes.
 func replay(b *ledger.Book, batches map[uint64]wal.Position, at wal.Position, rec []byte) error {
 	if err := b.Apply(rec); err != nil {
 		return err
@@ -83,70 +83,71 @@
 	return nil
 }
 
-// begin writes the start of an incarnation in a new segment, with what an earlier one left missing.
-func (k *Keeper) begin(site Site, now int64) error {
-	k.book.SetPolicy(k.opt.policy())
-	names, err := k.book.ProposeNames(append([]string{""}, site.Stands...), site.Classes)
+// startIncarnation writes the start of an incarnation in a new segment, with the gap that an earlier incarnation left.
+func (k *Keeper) startIncarnation(config Site, now int64) error {
+	k.ledger.SetPolicy(k.opt.policy())
+	names, err := k.ledger.ProposeNames(append([]string{""}, config.Stands...), config.Classes)
 	if err != nil {
 		return err
 	}
 	if names != nil {
-		if err := k.book.Apply(names); err != nil {
+		if err := k.ledger.Apply(names); err != nil {
 			return err
 		}
 	}
-	stands, classes := k.book.Names()
-	if n := stands * classes * int(ledger.Ends) * 2; n <= maxDense {
+	stands, classes := k.ledger.Names()
+	if n := stands * classes * int(ledger.Ends) * 2; n <= maxDenseSums {
 		k.dense = make([]ledger.Entry, n)
 	}
 	k.classCount = classes
-	k.none, _ = k.book.Stand("")
-	for _, n := range site.Stands {
-		s, _ := k.book.Stand(n)
-		k.tenants = append(k.tenants, s)
-	}
-	for _, n := range site.Classes {
-		c, _ := k.book.Class(n)
-		k.classes = append(k.classes, c)
-	}
-	o := readOutage(k.fs)
-	if k.slots = o.count; o.segment != 0 && o.segment == k.wal.Segment() {
-		lost := o.later
-		if k.wal.Next() <= o.lsn {
-			for stand, n := range o.first {
+	k.noStand, _ = k.ledger.Stand("")
+	for _, n := range config.Stands {
+		s, _ := k.ledger.Stand(n)
+		k.standOfTenant = append(k.standOfTenant, s)
+	}
+	for _, n := range config.Classes {
+		c, _ := k.ledger.Class(n)
+		k.classIndex = append(k.classIndex, c)
+	}
+	lastOutage := readOutage(k.fs)
+	if k.slotWrites = lastOutage.count; lastOutage.segment != 0 && lastOutage.segment == k.wal.Segment() {
+		lost := lastOutage.later
+		if k.wal.Next() <= lastOutage.lsn {
+			for stand, n := range lastOutage.first {
 				lost[stand] += n
 			}
 		}
 		if len(lost) > 0 {
-			if err := k.book.Apply(k.book.GapRecord(lost, o.at)); err != nil {
+			if err := k.ledger.Apply(k.ledger.GapRecord(lost, lastOutage.at)); err != nil {
 				return err
 			}
-			k.log.Warn("ledger", "do", "recover", "missing", sum(lost))
+			k.log.Warn("ledger", "do", "recover", "missing", total(lost))
 		}
 	}
-	if err := makeSlot(k.fs); err != nil {
+	if err := createSlot(k.fs); err != nil {
 		return err
 	}
-	start := k.book.ProposeStart(ledger.Start{Nonce: rand.Uint64(), At: now, Boot: site.Boot, Strict: k.opt.Mode == Strict, AtMost: maxQueue})
-	if err := k.book.Apply(start); err != nil {
+	start := k.ledger.ProposeStart(ledger.Start{Nonce: rand.Uint64(), At: now, Boot: config.Boot, Strict: k.opt.Mode == Strict, AtMost: maxQueuedEntries})
+	if err := k.ledger.Apply(start); err != nil {
 		return err
 	}
-	err = k.roll()
+	err = k.rollSegment()
 	if err != nil && k.opt.OnFailure == Gap {
-		k.fail(k.wal.Next(), err)
+		k.beginOutage(k.wal.Next(), err)
 		return nil
 	}
 	return err
 }
 
-func sum(m map[uint16]int64) (n int64) {
+func total(m map[uint16]int64) (n int64) {
 	for _, x := range m {
 		n += x
 	}
 	return n
 }
 
-// BootID names this start of the machine: what a process wrote is lost to a power cut, not to its own end.
+// BootID returns an identifier of the current boot of the machine. It shows whether data written by a process may
+// have been lost in a power failure, which the end of the process alone does not cause.
 func BootID() string {
 	b, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
--- a/internal/keeper/options.go
+++ b/internal/keeper/options.go
@@ -1,5 +1,6 @@
-// Package keeper keeps the ledger's files: it takes entries from the core's loop, writes them in groups off
-// that loop, and gets over disks that are slow, full or broken. What it writes and when is the ledger's to say.
+// Package keeper stores the ledger on disk: it takes entries from the core's loop, writes them in groups on its own
+// goroutine, and recovers from disks that are slow, full or failing. What is written and when is decided by package
+// ledger.
 package keeper
 
 import (
@@ -10,7 +11,7 @@
 	"larchscale/internal/ledger"
 )
 
-// Options are the operator's table [ledger].
+// Options is the table [ledger] of the operator's configuration.
 type Options struct {
 	Dir       string `toml:"dir"`
 	Mode      string `toml:"mode"`
@@ -26,7 +27,7 @@
 	ExportMs  int    `toml:"export_ms"`
 }
 
-// The words of mode and on_failure.
+// The values of the settings mode and on_failure.
 const (
 	Strict  = "strict"
 	Relaxed = "relaxed"
@@ -34,31 +35,32 @@
 	Gap     = "gap"
 )
 
-// Defaults are the options that a file need not name. Without a directory there is no ledger.
+// Defaults returns the options that apply where the operator's file sets none. Without a directory there is no
+// ledger.
 func Defaults() Options {
 	return Options{Mode: Relaxed, OnFailure: Gap, Period: "month", Zone: "Asia/Kolkata", GraceS: 60, Keep: 24,
 		SyncMs: 1000, WriteMs: 100, SegmentKB: 4096, DiskKB: 32768, ExportMs: 60_000}
 }
 
-// Check finds what cannot be.
+// Check returns an error for settings that are out of range or contradict each other.
 func (o *Options) Check() error {
 	if o.Dir == "" {
 		return nil
 	}
-	for _, b := range []struct {
-		name            string
-		is, least, most int
+	for _, bound := range []struct {
+		name             string
+		value, low, high int
 	}{{"grace_s", o.GraceS, 1, 3600}, {"keep_periods", o.Keep, 1, 1000}, {"sync_ms", o.SyncMs, 0, 60_000}, {"write_ms", o.WriteMs, 1, 10_000},
 		{"segment_kb", o.SegmentKB, 64, 1 << 20}, {"disk_kb", o.DiskKB, 1024, 1 << 24}, {"export_ms", o.ExportMs, 10, 86_400_000}} {
-		if b.is < b.least || b.is > b.most {
-			return fmt.Errorf("ledger.%s is %d, %d to %d", b.name, b.is, b.least, b.most)
+		if bound.value < bound.low || bound.value > bound.high {
+			return fmt.Errorf("ledger.%s is %d, must be %d to %d", bound.name, bound.value, bound.low, bound.high)
 		}
 	}
 	switch {
 	case o.Mode != Strict && o.Mode != Relaxed:
-		return fmt.Errorf("ledger.mode is %q: strict or relaxed", o.Mode)
+		return fmt.Errorf("ledger.mode is %q, must be strict or relaxed", o.Mode)
 	case o.OnFailure != Refuse && o.OnFailure != Gap:
-		return fmt.Errorf("ledger.on_failure is %q: refuse or gap", o.OnFailure)
+		return fmt.Errorf("ledger.on_failure is %q, must be refuse or gap", o.OnFailure)
 	case o.SegmentKB*4 > o.DiskKB:
 		return errors.New("ledger.disk_kb is less than four times ledger.segment_kb")
 	}
@@ -68,15 +70,15 @@
 	return nil
 }
 
-const cellBytes = 128 // of a sum in the snapshot, at most
+const sumBytes = 128 // upper bound of the size of one sum in a snapshot
 
-// policy is what the book is told. On the disk are at most the old segment, the new one with the book and the
-// batches that wait, and what comes until it is full: so batches may take
-// a quarter, and the book itself an eighth.
+// policy returns the limits for the in-memory ledger. The disk holds at most the old segment, the new one with the
+// ledger's snapshot and the pending batches, and the records that follow until it is full. Batches may therefore take
+// a quarter of the disk budget, and the snapshot an eighth.
 func (o *Options) policy() ledger.Policy {
-	cal, _ := ledger.NewCalendar(o.Period, o.Zone) // checked
+	cal, _ := ledger.NewCalendar(o.Period, o.Zone) // validated by Check
 	return ledger.Policy{Calendar: cal, Grace: int64(o.GraceS) * 1000, Keep: o.Keep,
-		ExportEvery: int64(o.ExportMs), MaxPending: o.DiskKB << 10 / 4, MaxCells: o.DiskKB << 10 / 8 / cellBytes}
+		ExportEvery: int64(o.ExportMs), MaxPending: o.DiskKB << 10 / 4, MaxCells: o.DiskKB << 10 / 8 / sumBytes}
 }
 
-func (o *Options) ms(n int) time.Duration { return time.Duration(n) * time.Millisecond }
+func (o *Options) milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/internal/keeper/queue.go
+++ b/internal/keeper/queue.go
@@ -7,7 +7,7 @@
 	"larchscale/internal/ledger"
 )
 
-type foldKey struct {
+type sumKey struct {
 	stand, class uint16
 	end          ledger.End
 	replay       bool
@@ -16,72 +16,72 @@
 
 // Book implements core.Booker.
 func (k *Keeper) Book(u core.Use) uint64 {
-	at := int64(k.start) + k.offset.Load()
-	e := ledger.Entry{Began: (int64(u.Began) + at) / 1e6, Ended: (int64(u.Ended) + at) / 1e6, Stand: k.none, Class: k.classes[u.Class], End: u.End, Replay: u.Replay, Figures: u.Figures}
+	offset := int64(k.coreStart) + k.offset.Load()
+	entry := ledger.Entry{Began: (int64(u.Began) + offset) / 1e6, Ended: (int64(u.Ended) + offset) / 1e6, Stand: k.noStand, Class: k.classIndex[u.Class], End: u.End, Replay: u.Replay, Figures: u.Figures}
 	if u.Tenant >= 0 {
-		e.Stand = k.tenants[u.Tenant]
+		entry.Stand = k.standOfTenant[u.Tenant]
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.waits == 0 {
-		k.oldest = time.Now()
+	if k.waiting == 0 {
+		k.oldestWaiting = time.Now()
 	}
-	k.waits++
-	if k.ticket++; k.opt.Mode == Strict && len(k.queue) < maxQueue {
-		k.queue = append(k.queue, e)
+	k.waiting++
+	if k.lastTicket++; k.opt.Mode == Strict && len(k.queue) < maxQueuedEntries {
+		k.queue = append(k.queue, entry)
 	} else {
-		k.fold(e)
+		k.addToSum(entry)
 	}
-	return k.ticket
+	return k.lastTicket
 }
 
-// fold sums entries that need not be written one by one: in relaxed mode all, in strict mode those that find no
-// room. Guards against memory that grows with a disk that does not answer.
-func (k *Keeper) fold(e ledger.Entry) {
-	q := e.Began / quarter
-	if q != k.denseAt && len(k.used) == 0 {
-		k.denseAt = q
+// addToSum adds an entry to a sum instead of queueing it: in relaxed mode every entry, in strict mode those beyond the
+// queue's limit. It prevents memory use from growing while the disk does not respond.
+func (k *Keeper) addToSum(e ledger.Entry) {
+	quarter := e.Began / quarterMs
+	if quarter != k.denseQuarter && len(k.denseUsed) == 0 {
+		k.denseQuarter = quarter
 	}
-	var have *ledger.Entry
-	if q == k.denseAt && len(k.dense) > 0 {
+	var sum *ledger.Entry
+	if quarter == k.denseQuarter && len(k.dense) > 0 {
 		i := ((int(e.Stand)*k.classCount+int(e.Class))*int(ledger.Ends) + int(e.End)) * 2
 		if e.Replay {
 			i++
 		}
-		if have = &k.dense[i]; have.Figures[ledger.Requests] == 0 && have.Ended == 0 {
-			k.used = append(k.used, i)
-			*have = e
-			have.Began = q * quarter
+		if sum = &k.dense[i]; sum.Figures[ledger.Requests] == 0 && sum.Ended == 0 {
+			k.denseUsed = append(k.denseUsed, i)
+			*sum = e
+			sum.Began = quarter * quarterMs
 			return
 		}
 	} else {
-		key := foldKey{e.Stand, e.Class, e.End, e.Replay, q}
-		if have = k.folded[key]; have == nil {
+		key := sumKey{e.Stand, e.Class, e.End, e.Replay, quarter}
+		if sum = k.sparse[key]; sum == nil {
 			first := e
-			first.Began = q * quarter
-			k.folded[key] = &first
+			first.Began = quarter * quarterMs
+			k.sparse[key] = &first
 			return
 		}
 	}
-	have.Ended = max(have.Ended, e.Ended)
-	have.Figures, _ = have.Figures.Add(e.Figures) // a quarter of an hour is far from the bounds
+	sum.Ended = max(sum.Ended, e.Ended)
+	sum.Figures, _ = sum.Figures.Add(e.Figures) // the sums of a quarter of an hour are far from overflow
 }
 
-// unfold takes the sums out, and adds them to list.
-func (k *Keeper) unfold(list []ledger.Entry) []ledger.Entry {
-	for _, i := range k.used {
+// drainSums removes all sums and appends them to list.
+func (k *Keeper) drainSums(list []ledger.Entry) []ledger.Entry {
+	for _, i := range k.denseUsed {
 		list = append(list, k.dense[i])
 		k.dense[i] = ledger.Entry{}
 	}
-	k.used = k.used[:0]
-	for _, e := range k.folded {
+	k.denseUsed = k.denseUsed[:0]
+	for _, e := range k.sparse {
 		list = append(list, *e)
 	}
-	clear(k.folded)
+	clear(k.sparse)
 	return list
 }
 
-// Flush implements core.Booker. In relaxed mode entries wait for the next regular writing.
+// Flush implements core.Booker. In relaxed mode entries wait for the next periodic write.
 func (k *Keeper) Flush() {
 	if k.opt.Mode == Relaxed {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// Ready implements core.Booker: with on_failure = refuse a disk that fails or does not answer stops new work.
+// Ready implements core.Booker. With on_failure = refuse, a disk that fails or does not respond stops new work.
 func (k *Keeper) Ready() bool {
 	if k.opt.OnFailure == Gap {
 		return true
@@ -102,7 +102,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.waits == 0 || time.Since(k.oldest) < stalled+k.opt.ms(k.opt.WriteMs)
+	return k.waiting == 0 || time.Since(k.oldestWaiting) < stallTimeout+k.opt.milliseconds(k.opt.WriteMs)
 }
 
 // Strict implements core.Booker.
--- a/internal/keeper/slot.go
+++ b/internal/keeper/slot.go
@@ -10,40 +10,41 @@
 	"larchscale/internal/wal"
 )
 
-// The outage slot is a file whose bytes are there from the start, so that a full disk can still take what is
-// said in it: how many entries of which stand would be missing if the box died now. It has two halves, written
-// in turn, so that one is whole whatever happens to the other. Layout of a half, little-endian: CRC32-C u32 of the
-// rest, count u64, segment u32, LSN u64, time i64, entries of the first group and of the later ones, each as a u16 number of
-// pairs stand u16 and entries u64.
+// The outage slot is a file whose blocks are allocated in advance, so that it can be written even if the disk is
+// full. It holds the number of entries of each stand that would be missing if the process died now. It has two halves
+// that are written in turn, so that one of them is always valid. Layout of a half, little-endian: CRC32-C u32 of the
+// rest, write count u64, segment u32, LSN u64, time i64, then the entries of the first group and of the later ones,
+// each as a u16 number of pairs (stand u16, entries u64).
 const (
-	slotName = "outage"
-	slotHalf = 8 << 10
-	maxPairs = 400 // of both lists together; more stands are summed under the first
+	slotFileName  = "outage"
+	slotHalfBytes = 8 << 10
+	maxSlotPairs  = 400 // of both lists together; further stands are added to stand 0
 )
 
-// outage is what would be missing. The first group may have got to the disk all the same, which its LSN shows.
+// outage holds the entries that are not known to be on disk. The first group may have reached the disk nevertheless,
+// which the LSN of the recovered log shows.
 type outage struct {
-	count   uint64 // of writings of the slot
-	segment uint32 // that failed
-	lsn     uint64 // of the first group
-	at      int64  // when it was written, Unix milliseconds
+	count   uint64 // number of writes to the slot
+	segment uint32 // segment that failed
+	lsn     uint64 // LSN of the first group
+	at      int64  // time of the write, Unix milliseconds
 	first   map[uint16]int64
 	later   map[uint16]int64
 }
 
 func (o *outage) add(counts map[uint16]int64, first bool) {
-	to := &o.later
+	target := &o.later
 	if first {
-		to = &o.first
+		target = &o.first
 	}
-	if *to == nil {
-		*to = map[uint16]int64{}
+	if *target == nil {
+		*target = map[uint16]int64{}
 	}
 	for stand, n := range counts {
-		if len(o.first)+len(o.later) >= maxPairs {
+		if len(o.first)+len(o.later) >= maxSlotPairs {
 			stand = 0
 		}
-		(*to)[stand] += n
+		(*target)[stand] += n
 	}
 }
 
@@ -60,13 +61,13 @@
 			b = binary.LittleEndian.AppendUint64(b, uint64(m[stand]))
 		}
 	}
-	b = append(b, make([]byte, slotHalf-len(b))...)
+	b = append(b, make([]byte, slotHalfBytes-len(b))...)
 	binary.LittleEndian.PutUint32(b, crc32.Checksum(b[4:], crc32.MakeTable(crc32.Castagnoli)))
 	return b
 }
 
 func decodeOutage(b []byte) (o outage, ok bool) {
-	if len(b) != slotHalf || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], crc32.MakeTable(crc32.Castagnoli)) {
+	if len(b) != slotHalfBytes || binary.LittleEndian.Uint32(b) != crc32.Checksum(b[4:], crc32.MakeTable(crc32.Castagnoli)) {
 		return o, false
 	}
 	o.count, o.segment, o.lsn = binary.LittleEndian.Uint64(b[4:]), binary.LittleEndian.Uint32(b[12:]), binary.LittleEndian.Uint64(b[16:])
@@ -76,53 +77,53 @@
 		if len(b) < 2 {
 			return o, false
 		}
-		n := int(binary.LittleEndian.Uint16(b))
-		if b = b[2:]; len(b) < 10*n {
+		pairs := int(binary.LittleEndian.Uint16(b))
+		if b = b[2:]; len(b) < 10*pairs {
 			return o, false
 		}
-		m := map[uint16]int64{}
-		for ; n > 0; n-- {
-			m[binary.LittleEndian.Uint16(b)] = int64(binary.LittleEndian.Uint64(b[2:]))
+		counts := map[uint16]int64{}
+		for ; pairs > 0; pairs-- {
+			counts[binary.LittleEndian.Uint16(b)] = int64(binary.LittleEndian.Uint64(b[2:]))
 			b = b[10:]
 		}
 		if i == 0 {
-			o.first = m
+			o.first = counts
 		} else {
-			o.later = m
+			o.later = counts
 		}
 	}
 	return o, true
 }
 
-// readOutage gives the newer whole half; a slot that is not there says nothing.
+// readOutage returns the newer valid half of the slot, or a zero outage if there is none.
 func readOutage(fs wal.FS) (o outage) {
-	f, err := fs.Open(slotName)
+	f, err := fs.Open(slotFileName)
 	if err != nil {
 		return o
 	}
 	defer f.Close()
 	for i := range int64(2) {
-		b := make([]byte, slotHalf)
-		if _, err := f.ReadAt(b, i*slotHalf); err != nil && err != io.EOF {
+		b := make([]byte, slotHalfBytes)
+		if _, err := f.ReadAt(b, i*slotHalfBytes); err != nil && err != io.EOF {
 			continue
 		}
-		if h, ok := decodeOutage(b); ok && h.count >= o.count {
-			o = h
+		if half, ok := decodeOutage(b); ok && half.count >= o.count {
+			o = half
 		}
 	}
 	return o
 }
 
-// makeSlot lays the slot's bytes out, if they are not there.
-func makeSlot(fs wal.FS) error {
-	if f, err := fs.Open(slotName); err == nil {
+// createSlot allocates the slot unless it exists with its full size.
+func createSlot(fs wal.FS) error {
+	if f, err := fs.Open(slotFileName); err == nil {
 		size, err := f.Size()
 		f.Close()
-		if err == nil && size == 2*slotHalf {
+		if err == nil && size == 2*slotHalfBytes {
 			return nil
 		}
 	}
-	f, err := fs.Create(slotName)
+	f, err := fs.Create(slotFileName)
 	if err != nil {
 		return err
 	}
@@ -134,8 +135,8 @@
 	return err
 }
 
-// write replaces the older half.
+// write overwrites the older half of the slot.
 func (o *outage) write(fs wal.FS) error {
 	o.count++
-	return fs.Patch(slotName, int64(o.count%2)*slotHalf, o.encode())
+	return fs.Patch(slotFileName, int64(o.count%2)*slotHalfBytes, o.encode())
 }
--- a/internal/keeper/write.go
+++ b/internal/keeper/write.go
@@ -9,140 +9,143 @@
 	"larchscale/internal/wal"
 )
 
-// write puts all that waits into the book and the log, as one group.
+// write moves all waiting entries into the in-memory ledger and writes them to the log as one group.
 func (k *Keeper) write() {
-	k.wrote = time.Now()
+	k.lastWrite = time.Now()
 	k.mu.Lock()
-	list, through := k.unfold(k.queue), k.ticket
-	k.queue, k.spare, k.waits = k.spare[:0], list, 0
+	entries, through := k.drainSums(k.queue), k.lastTicket
+	k.queue, k.spare, k.waiting = k.spare[:0], entries, 0
 	k.mu.Unlock()
-	if len(list) == 0 {
+	if len(entries) == 0 {
 		return
 	}
-	kept := list[:0]
-	for _, e := range list {
-		if err := k.book.Enter(e); err != nil { // the book is full, or a sum too large: the rest goes on
+	recorded := entries[:0]
+	for _, e := range entries {
+		// The ledger is full or a sum overflows: the other entries are still written.
+		if err := k.ledger.Enter(e); err != nil {
 			k.log.Error("ledger", "do", "enter", "err", err)
-			k.note(k.book.GapRecord(map[uint16]int64{e.Stand: e.Figures[ledger.Requests]}, e.Ended))
+			k.applyAndAppend(k.ledger.GapRecord(map[uint16]int64{e.Stand: e.Figures[ledger.Requests]}, e.Ended))
 			continue
 		}
-		kept = append(kept, e)
+		recorded = append(recorded, e)
 	}
-	k.through = through
-	if len(kept) == 0 {
+	k.recordedThrough = through
+	if len(recorded) == 0 {
 		return
 	}
-	written := k.down == nil && k.put(ledger.EntriesRecord(kept), k.opt.SyncMs == 0) == nil
+	written := k.outage == nil && k.appendRecord(ledger.EntriesRecord(recorded), k.opt.SyncMs == 0) == nil
 	if !written {
 		counts := map[uint16]int64{}
-		for _, e := range kept {
+		for _, e := range recorded {
 			counts[e.Stand] += e.Figures[ledger.Requests]
 		}
-		written = k.tellMissing(counts)
+		written = k.recordMissing(counts)
 	}
 	if written && k.opt.Mode == Strict {
 		k.sink(core.Booked{Through: through})
 	}
 }
 
-// tellMissing says in the outage slot what would be missing if the box died now.
-func (k *Keeper) tellMissing(counts map[uint16]int64) bool {
-	k.down.add(counts, len(k.down.first) == 0)
+// recordMissing writes to the outage slot how many entries would be missing if the process died now. It reports whether
+// the entries may be confirmed.
+func (k *Keeper) recordMissing(counts map[uint16]int64) bool {
+	k.outage.add(counts, len(k.outage.first) == 0)
 	if k.opt.OnFailure != Gap {
 		return false
 	}
-	k.down.count, k.down.at = k.slots, k.now()
-	err := k.down.write(k.fs)
-	k.slots = k.down.count
+	k.outage.count, k.outage.at = k.slotWrites, k.now()
+	err := k.outage.write(k.fs)
+	k.slotWrites = k.outage.count
 	return err == nil
 }
 
-// put writes a record, and has it on the disk if sync is set; an error begins an outage.
-func (k *Keeper) put(rec []byte, sync bool) error {
-	_, err := k.putAt(rec, sync)
+// appendRecord appends a record, and syncs the log if sync is set. An error begins an outage.
+func (k *Keeper) appendRecord(rec []byte, sync bool) error {
+	_, err := k.appendRecordAt(rec, sync)
 	return err
 }
 
-func (k *Keeper) putAt(rec []byte, sync bool) (wal.Position, error) {
+func (k *Keeper) appendRecordAt(rec []byte, sync bool) (wal.Position, error) {
 	lsn := k.wal.Next()
 	at, err := k.wal.Append(rec)
 	if err == nil && sync {
 		err = k.wal.Sync()
-		k.synced = time.Now()
+		k.lastSync = time.Now()
 	}
 	if err != nil {
-		k.fail(lsn, err)
+		k.beginOutage(lsn, err)
 		return wal.Position{}, err
 	}
 	return at[0], nil
 }
 
-// fail begins an outage: the book goes on in memory until a new segment with all of it can be written.
-func (k *Keeper) fail(lsn uint64, err error) {
-	if k.down != nil {
+// beginOutage begins an outage: entries are kept in memory until a new segment with the whole ledger can be written.
+func (k *Keeper) beginOutage(lsn uint64, err error) {
+	if k.outage != nil {
 		return
 	}
-	k.down = &outage{segment: k.wal.Segment(), lsn: lsn}
+	k.outage = &outage{segment: k.wal.Segment(), lsn: lsn}
 	k.failing.Store(true)
 	k.retry.Reset()
 	k.retryAt = time.Now().Add(k.retry.NextBackOff())
 	k.log.Error("ledger", "do", "write", "on_failure", k.opt.OnFailure, "err", err)
 }
 
-// note applies a record of the keeper's own and writes it; one that cannot be written is in the next segment.
-func (k *Keeper) note(rec []byte) {
-	if err := k.book.Apply(rec); err != nil {
+// applyAndAppend applies a record to the in-memory ledger and writes it. If it cannot be written now, the snapshot in
+// the next segment includes it.
+func (k *Keeper) applyAndAppend(rec []byte) {
+	if err := k.ledger.Apply(rec); err != nil {
 		k.log.Error("ledger", "do", "apply", "err", err)
 		return
 	}
-	if k.down == nil {
-		k.put(rec, false)
+	if k.outage == nil {
+		k.appendRecord(rec, false)
 	}
 }
 
-// promise writes a record so that it is on the disk, and only then applies it.
-func (k *Keeper) promise(rec []byte) (wal.Position, error) {
-	if k.down != nil {
+// commitRecord syncs a record to disk before it applies the record to the in-memory ledger.
+func (k *Keeper) commitRecord(rec []byte) (wal.Position, error) {
+	if k.outage != nil {
 		return wal.Position{}, k.wal.Failed()
 	}
-	at, err := k.putAt(rec, true)
+	at, err := k.appendRecordAt(rec, true)
 	if err != nil {
 		return at, err
 	}
-	if err := k.book.Apply(rec); err != nil { // it was proposed to this book
+	if err := k.ledger.Apply(rec); err != nil { // unexpected, as the record was proposed for this state
 		k.log.Error("ledger", "do", "apply", "err", err)
 		return wal.Position{}, err
 	}
 	return at, nil
 }
 
-// roll begins a new segment with the book and the batches that wait.
-func (k *Keeper) roll() error {
-	keep := [][]byte{k.book.Snapshot()}
-	pending := k.book.Pending()
+// rollSegment begins a new segment with a snapshot of the ledger and the pending batches.
+func (k *Keeper) rollSegment() error {
+	keep := [][]byte{k.ledger.Snapshot()}
+	pending := k.ledger.Pending()
 	for _, s := range pending {
-		bytes, err := k.wal.ReadAt(k.batches[s.Seq])
+		bytes, err := k.wal.ReadAt(k.batchPositions[s.Seq])
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", s.Seq, err)
 		}
 		keep = append(keep, ledger.KeptRecord(bytes))
 	}
-	at, err := k.wal.Roll(keep...)
+	positions, err := k.wal.Roll(keep...)
 	if err != nil {
 		return err
 	}
-	clear(k.batches)
+	clear(k.batchPositions)
 	for i, s := range pending {
-		p := at[i+1]
-		k.batches[s.Seq] = wal.Position{Segment: p.Segment, Offset: p.Offset + 1, Size: p.Size - 1}
+		p := positions[i+1]
+		k.batchPositions[s.Seq] = wal.Position{Segment: p.Segment, Offset: p.Offset + 1, Size: p.Size - 1}
 	}
-	k.synced = time.Now()
-	if k.down != nil {
-		k.log.Info("ledger", "do", "written again", "entries", sum(k.down.first)+sum(k.down.later))
-		k.down = nil
+	k.lastSync = time.Now()
+	if k.outage != nil {
+		k.log.Info("ledger", "do", "written again", "entries", total(k.outage.first)+total(k.outage.later))
+		k.outage = nil
 		k.failing.Store(false)
 		if k.opt.Mode == Strict {
-			k.sink(core.Booked{Through: k.through})
+			k.sink(core.Booked{Through: k.recordedThrough})
 		}
 	}
 	return nil
