--- a/internal/wal/frame.go
+++ b/internal/wal/frame.go
@@ -5,17 +5,17 @@
 	"hash/crc32"
 )
 
-// The layout on disk, all figures little-endian. A file is a header and frames; a frame holds the records of
-// one group, so that a group is there whole or not at all.
+// The layout on disk; all numbers are little-endian. A file is a header followed by frames. A frame holds the records
+// of one group, so that a group is read either completely or not at all.
 //
 //	header (40 bytes): magic "LWALSEG1", format u16, zero u16, segment u32, first LSN u64, owner [12]byte,
-//	                   CRC32-C u32 of all before it
+//	                   CRC32-C u32 of all bytes before it
 //	frame  (32 bytes): mark u32, payload length u32, LSN u64 of its first record, synced u64, records u32,
 //	                   CRC32-C u32 of the 28 bytes before it and the payload
 //	payload:           for each record its length as a uvarint, and its bytes
 //
-// synced says up to which LSN everything was on the disk when the frame was written. It tells damage from a
-// tail that a power cut tore: what lies below a later frame's synced cannot have been torn.
+// synced is the LSN up to which everything was durable when the frame was written. It distinguishes damage from a
+// tail torn by a power failure: whatever lies below the synced LSN of a later frame cannot have been torn.
 const (
 	magic      = "LWALSEG1"
 	format     = 1
@@ -27,7 +27,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Owner names whose log it is. A segment of another owner is not read.
+// Owner identifies the owner of a log. Segments of another owner are refused.
 type Owner [ownerSize]byte
 
 type header struct {
@@ -46,7 +46,8 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-// decodeHeader gives ErrNewer for a whole header of a later format, errHeader for what is none.
+// decodeHeader returns ErrNewer for a valid header of a newer format and errHeader for bytes that are no valid
+// header.
 func decodeHeader(b []byte) (h header, err error) {
 	if len(b) < headerSize || string(b[:8]) != magic ||
 		binary.LittleEndian.Uint32(b[36:]) != crc32.Checksum(b[:36], castagnoli) {
@@ -62,60 +63,64 @@
 }
 
 type frame struct {
-	size    int // of the payload
-	lsn     uint64
-	synced  uint64
-	records uint32
-	sum     uint32
+	size     int // payload bytes
+	lsn      uint64
+	synced   uint64
+	records  uint32
+	checksum uint32
 }
 
-// appendFrame adds the frame of a group to b.
+// appendFrame appends the frame of a group to b.
 func appendFrame(b []byte, lsn, synced uint64, records [][]byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, make([]byte, frameSize)...)
 	for _, r := range records {
 		b = binary.AppendUvarint(b, uint64(len(r)))
 		b = append(b, r...)
 	}
-	h := b[at:]
-	binary.LittleEndian.PutUint32(h, frameMark)
-	binary.LittleEndian.PutUint32(h[4:], uint32(len(h)-frameSize))
-	binary.LittleEndian.PutUint64(h[8:], lsn)
-	binary.LittleEndian.PutUint64(h[16:], synced)
-	binary.LittleEndian.PutUint32(h[24:], uint32(len(records)))
-	binary.LittleEndian.PutUint32(h[28:], frameSum(h[:28], h[frameSize:]))
+	encoded := b[start:]
+	binary.LittleEndian.PutUint32(encoded, frameMark)
+	binary.LittleEndian.PutUint32(encoded[4:], uint32(len(encoded)-frameSize))
+	binary.LittleEndian.PutUint64(encoded[8:], lsn)
+	binary.LittleEndian.PutUint64(encoded[16:], synced)
+	binary.LittleEndian.PutUint32(encoded[24:], uint32(len(records)))
+	binary.LittleEndian.PutUint32(encoded[28:], frameChecksum(encoded[:28], encoded[frameSize:]))
 	return b
 }
 
-func frameSum(head, payload []byte) uint32 {
+func frameChecksum(head, payload []byte) uint32 {
 	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, payload)
 }
 
-// decodeFrame reads the fixed part; false = it is none. Its sum is checked against the payload by whole.
+// decodeFrame decodes the fixed part of a frame. It returns false if the bytes are no frame header. The checksum is
+// verified by checksumMatches, which needs the payload.
 func decodeFrame(b []byte) (f frame, ok bool) {
 	if len(b) < frameSize || binary.LittleEndian.Uint32(b) != frameMark {
 		return f, false
 	}
 	f = frame{size: int(binary.LittleEndian.Uint32(b[4:])), lsn: binary.LittleEndian.Uint64(b[8:]),
-		synced: binary.LittleEndian.Uint64(b[16:]), records: binary.LittleEndian.Uint32(b[24:]), sum: binary.LittleEndian.Uint32(b[28:])}
+		synced: binary.LittleEndian.Uint64(b[16:]), records: binary.LittleEndian.Uint32(b[24:]), checksum: binary.LittleEndian.Uint32(b[28:])}
 	return f, f.size <= maxFrame && int64(f.records) <= int64(f.size)
 }
 
-func (f frame) whole(head, payload []byte) bool { return frameSum(head[:28], payload) == f.sum }
+func (f frame) checksumMatches(head, payload []byte) bool {
+	return frameChecksum(head[:28], payload) == f.checksum
+}
 
-// split gives the records of a payload to do, with the place of each in it. False = the lengths do not add up.
-func (f frame) split(payload []byte, do func(offset int, record []byte) error) (bool, error) {
-	at := 0
+// forEachRecord passes each record of a payload to do, with its offset in the payload. It returns false if the record
+// lengths do not match the payload.
+func (f frame) forEachRecord(payload []byte, do func(offset int, record []byte) error) (bool, error) {
+	position := 0
 	for range f.records {
-		n, w := binary.Uvarint(payload[at:])
-		if w <= 0 || n > uint64(len(payload)-at-w) {
+		length, prefixSize := binary.Uvarint(payload[position:])
+		if prefixSize <= 0 || length > uint64(len(payload)-position-prefixSize) {
 			return false, nil
 		}
-		at += w
-		if err := do(at, payload[at:at+int(n):at+int(n)]); err != nil {
+		position += prefixSize
+		if err := do(position, payload[position:position+int(length):position+int(length)]); err != nil {
 			return true, err
 		}
-		at += int(n)
+		position += int(length)
 	}
-	return at == len(payload), nil
+	return position == len(payload), nil
 }
--- a/internal/wal/fs.go
+++ b/internal/wal/fs.go
@@ -9,20 +9,20 @@
 	"syscall"
 )
 
-// FS is the file system that a log lies on: one flat directory. What File.Sync and SyncDir have returned for
-// is on the disk; of the rest a power cut leaves any part. Errors are those of package os.
+// FS is a flat directory that holds a log. Data is durable once File.Sync or SyncDir has returned for it; a power
+// failure may leave any part of the rest. Errors are those of package os.
 type FS interface {
-	Create(name string) (File, error) // a new file, or an old one made empty
-	Open(name string) (File, error)   // for reading
-	List() ([]string, error)          // the names in the directory, sorted
+	Create(name string) (File, error) // creates a file or truncates an existing one
+	Open(name string) (File, error)   // opens an existing file for reading
+	List() ([]string, error)          // returns the names in the directory, sorted
 	Rename(from, to string) error
 	Remove(name string) error
 	SyncDir() error
-	// Patch writes over bytes that a file has, which needs no room, and syncs them.
+	// Patch overwrites existing bytes of a file, which needs no free space, and syncs them.
 	Patch(name string, at int64, b []byte) error
 }
 
-// File is one file of an FS. Writes go to its end.
+// File is an open file of an FS. Writes append to it.
 type File interface {
 	io.Writer
 	io.ReaderAt
@@ -31,16 +31,16 @@
 	Sync() error
 }
 
-// ErrLocked is a directory that another process owns.
+// ErrLocked reports a directory that another process has locked.
 var ErrLocked = errors.New("in use by another process")
 
-// Dir is a directory of the machine as an FS.
+// Dir implements FS on a directory of the operating system.
 type Dir string
 
-// Make creates the directory.
+// Make creates the directory and its parents.
 func (d Dir) Make() error { return os.MkdirAll(string(d), 0o750) }
 
-// Lock takes the directory for this process until the file it gives is closed, however the process ends.
+// Lock locks the directory for this process until the returned file is closed or the process ends.
 func (d Dir) Lock() (io.Closer, error) {
 	f, err := os.OpenFile(d.path("lock"), os.O_CREATE|os.O_RDWR, 0o640)
 	if err != nil {
@@ -60,16 +60,16 @@
 
 // Create implements FS.
 func (d Dir) Create(name string) (File, error) {
-	return file(os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR|os.O_APPEND, 0o640))
+	return wrapFile(os.OpenFile(d.path(name), os.O_CREATE|os.O_TRUNC|os.O_RDWR|os.O_APPEND, 0o640))
 }
 
-// Open implements FS. A file that may not be written is opened for reading alone.
+// Open implements FS. A file without write permission is opened read-only.
 func (d Dir) Open(name string) (File, error) {
 	f, err := os.OpenFile(d.path(name), os.O_RDWR|os.O_APPEND, 0)
 	if errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EROFS) {
 		f, err = os.Open(d.path(name))
 	}
-	return file(f, err)
+	return wrapFile(f, err)
 }
 
 // List implements FS.
@@ -114,7 +114,7 @@
 
 type osFile struct{ *os.File }
 
-func file(f *os.File, err error) (File, error) {
+func wrapFile(f *os.File, err error) (File, error) {
 	if err != nil {
 		return nil, err
 	}
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -1,6 +1,6 @@
-// Package wal is a durable log of records on one directory: appended in groups, read again after a crash,
-// and rolled over to a new segment that begins with what must be kept. Records are bytes to it. Its owner
-// calls it from one goroutine, but for ReadAt.
+// Package wal implements a durable log of records in one directory. Records are appended in groups, read again after
+// a crash, and carried over to a new segment that begins with the records that must be kept. The log does not
+// interpret records. All methods except ReadAt must be called from one goroutine.
 package wal
 
 import (
@@ -10,82 +10,82 @@
 	"sync"
 )
 
-// Bounds of one record and one frame: no length read from a file sizes more memory than this.
+// Size limits of a record and a frame. They bound the memory that a length read from a file can request.
 const (
 	MaxRecord = 4 << 20
 	maxFrame  = 8 << 20
 )
 
-// ErrFailed is a log whose segment could not be written or synced. What was written since the last good Sync
-// is promised to nobody; Roll begins a new segment.
+// ErrFailed reports a log whose segment could not be written or synced. Records written since the last successful
+// Sync are not durable; Roll begins a new segment.
 var ErrFailed = errors.New("the log's segment has failed")
 
-// ErrLarge is a record over MaxRecord, or a group over a frame.
+// ErrLarge reports a record larger than MaxRecord or a group larger than a frame.
 var ErrLarge = errors.New("record too large")
 
-// Options say how a log is kept.
+// Options configures a log.
 type Options struct {
 	FS      FS
 	Owner   Owner
-	Segment int64 // bytes after which Full tells to roll
+	Segment int64 // size in bytes from which Full returns true
 }
 
 // Log is an open log.
 type Log struct {
-	opt    Options
-	buf    []byte
-	next   uint64 // LSN of the next record
-	synced uint64 // all before it is on the disk
-	failed error
-	count  uint32   // of the newest segment, tries to make one included
-	stale  []string // files that the next Roll removes
+	opt         Options
+	buf         []byte
+	next        uint64 // LSN of the next record
+	synced      uint64 // all records before this LSN are durable
+	failed      error
+	lastSegment uint32   // number of the newest segment, counting failed attempts to create one
+	staleFiles  []string // files that the next Roll removes
 
-	mu   sync.Mutex // of what ReadAt needs too
-	seg  *segment   // the newest; nil = none yet
-	kept int64      // its size when it was new
-	file File       // seg, open
+	mu          sync.Mutex // protects the fields that ReadAt uses
+	seg         *segment   // the newest segment; nil before the first Roll of an empty log
+	initialSize int64      // size of seg after it was created
+	file        File       // open file of seg
 }
 
-// Recovered tells what Open found.
+// Recovered is the result of reading a log at Open.
 type Recovered struct {
 	Records uint64
-	Cut     *Cut // a torn tail, which the next Roll leaves behind
+	Cut     *Cut // a torn tail, which the next Roll leaves behind; nil if there is none
 }
 
-// Open reads a log from its first record on, and gives each to visit. Nothing is written: the first Roll
-// begins a segment of this opening, so that a torn tail is never written after.
+// Open reads the newest segment of a log and passes each record to visit. It writes nothing: the first Roll begins a
+// new segment, so that records are never appended after a torn tail.
 func Open(opt Options, visit Visit) (*Log, Recovered, error) {
 	if opt.Segment <= 0 {
 		opt.Segment = 8 << 20
 	}
-	l := &Log{opt: opt, next: 1, failed: ErrFailed} // nothing is appended before Roll
-	name, all, err := newest(opt.FS)
+	l := &Log{opt: opt, next: 1, failed: ErrFailed} // Append fails until the first Roll
+	name, names, err := findNewest(opt.FS)
 	if err != nil {
 		return nil, Recovered{}, err
 	}
-	l.stale = all
-	var got Recovered
+	l.staleFiles = names
+	var recovered Recovered
 	if name != "" {
-		s, err := scan(opt.FS, name, opt.Owner, visit)
+		newest, err := scanSegment(opt.FS, name, opt.Owner, visit)
 		if err != nil {
-			return nil, got, err
+			return nil, recovered, err
 		}
 		if l.file, err = opt.FS.Open(name); err != nil {
-			return nil, got, err
+			return nil, recovered, err
 		}
-		l.seg, l.next, l.count, got.Records = s, s.next, s.segment, s.next-s.first
-		if s.tail.Bytes > 0 {
-			got.Cut = &s.tail
+		l.seg, l.next, l.lastSegment, recovered.Records = newest, newest.next, newest.segment, newest.next-newest.first
+		if newest.tornTail.Bytes > 0 {
+			recovered.Cut = &newest.tornTail
 		}
 	}
 	l.synced = l.next
-	return l, got, nil
+	return l, recovered, nil
 }
 
-// Next is the LSN that the next record gets.
+// Next returns the LSN of the next record.
 func (l *Log) Next() uint64 { return l.next }
 
-// Segment is the number of the newest segment; 0 = there is none.
+// Segment returns the number of the newest segment, or 0 if there is none.
 func (l *Log) Segment() uint32 {
 	if l.seg == nil {
 		return 0
@@ -93,22 +93,22 @@
 	return l.seg.segment
 }
 
-// Failed tells why the newest segment takes nothing more; nil = it does.
+// Failed returns the reason why the newest segment takes no more records, or nil if it does.
 func (l *Log) Failed() error { return l.failed }
 
-// Full tells that the newest segment has its size, beside what it began with.
-func (l *Log) Full() bool { return l.seg.size-l.kept >= l.opt.Segment }
+// Full reports whether the newest segment has reached its size limit, not counting the records that it began with.
+func (l *Log) Full() bool { return l.seg.size-l.initialSize >= l.opt.Segment }
 
-// Size is the bytes of the newest segment.
+// Size returns the bytes of the newest segment.
 func (l *Log) Size() int64 {
 	if l.seg == nil {
 		return 0
 	}
-	return l.seg.size + l.seg.tail.Bytes
+	return l.seg.size + l.seg.tornTail.Bytes
 }
 
-// Append writes a group as one frame and gives the place of each record. After an error the group is not in
-// the log, and nothing more is taken until Roll.
+// Append writes a group as one frame and returns the position of each record. After an error the group is not in the
+// log, and nothing more can be appended until Roll.
 func (l *Log) Append(records ...[]byte) ([]Position, error) {
 	if l.failed != nil {
 		return nil, l.failed
@@ -131,11 +131,11 @@
 		l.failed = fmt.Errorf("%w: %w", ErrFailed, err)
 		return nil, l.failed
 	}
-	at := make([]Position, len(records))
+	positions := make([]Position, len(records))
 	offset := s.size + frameSize
 	for i, r := range records {
 		offset += int64(uvarintSize(len(r)))
-		at[i] = Position{s.segment, offset, len(r)}
+		positions[i] = Position{s.segment, offset, len(r)}
 		offset += int64(len(r))
 	}
 	l.mu.Lock()
@@ -143,10 +143,10 @@
 	s.next += uint64(len(records))
 	l.mu.Unlock()
 	l.next = s.next
-	if cap(l.buf) > 1<<20 { // a large group is rare, and its room is not kept
+	if cap(l.buf) > 1<<20 { // large groups are rare, so their buffer is not kept
 		l.buf = nil
 	}
-	return at, nil
+	return positions, nil
 }
 
 func uvarintSize(n int) (size int) {
@@ -156,8 +156,8 @@
 	return size
 }
 
-// Sync has all that was appended on the disk. After an error it is not known what is: the segment is done for,
-// as a second sync that succeeds would prove nothing.
+// Sync makes all appended records durable. After an error it is unknown which records are, so the segment counts as
+// failed: a later successful sync would prove nothing about them.
 func (l *Log) Sync() error {
 	if l.failed != nil {
 		return l.failed
@@ -173,56 +173,57 @@
 	return nil
 }
 
-// Roll begins a new segment with the records that must be kept, syncs it, and drops the one before. Each record
-// is a frame of its own. It is also the way out of a failed segment, as the new one rests on none of its writes.
-// A crash in it leaves the old segment or the new one, each whole. After an error the log stays failed: were the
-// old segment written on, a new one that did get its name would hide that.
+// Roll begins a new segment with the records that must be kept, one frame each, syncs it, and removes the previous
+// one. It also recovers from a failed segment, because the new one depends on none of its writes. A crash during Roll
+// leaves either the old segment or the new one complete. After an error the log stays failed: if records were
+// appended to the old segment, a new segment that did get its final name would hide them.
 func (l *Log) Roll(keep ...[]byte) ([]Position, error) {
-	l.count++
-	s := &segment{header: header{l.count, l.next, l.opt.Owner}, name: segmentName(l.count), size: headerSize, next: l.next}
-	was, synced := l.next, l.synced
-	at, f, err := l.fill(s, keep)
-	l.stale = append(l.stale, s.name+"-new")
+	l.lastSegment++
+	next := &segment{header: header{l.lastSegment, l.next, l.opt.Owner}, name: segmentName(l.lastSegment), size: headerSize, next: l.next}
+	oldNext, oldSynced := l.next, l.synced
+	positions, f, err := l.writeSegment(next, keep)
+	l.staleFiles = append(l.staleFiles, next.name+"-new")
 	if err != nil {
-		l.next, l.synced = was, synced
+		l.next, l.synced = oldNext, oldSynced
 		if f != nil {
 			f.Close()
 		}
-		l.stale = append(l.stale, s.name)
-		l.sweep("") // makes room on a full disk
+		l.staleFiles = append(l.staleFiles, next.name)
+		l.removeStale("") // frees space on a full disk
 		l.failed = fmt.Errorf("%w: %w", ErrFailed, err)
 		return nil, l.failed
 	}
 	l.mu.Lock()
 	if l.seg != nil {
-		l.stale = append(l.stale, l.seg.name)
+		l.staleFiles = append(l.staleFiles, l.seg.name)
 	}
 	if l.file != nil {
 		l.file.Close()
 	}
-	l.seg, l.file, l.kept = s, f, s.size
+	l.seg, l.file, l.initialSize = next, f, next.size
 	l.mu.Unlock()
 	l.failed, l.synced = nil, l.next
-	l.sweep(s.name)
-	return at, nil
+	l.removeStale(next.name)
+	return positions, nil
 }
 
-// sweep removes what is not needed, but for the file named; what cannot be removed is tried again.
-func (l *Log) sweep(but string) {
-	var left []string
-	for _, name := range l.stale {
-		if name == but || l.seg != nil && name == l.seg.name {
+// removeStale removes the stale files except the one named. Files that cannot be removed are tried again in the next
+// sweep.
+func (l *Log) removeStale(keep string) {
+	var remaining []string
+	for _, name := range l.staleFiles {
+		if name == keep || l.seg != nil && name == l.seg.name {
 			continue
 		}
 		if err := l.opt.FS.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			left = append(left, name)
+			remaining = append(remaining, name)
 		}
 	}
-	l.stale = left
+	l.staleFiles = remaining
 }
 
-// fill makes the file of s. It gets its name once all of it is on the disk.
-func (l *Log) fill(s *segment, keep [][]byte) (at []Position, f File, err error) {
+// writeSegment writes the file of s and renames it to its final name once it is durable.
+func (l *Log) writeSegment(s *segment, keep [][]byte) (positions []Position, f File, err error) {
 	f, err = l.opt.FS.Create(s.name + "-new")
 	if err != nil {
 		return nil, nil, err
@@ -235,7 +236,7 @@
 		if err != nil {
 			return nil, f, err
 		}
-		at = append(at, p...)
+		positions = append(positions, p...)
 	}
 	if err = f.Sync(); err != nil {
 		return nil, f, err
@@ -243,10 +244,11 @@
 	if err = l.opt.FS.Rename(s.name+"-new", s.name); err != nil {
 		return nil, f, err
 	}
-	return at, f, l.opt.FS.SyncDir()
+	return positions, f, l.opt.FS.SyncDir()
 }
 
-// ReadAt reads a record again. It may be called beside the owner; ErrGone is a place that Roll has dropped.
+// ReadAt reads a record again. It may be called from any goroutine. It returns ErrGone if Roll has removed the
+// segment.
 func (l *Log) ReadAt(p Position) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -260,10 +262,10 @@
 	return b, nil
 }
 
-// ErrGone is a place in a segment that is no longer there.
-var ErrGone = errors.New("the record's segment is gone")
+// ErrGone reports a position in a segment that has been removed.
+var ErrGone = errors.New("the record's segment was removed")
 
-// Close closes the file; it syncs nothing.
+// Close closes the file without syncing it.
 func (l *Log) Close() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -21,14 +21,14 @@
 
 var owner = wal.Owner{1, 2, 3}
 
-func open(t testing.TB, d wal.FS) (*wal.Log, []string, wal.Recovered, error) {
+func open(t testing.TB, disk wal.FS) (*wal.Log, []string, wal.Recovered, error) {
 	t.Helper()
 	var got []string
-	l, r, err := wal.Open(wal.Options{FS: d, Owner: owner}, func(_ uint64, _ wal.Position, b []byte) error {
+	log, recovered, err := wal.Open(wal.Options{FS: disk, Owner: owner}, func(_ uint64, _ wal.Position, b []byte) error {
 		got = append(got, string(b))
 		return nil
 	})
-	return l, got, r, err
+	return log, got, recovered, err
 }
 
 func must[T any](t testing.TB, v T, err error) T {
@@ -39,13 +39,13 @@
 	return v
 }
 
-// filled is a disk whose log holds the checkpoint "keep" and then groups of records, each of them synced.
-func filled(t testing.TB, groups ...[]string) *faultfs.Disk {
+// diskWithLog returns a disk with a log that holds the record "keep" and then groups of records, each of them synced.
+func diskWithLog(t testing.TB, groups ...[]string) *faultfs.Disk {
 	t.Helper()
-	d := faultfs.New(1)
-	l, _, _, err := open(t, d)
+	disk := faultfs.New(1)
+	log, _, _, err := open(t, disk)
 	if err == nil {
-		_, err = l.Roll([]byte("keep"))
+		_, err = log.Roll([]byte("keep"))
 	}
 	for _, g := range groups {
 		var b [][]byte
@@ -53,21 +53,21 @@
 			b = append(b, []byte(r))
 		}
 		if err == nil {
-			_, err = l.Append(b...)
+			_, err = log.Append(b...)
 		}
 		if err == nil {
-			err = l.Sync()
+			err = log.Sync()
 		}
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return disk
 }
 
 var groups = [][]string{{"one", "two"}, {"three"}, {"", "five", string(bytes.Repeat([]byte("6"), 200))}, {"seven"}, {"eight"}}
 
-func flat(n int) []string {
+func recordsOf(n int) []string {
 	out := []string{"keep"}
 	for _, g := range groups[:n] {
 		out = append(out, g...)
@@ -75,16 +75,16 @@
 	return out
 }
 
-const first = "0000000001.wal"
+const firstSegment = "0000000001.wal"
 
-// A file cut at any byte gives whole groups from the start on, and never a part of one.
-func TestCutAtEveryByte(t *testing.T) {
-	whole := filled(t, groups...).Bytes(first)
+// Checks that a segment truncated at any byte yields a sequence of complete groups and never part of one.
+func TestTruncationAtEveryByte(t *testing.T) {
+	whole := diskWithLog(t, groups...).Bytes(firstSegment)
 	for n := range whole {
-		d := faultfs.New(1)
-		d.Put(first, whole[:n])
-		_, got, _, err := open(t, d)
-		if n < 40 { // the name comes after the header is on the disk: this is damage
+		disk := faultfs.New(1)
+		disk.Put(firstSegment, whole[:n])
+		_, got, _, err := open(t, disk)
+		if n < 40 { // the file gets its name once the header is durable, so this is damage
 			if err == nil {
 				t.Fatalf("%d: no error", n)
 			}
@@ -95,7 +95,7 @@
 		}
 		ok := len(got) == 0
 		for i := range len(groups) + 1 {
-			ok = ok || cmp.Equal(got, flat(i))
+			ok = ok || cmp.Equal(got, recordsOf(i))
 		}
 		if !ok {
 			t.Fatalf("%d: %q", n, got)
@@ -103,148 +103,148 @@
 	}
 }
 
-// A flipped byte before what a later frame calls synced is named as damage. In the last frame it cannot be
-// told from a torn write, and they are cut.
-func TestFlipOfEveryByte(t *testing.T) {
-	whole := filled(t, groups...).Bytes(first)
+// Checks that a flipped bit is reported as damage if a later frame shows that the byte was durable. In the last frame
+// damage cannot be told from a torn write, so the frame is cut off.
+func TestBitFlipInEveryByte(t *testing.T) {
+	whole := diskWithLog(t, groups...).Bytes(firstSegment)
 	for n := range whole {
 		for _, bit := range []byte{1, 0x80} {
-			d := faultfs.New(1)
+			disk := faultfs.New(1)
 			b := bytes.Clone(whole)
 			b[n] ^= bit
-			d.Put(first, b)
-			_, got, r, err := open(t, d)
+			disk.Put(firstSegment, b)
+			_, got, r, err := open(t, disk)
 			var damage *wal.DamageError
 			switch {
 			case errors.As(err, &damage), errors.Is(err, wal.ErrForeign), errors.Is(err, wal.ErrNewer):
 			case err != nil:
 				t.Fatalf("%d: %v", n, err)
-			case r.Cut == nil || !cmp.Equal(got, flat(len(groups)-1)):
-				t.Fatalf("%d: unseen: %q", n, got)
+			case r.Cut == nil || !cmp.Equal(got, recordsOf(len(groups)-1)):
+				t.Fatalf("%d: not detected: %q", n, got)
 			}
 		}
 	}
 }
 
-// A log is its owner's; what a later version or another box wrote is not read.
-func TestForeignAndNewer(t *testing.T) {
-	d := filled(t, groups...)
-	if _, _, err := wal.Open(wal.Options{FS: d, Owner: wal.Owner{9}}, nil); !errors.Is(err, wal.ErrForeign) {
+// Checks that a log of another owner, of a newer version or under another segment's name is refused.
+func TestOtherOwnerAndNewerFormat(t *testing.T) {
+	disk := diskWithLog(t, groups...)
+	if _, _, err := wal.Open(wal.Options{FS: disk, Owner: wal.Owner{9}}, nil); !errors.Is(err, wal.ErrForeign) {
 		t.Errorf("foreign: %v", err)
 	}
-	newer := d.Bytes(first)
+	newer := disk.Bytes(firstSegment)
 	newer[8] = 2
 	binary.LittleEndian.PutUint32(newer[36:], crc32.Checksum(newer[:36], crc32.MakeTable(crc32.Castagnoli)))
 	e := faultfs.New(1)
-	e.Put(first, newer)
-	if _, _, _, err := open(t, e); !errors.Is(err, wal.ErrNewer) || !strings.Contains(err.Error(), first) {
+	e.Put(firstSegment, newer)
+	if _, _, _, err := open(t, e); !errors.Is(err, wal.ErrNewer) || !strings.Contains(err.Error(), firstSegment) {
 		t.Errorf("newer: %v", err)
 	}
-	d.Put("0000000007.wal", d.Bytes(first))
-	if _, _, _, err := open(t, d); !errors.Is(err, wal.ErrForeign) {
+	disk.Put("0000000007.wal", disk.Bytes(firstSegment))
+	if _, _, _, err := open(t, disk); !errors.Is(err, wal.ErrForeign) {
 		t.Errorf("another segment's name: %v", err)
 	}
 }
 
-// After a failed sync or write nothing is promised until a new segment stands, and that rests on nothing of
-// the old one.
+// Checks that after a failed sync or write nothing counts as durable until a new segment is written, and that the new
+// segment does not depend on the old one.
 func TestFailureIsStickyUntilRoll(t *testing.T) {
 	for _, op := range []string{"sync", "write"} {
 		for _, errno := range []error{syscall.EIO, syscall.ENOSPC} {
-			d := filled(t)
-			l, _, _, _ := open(t, d)
-			must(t, 0, func() error { _, err := l.Roll([]byte("a")); return err }())
-			d.FailWith(func(o string, _ int) error {
+			disk := diskWithLog(t)
+			log, _, _, _ := open(t, disk)
+			must(t, 0, func() error { _, err := log.Roll([]byte("a")); return err }())
+			disk.FailWith(func(o string, _ int) error {
 				if o == op {
 					return errno
 				}
 				return nil
 			})
-			_, err := l.Append([]byte("b"))
+			_, err := log.Append([]byte("b"))
 			if err == nil {
-				err = l.Sync()
+				err = log.Sync()
 			}
 			if !errors.Is(err, errno) || !errors.Is(err, wal.ErrFailed) {
 				t.Fatalf("%s: %v", op, err)
 			}
-			if _, err := l.Roll([]byte("a+b")); !errors.Is(err, errno) {
+			if _, err := log.Roll([]byte("a+b")); !errors.Is(err, errno) {
 				t.Fatalf("%s: roll: %v", op, err)
 			}
-			d.FailWith(nil)
-			if l.Sync() == nil {
-				t.Fatalf("%s: a second sync promises", op)
+			disk.FailWith(nil)
+			if log.Sync() == nil {
+				t.Fatalf("%s: a second sync succeeds", op)
 			}
-			if _, err := l.Append([]byte("c")); err == nil {
-				t.Fatalf("%s: a failed log takes records", op)
+			if _, err := log.Append([]byte("c")); err == nil {
+				t.Fatalf("%s: a failed log accepts records", op)
 			}
-			must(t, 0, func() error { _, err := l.Roll([]byte("a+b")); return err }())
-			d.CutPower()
-			d.Restart()
-			if _, got, _, err := open(t, d); err != nil || !cmp.Equal(got, []string{"a+b"}) {
+			must(t, 0, func() error { _, err := log.Roll([]byte("a+b")); return err }())
+			disk.CutPower()
+			disk.Restart()
+			if _, got, _, err := open(t, disk); err != nil || !cmp.Equal(got, []string{"a+b"}) {
 				t.Fatalf("%s: %q, %v", op, got, err)
 			}
 		}
 	}
 }
 
-// Power fails at every operation of a roll: the old segment is there whole, or the new one.
+// Checks that after a power failure at any operation of a roll either the old segment or the new one is complete.
 func TestPowerCutAtEveryOperationOfARoll(t *testing.T) {
 	for seed := range uint64(20) {
 		for n := 1; ; n++ {
-			d := faultfs.New(seed)
-			l, _, _, _ := open(t, d)
-			must(t, 0, func() error { _, err := l.Roll([]byte("old")); return err }())
-			must(t, 0, func() error { _, err := l.Append([]byte("more")); return err }())
-			must(t, 0, l.Sync())
-			from := d.Ops()
-			d.FailWith(func(_ string, op int) error {
-				if op-from == n {
+			disk := faultfs.New(seed)
+			log, _, _, _ := open(t, disk)
+			must(t, 0, func() error { _, err := log.Roll([]byte("old")); return err }())
+			must(t, 0, func() error { _, err := log.Append([]byte("more")); return err }())
+			must(t, 0, log.Sync())
+			startOps := disk.Ops()
+			disk.FailWith(func(_ string, op int) error {
+				if op-startOps == n {
 					return faultfs.ErrPower
 				}
 				return nil
 			})
-			_, err := l.Roll([]byte("new"), []byte("kept"))
-			over := d.Ops()-from < n
-			d.CutPower()
-			d.Restart()
-			_, got, _, err2 := open(t, d)
-			old, fresh := cmp.Equal(got, []string{"old", "more"}), cmp.Equal(got, []string{"new", "kept"})
-			if err2 != nil || !old && !fresh || err == nil && old {
+			_, err := log.Roll([]byte("new"), []byte("kept"))
+			completed := disk.Ops()-startOps < n
+			disk.CutPower()
+			disk.Restart()
+			_, got, _, err2 := open(t, disk)
+			isOld, isNew := cmp.Equal(got, []string{"old", "more"}), cmp.Equal(got, []string{"new", "kept"})
+			if err2 != nil || !isOld && !isNew || err == nil && isOld {
 				t.Fatalf("seed %d, operation %d: %q, %v; roll: %v", seed, n, got, err2, err)
 			}
-			if over {
+			if completed {
 				break
 			}
 		}
 	}
 }
 
-// machine is a log beside a model of it: what was synced must be there after a power cut, what was written
-// after a kill, in order, with nothing else.
+// Compares a log with a model: synced records must exist after a power failure and written records after a kill, in
+// order and with nothing else.
 func TestLogAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := faultfs.New(rapid.Uint64().Draw(t, "seed"))
-		var l *wal.Log
-		var all []string // written, and how many of them are synced
+		disk := faultfs.New(rapid.Uint64().Draw(t, "seed"))
+		var log *wal.Log
+		var written []string // the first synced of these records are durable
 		synced, n := 0, 0
 		reopen := func() {
 			var got []string
 			var err error
-			l, _, err = wal.Open(wal.Options{FS: d, Owner: owner}, func(_ uint64, _ wal.Position, b []byte) error {
+			log, _, err = wal.Open(wal.Options{FS: disk, Owner: owner}, func(_ uint64, _ wal.Position, b []byte) error {
 				got = append(got, string(b))
 				return nil
 			})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(got) < synced || len(got) > len(all) || !cmp.Equal(got, all[:len(got)]) && len(got) > 0 {
-				t.Fatalf("got %q of %q, %d synced", got, all, synced)
+			if len(got) < synced || len(got) > len(written) || !cmp.Equal(got, written[:len(got)]) && len(got) > 0 {
+				t.Fatalf("got %q of %q, %d synced", got, written, synced)
 			}
-			all = all[:len(got)]
-			if _, err := l.Roll(bytesOf(all)...); err != nil {
+			written = written[:len(got)]
+			if _, err := log.Roll(encodeAll(written)...); err != nil {
 				t.Fatal(err)
 			}
-			synced = len(all)
+			synced = len(written)
 		}
 		reopen()
 		t.Repeat(map[string]func(*rapid.T){
@@ -254,57 +254,57 @@
 					n++
 					group = append(group, fmt.Sprintf("%d%s", n, bytes.Repeat([]byte("x"), rapid.IntRange(0, 600).Draw(t, "size"))))
 				}
-				at, err := l.Append(bytesOf(group)...)
+				at, err := log.Append(encodeAll(group)...)
 				if err != nil {
 					t.Fatal(err)
 				}
 				for i, p := range at {
-					if b, err := l.ReadAt(p); err != nil || string(b) != group[i] {
+					if b, err := log.ReadAt(p); err != nil || string(b) != group[i] {
 						t.Fatalf("%v: %q, %v", p, b, err)
 					}
 				}
-				all = append(all, group...)
+				written = append(written, group...)
 			},
 			"sync": func(t *rapid.T) {
-				if err := l.Sync(); err != nil {
+				if err := log.Sync(); err != nil {
 					t.Fatal(err)
 				}
-				synced = len(all)
+				synced = len(written)
 			},
 			"roll": func(t *rapid.T) {
-				if _, err := l.Roll(bytesOf(all)...); err != nil {
+				if _, err := log.Roll(encodeAll(written)...); err != nil {
 					t.Fatal(err)
 				}
-				synced = len(all)
+				synced = len(written)
 			},
-			"kill":  func(*rapid.T) { d.Kill(); synced = len(all); reopen() },
-			"power": func(*rapid.T) { d.CutPower(); d.Restart(); reopen() },
+			"kill":  func(*rapid.T) { disk.Kill(); synced = len(written); reopen() },
+			"power": func(*rapid.T) { disk.CutPower(); disk.Restart(); reopen() },
 		})
 	})
 }
 
-func bytesOf(list []string) (out [][]byte) {
+func encodeAll(list []string) (out [][]byte) {
 	for _, s := range list {
 		out = append(out, []byte(s))
 	}
 	return out
 }
 
-// Whatever the bytes of a segment are, reading them ends without a panic.
+// Checks that reading a segment of arbitrary bytes ends without a panic.
 func FuzzOpen(f *testing.F) {
-	f.Add(filled(f, groups...).Bytes(first))
+	f.Add(diskWithLog(f, groups...).Bytes(firstSegment))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d := faultfs.New(1)
-		d.Put(first, b)
-		open(t, d)
+		disk := faultfs.New(1)
+		disk.Put(firstSegment, b)
+		open(t, disk)
 	})
 }
 
 func BenchmarkAppend(b *testing.B) {
-	d := wal.Dir(b.TempDir())
-	l, _, err := wal.Open(wal.Options{FS: d, Owner: owner}, nil)
+	disk := wal.Dir(b.TempDir())
+	log, _, err := wal.Open(wal.Options{FS: disk, Owner: owner}, nil)
 	if err == nil {
-		_, err = l.Roll()
+		_, err = log.Roll()
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -312,7 +312,7 @@
 	r := make([]byte, 28)
 	rand.NewChaCha8([32]byte{}).Read(r)
 	for b.Loop() {
-		if _, err := l.Append(r); err != nil {
+		if _, err := log.Append(r); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -9,21 +9,20 @@
 	"strings"
 )
 
-// ErrNewer is a file of a format that this program does not know.
+// ErrNewer reports a file of a format newer than this program supports.
 var ErrNewer = errors.New("written by a newer version")
 
-// ErrForeign is a segment of another owner's log.
-var ErrForeign = errors.New("it belongs to another log")
+// ErrForeign reports a segment that belongs to another log.
+var ErrForeign = errors.New("the segment belongs to another log")
 
-var errHeader = errors.New("no header of a segment")
+var errHeader = errors.New("invalid segment header")
 
-// DamageError names records that were on the disk and cannot be read. Nothing of the log is changed by
-// finding them.
+// DamageError reports durable records that can no longer be read. Detecting the damage does not change the log.
 type DamageError struct {
 	File   string
-	Offset int64  // where reading failed
-	From   uint64 // LSN of the first record that is missing
-	Before uint64 // LSN of the first that can be read after it; 0 = none can
+	Offset int64  // offset at which reading failed
+	From   uint64 // LSN of the first missing record; 0 if the header is damaged
+	Before uint64 // LSN of the first readable record after them; 0 if there is none
 }
 
 func (e *DamageError) Error() string {
@@ -36,59 +35,60 @@
 	return fmt.Sprintf("%s: damaged at byte %d, records %d to %d", e.File, e.Offset, e.From, e.Before-1)
 }
 
-// Cut tells of a tail that was never on the disk whole.
+// Cut describes a torn tail, which was never completely durable.
 type Cut struct {
 	File   string
 	Offset int64
 	Bytes  int64
 }
 
-// Position is the place of a record's bytes.
+// Position locates the bytes of a record.
 type Position struct {
 	Segment uint32
 	Offset  int64
 	Size    int
 }
 
-// Visit takes a record while a log is read; its bytes are good until Visit returns.
+// Visit receives each record while a log is read. The record's bytes are valid only until Visit returns.
 type Visit func(lsn uint64, at Position, record []byte) error
 
 // segment is one file of the log.
 type segment struct {
 	header
-	name string
-	size int64 // up to the end of the last whole frame
-	next uint64
-	tail Cut // what lies after size
+	name     string
+	size     int64 // end of the last valid frame
+	next     uint64
+	tornTail Cut // bytes after size
 }
 
 const (
-	ending = ".wal"
-	making = ".wal-new" // of a segment whose kept records may not be whole
+	segmentSuffix    = ".wal"
+	unfinishedSuffix = ".wal-new" // suffix of a segment that is still being written
 )
 
-func segmentName(n uint32) string { return fmt.Sprintf("%010d"+ending, n) }
+func segmentName(n uint32) string { return fmt.Sprintf("%010d"+segmentSuffix, n) }
 
-// newest gives the newest segment of fs, and all files of the log, the leftovers of a crash among them. Only the
-// newest is read: it begins with all that its owner kept, and got its name once that was on the disk.
-func newest(fs FS) (name string, all []string, err error) {
+// findNewest returns the name of the newest segment and the names of all files of the log, including leftovers of a
+// crash. Only the newest segment is read: it begins with all records that had to be kept, and it got its name only
+// once they were durable.
+func findNewest(fs FS) (name string, logFiles []string, err error) {
 	names, err := fs.List()
 	if err != nil {
 		return "", nil, err
 	}
 	for _, n := range names {
-		if strings.HasSuffix(n, making) || strings.HasSuffix(n, ending) {
-			all = append(all, n)
+		if strings.HasSuffix(n, unfinishedSuffix) || strings.HasSuffix(n, segmentSuffix) {
+			logFiles = append(logFiles, n)
 		}
-		if strings.HasSuffix(n, ending) {
+		if strings.HasSuffix(n, segmentSuffix) {
 			name = max(name, n)
 		}
 	}
-	return name, all, nil
+	return name, logFiles, nil
 }
 
-// scan reads one segment. Memory: one piece or one frame, whichever is larger.
-func scan(fs FS, name string, owner Owner, visit Visit) (*segment, error) {
+// scanSegment reads one segment. It holds at most one chunk or one frame in memory, whichever is larger.
+func scanSegment(fs FS, name string, owner Owner, visit Visit) (*segment, error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return nil, err
@@ -104,60 +104,60 @@
 	} else {
 		head = head[:n]
 	}
-	h, err := decodeHeader(head)
+	segHeader, err := decodeHeader(head)
 	if errors.Is(err, errHeader) {
 		return nil, &DamageError{File: name}
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	if h.owner != owner {
+	if segHeader.owner != owner {
 		return nil, fmt.Errorf("%s: %w", name, ErrForeign)
 	}
-	s := &segment{header: h, name: name, size: headerSize, next: h.first}
-	if name != segmentName(h.segment) {
+	seg := &segment{header: segHeader, name: name, size: headerSize, next: segHeader.first}
+	if name != segmentName(segHeader.segment) {
 		return nil, fmt.Errorf("%s: %w", name, ErrForeign)
 	}
-	in := &window{f: f, size: size}
-	for s.size < size {
-		fr, payload, ok, err := in.frame(s.size)
+	reader := &chunkReader{f: f, size: size}
+	for seg.size < size {
+		current, payload, ok, err := reader.frame(seg.size)
 		if err != nil {
 			return nil, err
 		}
-		if !ok || fr.lsn != s.next {
-			return s, s.torn(in)
+		if !ok || current.lsn != seg.next {
+			return seg, seg.classifyTail(reader)
 		}
-		at := s.size + frameSize
-		lsn := s.next
-		sound, err := fr.split(payload, func(offset int, record []byte) error {
-			err := visit(lsn, Position{h.segment, at + int64(offset), len(record)}, record)
+		payloadStart := seg.size + frameSize
+		lsn := seg.next
+		lengthsMatch, err := current.forEachRecord(payload, func(offset int, record []byte) error {
+			err := visit(lsn, Position{segHeader.segment, payloadStart + int64(offset), len(record)}, record)
 			lsn++
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		if !sound { // the sum holds and the lengths do not: no writer of ours made it
-			return nil, &DamageError{File: name, Offset: s.size, From: s.next}
+		if !lengthsMatch { // the checksum matches but the lengths do not: not written by this program
+			return nil, &DamageError{File: name, Offset: seg.size, From: seg.next}
 		}
-		s.next = lsn
-		s.size = at + int64(fr.size)
+		seg.next = lsn
+		seg.size = payloadStart + int64(current.size)
 	}
-	return s, nil
+	return seg, nil
 }
 
-// torn settles what lies after the last whole frame: damage, if a later frame says that this place was on the
-// disk when it was written, else a tail to cut.
-func (s *segment) torn(in *window) error {
-	for at := s.size + 1; at+frameSize <= in.size; {
-		found, err := in.find(at)
+// classifyTail decides what the bytes after the last valid frame are: damage if a later frame shows that this offset
+// was durable when that frame was written, otherwise a torn tail to be cut off.
+func (s *segment) classifyTail(reader *chunkReader) error {
+	for at := s.size + 1; at+frameSize <= reader.size; {
+		found, err := reader.find(at)
 		if err != nil || found < 0 {
 			if err != nil {
 				return err
 			}
 			break
 		}
-		f, _, ok, err := in.frame(found)
+		f, _, ok, err := reader.frame(found)
 		if err != nil {
 			return err
 		}
@@ -170,33 +170,33 @@
 		}
 		at = found + 1
 	}
-	s.tail = Cut{s.name, s.size, in.size - s.size}
+	s.tornTail = Cut{s.name, s.size, reader.size - s.size}
 	return nil
 }
 
-// window reads a file by pieces.
-type window struct {
+// chunkReader reads a file in chunks.
+type chunkReader struct {
 	f    File
 	size int64
 	buf  []byte
-	at   int64 // of buf in the file
+	at   int64 // file offset of buf
 }
 
-const piece = 256 << 10
+const chunkBytes = 256 << 10
 
-// bytes gives n bytes at an offset; fewer at the end of the file.
-func (w *window) bytes(at int64, n int) ([]byte, error) {
+// bytes returns n bytes at an offset, or fewer at the end of the file. They are valid until the next call.
+func (w *chunkReader) bytes(at int64, n int) ([]byte, error) {
 	n = int(min(int64(n), w.size-at))
 	if n <= 0 {
 		return nil, nil
 	}
 	if at < w.at || at+int64(n) > w.at+int64(len(w.buf)) {
-		room := int(min(int64(max(piece, n)), w.size-at))
-		if cap(w.buf) < room {
-			w.buf = make([]byte, room)
+		length := int(min(int64(max(chunkBytes, n)), w.size-at))
+		if cap(w.buf) < length {
+			w.buf = make([]byte, length)
 		}
-		w.buf, w.at = w.buf[:room], at
-		if got, err := w.f.ReadAt(w.buf, at); got < room {
+		w.buf, w.at = w.buf[:length], at
+		if got, err := w.f.ReadAt(w.buf, at); got < length {
 			w.buf = w.buf[:0]
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
@@ -207,8 +207,8 @@
 	return w.buf[at-w.at:][:n], nil
 }
 
-// frame reads the frame at an offset; false = there is no whole one.
-func (w *window) frame(at int64) (f frame, payload []byte, ok bool, err error) {
+// frame reads the frame at an offset. It returns false if there is no valid frame.
+func (w *chunkReader) frame(at int64) (f frame, payload []byte, ok bool, err error) {
 	head, err := w.bytes(at, frameSize)
 	if err != nil {
 		return f, nil, false, err
@@ -220,14 +220,14 @@
 	if err != nil {
 		return f, nil, false, err
 	}
-	return f, all[frameSize:], f.whole(all, all[frameSize:]), nil
+	return f, all[frameSize:], f.checksumMatches(all, all[frameSize:]), nil
 }
 
-// find gives the offset of the next mark from at on; -1 = none.
-func (w *window) find(at int64) (int64, error) {
+// find returns the offset of the next frame mark at or after an offset, or -1 if there is none.
+func (w *chunkReader) find(at int64) (int64, error) {
 	mark := binary.LittleEndian.AppendUint32(nil, frameMark)
 	for at+int64(len(mark)) <= w.size {
-		b, err := w.bytes(at, piece/2)
+		b, err := w.bytes(at, chunkBytes/2)
 		if err != nil {
 			return -1, err
 		}
