--- a/internal/index/crossing_test.go
+++ b/internal/index/crossing_test.go
@@ -18,70 +18,71 @@
 	"larchscale/internal/scenario"
 )
 
-// Pairs of events that cross, each in an order that the test forces.
+// The tests in this file make two events overlap in an order that the test forces.
 
-type crossing struct {
+type raceTest struct {
 	*Client
-	t      *testing.T
-	stand  *scenario.Stand
-	events chan core.Event
-	number sync.Mutex        // of made and newest
-	made   uint64            // calls
-	newest map[string]uint64 // number of the newest call of each handle
+	t        *testing.T
+	stand    *scenario.Stand
+	events   chan core.Event
+	numberMu sync.Mutex        // protects made and newest
+	made     uint64            // number of calls made
+	newest   map[string]uint64 // number of the newest call of each handle
 }
 
-func cross(t *testing.T, limit int) *crossing {
+func newRaceTest(t *testing.T, limit int) *raceTest {
 	stand, events := scenario.Listen(t), make(chan core.Event, 64)
-	return &crossing{Client: New(stand.Addr, limit, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler)), t: t, stand: stand, events: events,
+	return &raceTest{Client: New(stand.Addr, limit, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler)), t: t, stand: stand, events: events,
 		newest: map[string]uint64{}}
 }
 
-func (c *crossing) call(handle string, once bool) {
-	c.Call(handle, c.next(handle), "quote", 0, time.Second, once, nil)
+func (c *raceTest) call(handle string, once bool) {
+	c.Call(handle, c.nextNumber(handle), "quote", 0, time.Second, once, nil)
 }
 
-// next gives a new call its number.
-func (c *crossing) next(handle string) uint64 {
-	c.number.Lock()
-	defer c.number.Unlock()
+// nextNumber returns the number for a new call.
+func (c *raceTest) nextNumber(handle string) uint64 {
+	c.numberMu.Lock()
+	defer c.numberMu.Unlock()
 	c.made++
 	c.newest[handle] = c.made
 	return c.made
 }
 
-func (c *crossing) expect(handle string, how control.Outcome, body []byte) {
+func (c *raceTest) expect(handle string, outcome control.Outcome, body []byte) {
 	c.t.Helper()
-	c.number.Lock()
+	c.numberMu.Lock()
 	number := c.newest[handle]
-	c.number.Unlock()
-	if diff := cmp.Diff(core.Event(core.CallEnded{Handle: handle, Number: number, Outcome: how, Body: body}), wait(c.t, c.events)); diff != "" {
+	c.numberMu.Unlock()
+	if diff := cmp.Diff(core.Event(core.CallEnded{Handle: handle, Number: number, Outcome: outcome, Body: body}), receive(c.t, c.events)); diff != "" {
 		c.t.Error(diff)
 	}
 }
 
-// wait takes what comes next.
-func wait[T any](t *testing.T, from <-chan T) (x T) {
+// receive receives the next value and fails the test if none arrives.
+func receive[T any](t *testing.T, from <-chan T) (x T) {
 	t.Helper()
 	select {
 	case x = <-from:
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing comes")
+		t.Fatal("no value arrives")
 	}
 	return x
 }
 
-// none is for the end of a test: all that was told has been expected.
-func (c *crossing) none() {
+// expectNoMore checks at the end of a test that no event is left unexpected.
+func (c *raceTest) expectNoMore() {
 	c.t.Helper()
 	if len(c.events) > 0 {
-		c.t.Errorf("a further %v", <-c.events)
+		c.t.Errorf("unexpected further event %v", <-c.events)
 	}
 }
 
-// holdDials has each dial wait before its connection is made: held tells of one, which goes on at a receive from goOn.
-func (c *crossing) holdDials() (held, goOn chan bool) {
+// holdDials makes each dial wait before it connects: held receives a value for each such dial, which proceeds after a
+// receive from goOn.
+func (c *raceTest) holdDials() (held, goOn chan bool) {
 	held, goOn = make(chan bool), make(chan bool)
-	c.dial.Control = func(string, string, syscall.RawConn) error {
+	c.dialer.Control = func(string, string, syscall.RawConn) error {
 		held <- true
 		goOn <- true
 		return nil
@@ -89,228 +90,231 @@
 	return held, goOn
 }
 
-// locked runs f in one piece for all that the client does.
-func (c *crossing) locked(f func()) {
+// locked runs f with the client's mutex held.
+func (c *raceTest) locked(f func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f()
 }
 
-// warm leaves one connection idle.
-func (c *crossing) warm(handle string) *scenario.Peer {
+// warm leaves one idle connection.
+func (c *raceTest) warm(handle string) *scenario.Peer {
 	c.t.Helper()
 	c.call(handle, false)
-	p := c.stand.Accept()
-	p.Expect(`^GET ` + handle + ` `)
-	p.Send(handle, " SHED\r\n")
+	peer := c.stand.Accept()
+	peer.Expect(`^GET ` + handle + ` `)
+	peer.Send(handle, " SHED\r\n")
 	c.expect(handle, control.Rejected, nil)
-	return p
+	return peer
 }
 
-// A dial crosses a move: whether the old address takes it or refuses it, nothing was sent, and the call is made
-// at the new one. A move back is as if there had been none.
-func TestADialCrossesAMove(t *testing.T) {
+// Checks a move during a dial: whether the old address accepts or refuses, nothing is sent to it and the call is made
+// at the new address. Moving back before the dial ends has no effect.
+func TestMoveDuringDial(t *testing.T) {
 	for _, once := range []bool{false, true} {
 		for _, refused := range []bool{false, true} {
 			t.Run(fmt.Sprintf("once %v refused %v", once, refused), func(t *testing.T) {
-				c, next := cross(t, 1), scenario.Listen(t)
+				c, next := newRaceTest(t, 1), scenario.Listen(t)
 				held, goOn := c.holdDials()
 				c.call("a", once)
-				wait(t, held)
+				receive(t, held)
 				if refused {
 					c.stand.Close()
 				}
 				c.Move(next.Addr)
-				wait(t, goOn)
+				receive(t, goOn)
 				if !refused {
 					if rest := c.stand.Accept().Rest(); rest != "" {
 						t.Errorf("the old address read %q", rest)
 					}
 				}
-				wait(t, held)
-				wait(t, goOn)
-				p := next.Accept()
-				p.Expect(`^GET a `)
-				p.Send("a SHED\r\n")
+				receive(t, held)
+				receive(t, goOn)
+				peer := next.Accept()
+				peer.Expect(`^GET a `)
+				peer.Send("a SHED\r\n")
 				c.expect("a", control.Rejected, nil)
-				c.none()
+				c.expectNoMore()
 			})
 		}
 	}
 	t.Run("back", func(t *testing.T) {
-		c := cross(t, 1)
+		c := newRaceTest(t, 1)
 		held, goOn := c.holdDials()
 		c.call("a", true)
-		wait(t, held)
+		receive(t, held)
 		c.Move("127.0.0.1:1")
 		c.Move(c.stand.Addr)
-		wait(t, goOn)
+		receive(t, goOn)
 		c.stand.Accept().Expect(`^GET a `)
 	})
 }
 
-// A move finds calls in the queue: one in hand ends where it is, the others are made at the new address.
-func TestAMoveFindsCallsInTheQueue(t *testing.T) {
-	c, next := cross(t, 1), scenario.Listen(t)
+// Checks a move while calls wait in the queue: the in-flight call completes at the old address, the waiting ones are
+// made at the new one.
+func TestMoveWithWaitingCalls(t *testing.T) {
+	c, next := newRaceTest(t, 1), scenario.Listen(t)
 	c.call("a", false)
-	p := c.stand.Accept()
-	p.Expect(`^GET a `)
+	peer := c.stand.Accept()
+	peer.Expect(`^GET a `)
 	c.call("b", false)
 	c.call("c", true)
 	c.Move(next.Addr)
-	p.Send("a SHED\r\n")
+	peer.Send("a SHED\r\n")
 	c.expect("a", control.Rejected, nil)
 	for _, h := range []string{"b", "c"} {
-		q := next.Accept()
-		q.Expect(`^GET ` + h + ` `)
-		q.Send(h, " SHED\r\n")
+		peer2 := next.Accept()
+		peer2.Expect(`^GET ` + h + ` `)
+		peer2.Send(h, " SHED\r\n")
 		c.expect(h, control.Rejected, nil)
 	}
-	if rest := p.Rest(); rest != "\r\n" { // the end of the call's empty body
+	if rest := peer.Rest(); rest != "\r\n" { // the line end after the call's empty body
 		t.Errorf("the old address read %q", rest)
 	}
 }
 
-// A call is given up while its connection is made: it is never sent. The connection serves the next call, and
-// its place counts once.
-func TestADialOutlastsItsCall(t *testing.T) {
-	c := cross(t, 1)
+// Checks that a call abandoned during its dial is never sent, that the connection serves the next call, and that it
+// occupies one slot only.
+func TestAbandonDuringDial(t *testing.T) {
+	c := newRaceTest(t, 1)
 	held, goOn := c.holdDials()
 	c.call("a", false)
-	wait(t, held)
+	receive(t, held)
 	c.Abandon("a")
-	c.call("a", false) // made again, it waits for room
+	c.call("a", false) // made again, it waits for a connection
 	c.call("b", false)
 	c.Abandon("a")
-	wait(t, goOn)
-	p := c.stand.Accept()
-	p.Bytes("GET b 1000 0\r\n\r\n")
-	p.Send("b SHED\r\n")
+	receive(t, goOn)
+	peer := c.stand.Accept()
+	peer.Bytes("GET b 1000 0\r\n\r\n")
+	peer.Send("b SHED\r\n")
 	c.expect("b", control.Rejected, nil)
-	c.dial.Control = nil
-	c.call("c", true) // the place of p is given to a new connection
-	q := c.stand.Accept()
-	q.Expect(`^GET c `)
-	q.Close()
+	c.dialer.Control = nil
+	c.call("c", true) // the slot of p is given to a new connection
+	peer2 := c.stand.Accept()
+	peer2.Expect(`^GET c `)
+	peer2.Close()
 	c.expect("c", control.Broken, nil)
-	if rest := p.Rest(); rest != "" {
+	if rest := peer.Rest(); rest != "" {
 		t.Errorf("read %q", rest)
 	}
-	c.none()
-	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) { // c's end is told after its place is given back
+	c.expectNoMore()
+	// The outcome of c is reported after its slot is released.
+	for end := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		open := c.open
+		open := c.openConns
 		c.mu.Unlock()
 		if open == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d places are taken", open)
+			t.Fatalf("%d slots are still in use", open)
 		}
 	}
 }
 
-// A reply comes while its call is given up and made anew for the same handle: it is never taken for the new call's.
-func TestAReplyCrossesAFurtherCall(t *testing.T) {
-	c := cross(t, 2)
+// Checks that a reply which arrives while its call is abandoned and made again for the same handle is never taken for
+// the new call's reply.
+func TestReplyDuringNewCallOfSameHandle(t *testing.T) {
+	c := newRaceTest(t, 2)
 	c.call("a", false)
-	p := c.stand.Accept()
-	p.Expect(`^GET a `)
+	peer := c.stand.Accept()
+	peer.Expect(`^GET a `)
 	c.locked(func() {
-		p.Send("a HIT 3\r\nold\r\n")
-		c.giveUp("a")
-		x := &call{handle: "a", number: c.next("a"), line: []byte("GET a 1000 0\r\n\r\n")}
-		c.calls["a"] = x
-		c.place(x)
+		peer.Send("a HIT 3\r\nold\r\n")
+		c.abandon("a")
+		x := &pendingCall{handle: "a", number: c.nextNumber("a"), line: []byte("GET a 1000 0\r\n\r\n")}
+		c.inFlight["a"] = x
+		c.assign(x)
 	})
-	q := c.stand.Accept()
-	q.Expect(`^GET a `)
-	p.Expect(`^STOP a$`)
-	q.Send("a HIT 3\r\nnew\r\n")
+	peer2 := c.stand.Accept()
+	peer2.Expect(`^GET a `)
+	peer.Expect(`^STOP a$`)
+	peer2.Send("a HIT 3\r\nnew\r\n")
 	c.expect("a", control.OK, []byte("new"))
-	c.none()
+	c.expectNoMore()
 }
 
-// hook is a log that has a test do something at the moment of a line.
-type hook struct {
+// logHook is a log handler that runs a function when a line is logged.
+type logHook struct {
 	slog.Handler
 	at func()
 }
 
-func (h hook) Handle(context.Context, slog.Record) error { h.at(); return nil }
-func (h hook) Enabled(context.Context, slog.Level) bool  { return true }
+func (h logHook) Handle(context.Context, slog.Record) error { h.at(); return nil }
+func (h logHook) Enabled(context.Context, slog.Level) bool  { return true }
 
-// A call is made at the moment in which the connection that stands idle for it is found to have ended: it has an end
-// of its own, and does not go down with the connection unheard.
-func TestACallCrossesTheEndOfAnIdleConnection(t *testing.T) {
-	c := cross(t, 1)
-	p := c.warm("a")
+// Checks a call made just when the idle connection it would use is found to have ended: the call still completes and
+// is not lost with the connection.
+func TestCallWhileIdleConnectionEnds(t *testing.T) {
+	c := newRaceTest(t, 1)
+	peer := c.warm("a")
 	var once sync.Once
-	c.log = slog.New(hook{slog.DiscardHandler, func() { once.Do(func() { c.call("b", false) }) }})
-	p.Send("nonsense\r\n")
-	q := c.stand.Accept()
-	q.Expect(`^GET b `)
-	q.Send("b SHED\r\n")
+	c.log = slog.New(logHook{slog.DiscardHandler, func() { once.Do(func() { c.call("b", false) }) }})
+	peer.Send("nonsense\r\n")
+	peer2 := c.stand.Accept()
+	peer2.Expect(`^GET b `)
+	peer2.Send("b SHED\r\n")
 	c.expect("b", control.Rejected, nil)
-	c.none()
+	c.expectNoMore()
 }
 
-// A call finds an idle connection whose writing has failed: it never left, so it is made on another one, however long
-// the end of the dead one takes to be seen.
-func TestACallFindsADeadConnection(t *testing.T) {
-	c := cross(t, 2)
-	p := c.warm("a")
+// Checks that a call which finds an idle connection already closed for writing is made on another connection, however
+// late the end of the closed one is noticed.
+func TestCallOnClosedIdleConnection(t *testing.T) {
+	c := newRaceTest(t, 2)
+	peer := c.warm("a")
 	c.locked(func() {
-		c.idle[0].outbound.Kill()
-		x := &call{handle: "b", number: c.next("b"), line: []byte("GET b 1000 0\r\n\r\n")}
-		c.calls["b"] = x
-		c.place(x)
+		c.idleConns[0].outbound.Kill()
+		x := &pendingCall{handle: "b", number: c.nextNumber("b"), line: []byte("GET b 1000 0\r\n\r\n")}
+		c.inFlight["b"] = x
+		c.assign(x)
 		x.sent = x.sent.Add(-time.Hour)
 	})
-	q := c.stand.Accept()
-	q.Expect(`^GET b `)
-	q.Send("b SHED\r\n")
+	peer2 := c.stand.Accept()
+	peer2.Expect(`^GET b `)
+	peer2.Send("b SHED\r\n")
 	c.expect("b", control.Rejected, nil)
-	if rest := p.Rest(); strings.Contains(rest, "GET b") {
-		t.Errorf("the dead one read %q", rest)
+	if rest := peer.Rest(); strings.Contains(rest, "GET b") {
+		t.Errorf("the closed connection read %q", rest)
 	}
 }
 
-// The place of a connection is given to the next only after its descriptor is closed.
-func TestAPlaceIsGivenBackAfterTheConnectionIsClosed(t *testing.T) {
-	c := cross(t, 1)
+// Checks that the slot of a connection is released only after its descriptor is closed.
+func TestSlotReleasedAfterConnectionIsClosed(t *testing.T) {
+	c := newRaceTest(t, 1)
 	goOn := make(chan bool)
 	c.sink = func(e core.Event) { c.events <- e; <-goOn }
 	c.call("a", false)
-	p := c.stand.Accept()
-	p.Expect(`^GET a `)
-	p.Send("nonsense\r\n")
+	peer := c.stand.Accept()
+	peer.Expect(`^GET a `)
+	peer.Send("nonsense\r\n")
 	c.expect("a", control.Broken, nil)
 	defer close(goOn)
-	if rest := p.Rest(); rest != "\r\n" { // it ends while the end of its call is being told
+	if rest := peer.Rest(); rest != "\r\n" { // the connection ends while the call's outcome is being reported
 		t.Errorf("read %q", rest)
 	}
 }
 
-// All connections end in one moment with calls in the queue of both kinds: each call ends once, none is left behind,
-// and no more connections are open than may be.
-func TestConnectionsEndTogetherWithCallsInTheQueue(t *testing.T) {
+// Checks the simultaneous end of all connections while calls of both kinds are waiting: each call ends exactly once,
+// none is left behind, and the connection limit is kept.
+func TestAllConnectionsEndWithWaitingCalls(t *testing.T) {
 	const limit, calls = 3, 12
-	c := cross(t, limit)
+	c := newRaceTest(t, limit)
 	for i := range calls {
 		c.call(fmt.Sprint("h", i), i%2 == 1)
 	}
 	var first []*scenario.Peer
 	for range limit {
-		p := c.stand.Accept()
-		p.Expect(`^GET h\d+ `)
-		first = append(first, p)
+		peer := c.stand.Accept()
+		peer.Expect(`^GET h\d+ `)
+		first = append(first, peer)
 	}
-	for _, p := range first {
-		p.Close()
+	for _, peer := range first {
+		peer.Close()
 	}
 	seen := map[string]int{}
-	go func() { // those made after serve all that comes
+	go func() { // connections made afterwards answer every call
 		for {
 			conn, err := c.stand.Listener().Accept()
 			if err != nil {
@@ -327,7 +331,7 @@
 		}
 	}()
 	for range calls {
-		e := wait(t, c.events).(core.CallEnded)
+		e := receive(t, c.events).(core.CallEnded)
 		seen[e.Handle]++
 	}
 	for i := range calls {
@@ -335,138 +339,139 @@
 			t.Errorf("%s ended %d times", h, seen[h])
 		}
 	}
-	c.none()
+	c.expectNoMore()
 }
 
-// The time by which a forgotten connection is told from a broken one has passed unseen, as in a process that stood
-// still: a call that may be repeated ends as broken, for whoever made it to repeat; within the time it is made a second
-// time and no third. One that must be made once is sent once at any time, as no connection of before serves it.
-func TestTheTimeOfAForgottenConnection(t *testing.T) {
+// Checks the time limit that tells a connection closed while idle from one broken during a call. If the limit has
+// passed unnoticed, as after the process was stopped, a repeatable call ends as Broken and its caller may repeat it;
+// within the limit it is sent a second time, but not a third. A call that must be sent once never uses an existing
+// connection, so it is sent once in both cases.
+func TestIdleResetWindow(t *testing.T) {
 	for _, x := range []struct {
 		name       string
 		once, late bool
 		sent       int
-	}{{"in time", false, false, 2}, {"stood still", false, true, 1}, {"once, in time", true, false, 1}, {"once, stood still", true, true, 1}} {
+	}{{"within the limit", false, false, 2}, {"past the limit", false, true, 1}, {"once, within the limit", true, false, 1}, {"once, past the limit", true, true, 1}} {
 		t.Run(x.name, func(t *testing.T) {
-			c := cross(t, 2)
-			p := c.warm("a")
+			c := newRaceTest(t, 2)
+			peer := c.warm("a")
 			c.call("b", x.once)
 			if x.once {
-				p = c.stand.Accept()
+				peer = c.stand.Accept()
 			}
-			p.Expect(`^GET b `)
+			peer.Expect(`^GET b `)
 			c.locked(func() {
-				if b := c.calls["b"]; x.late {
+				if b := c.inFlight["b"]; x.late {
 					b.sent = b.sent.Add(-time.Hour)
 				} else {
-					b.sent = b.sent.Add(time.Hour) // however slow this machine is
+					b.sent = b.sent.Add(time.Hour) // independent of the speed of the machine
 				}
 			})
-			p.Close()
+			peer.Close()
 			for range x.sent - 1 {
-				p = c.stand.Accept()
-				p.Expect(`^GET b `)
-				p.Close()
+				peer = c.stand.Accept()
+				peer.Expect(`^GET b `)
+				peer.Close()
 			}
 			c.expect("b", control.Broken, nil)
-			c.call("z", true) // no other connection came before it
+			c.call("z", true) // no other connection was opened before it
 			c.stand.Accept().Bytes("GET z ")
-			c.none()
+			c.expectNoMore()
 		})
 	}
 }
 
-// However an answer breaks off, its call ends as broken, once, and only its own; one that comes whole counts however it
-// comes; one that never comes is left to whoever gives the call up.
-func TestAnswersThatBreakOff(t *testing.T) {
+// Checks that a call whose reply breaks off ends exactly once as Broken without affecting other calls, that a
+// complete reply counts however it is split, and that a call without a reply is left to whoever abandons it.
+func TestIncompleteReplies(t *testing.T) {
 	for name, x := range map[string]struct {
-		send []string // each a write of its own
-		end  bool     // the index closes after it
+		send []string // each sent in a separate write
+		end  bool     // the index closes the connection afterwards
 		how  control.Outcome
 		body []byte
 	}{
-		"nothing, and the end":  {nil, true, control.Broken, nil},
-		"in the head":           {[]string{"a HI"}, true, control.Broken, nil},
-		"after the head":        {[]string{"a HIT 4\r\n"}, true, control.Broken, nil},
-		"in the body":           {[]string{"a HIT 4\r\nta"}, true, control.Broken, nil},
-		"before the line end":   {[]string{"a HIT 4\r\ntaxi"}, true, control.Broken, nil},
-		"in the line end":       {[]string{"a HIT 4\r\ntaxi\r"}, true, control.Broken, nil},
-		"whole, and the end":    {[]string{"a HIT 4\r\ntaxi\r\n"}, true, control.OK, []byte("taxi")},
-		"a byte at a time":      {strings.Split("a HIT 4\r\ntaxi\r\n", ""), false, control.OK, []byte("taxi")},
-		"twice":                 {[]string{"a HIT 4\r\ntaxi\r\na HIT 4\r\nlate\r\n"}, false, control.OK, []byte("taxi")},
-		"another's, and its":    {[]string{"b HIT 4\r\nlate\r\na HIT 4\r\ntaxi\r\n"}, false, control.OK, []byte("taxi")},
-		"another's, no more":    {[]string{"b HIT 4\r\nlate\r\n"}, true, control.Broken, nil},
-		"no line":               {[]string{strings.Repeat("x", 10_000)}, false, control.Broken, nil},
-		"a longer body":         {[]string{"a HIT 4\r\ntaxis\r\n"}, false, control.Broken, nil},
-		"too long a body":       {[]string{fmt.Sprintf("a HIT %d\r\n", maxReply+1)}, false, control.Broken, nil},
-		"shed, and more of it":  {[]string{"a SHED\r\ntaxi\r\n"}, false, control.Rejected, nil},
-		"a word of no protocol": {[]string{"a LATER\r\n"}, false, control.Broken, nil},
+		"no reply, then closed":              {nil, true, control.Broken, nil},
+		"in the head":                        {[]string{"a HI"}, true, control.Broken, nil},
+		"after the head":                     {[]string{"a HIT 4\r\n"}, true, control.Broken, nil},
+		"in the body":                        {[]string{"a HIT 4\r\nta"}, true, control.Broken, nil},
+		"before the line end":                {[]string{"a HIT 4\r\ntaxi"}, true, control.Broken, nil},
+		"in the line end":                    {[]string{"a HIT 4\r\ntaxi\r"}, true, control.Broken, nil},
+		"complete, then closed":              {[]string{"a HIT 4\r\ntaxi\r\n"}, true, control.OK, []byte("taxi")},
+		"a byte at a time":                   {strings.Split("a HIT 4\r\ntaxi\r\n", ""), false, control.OK, []byte("taxi")},
+		"duplicate reply":                    {[]string{"a HIT 4\r\ntaxi\r\na HIT 4\r\nlate\r\n"}, false, control.OK, []byte("taxi")},
+		"another call's reply, then its own": {[]string{"b HIT 4\r\nlate\r\na HIT 4\r\ntaxi\r\n"}, false, control.OK, []byte("taxi")},
+		"another call's reply only":          {[]string{"b HIT 4\r\nlate\r\n"}, true, control.Broken, nil},
+		"line too long":                      {[]string{strings.Repeat("x", 10_000)}, false, control.Broken, nil},
+		"a longer body":                      {[]string{"a HIT 4\r\ntaxis\r\n"}, false, control.Broken, nil},
+		"too long a body":                    {[]string{fmt.Sprintf("a HIT %d\r\n", maxReplyBytes+1)}, false, control.Broken, nil},
+		"shed, then extra bytes":             {[]string{"a SHED\r\ntaxi\r\n"}, false, control.Rejected, nil},
+		"unknown word":                       {[]string{"a LATER\r\n"}, false, control.Broken, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := cross(t, 2)
+			c := newRaceTest(t, 2)
 			c.call("a", true)
-			p := c.stand.Accept()
-			p.Expect(`^GET a `)
+			peer := c.stand.Accept()
+			peer.Expect(`^GET a `)
 			c.call("other", false)
-			q := c.stand.Accept()
-			q.Expect(`^GET other `)
+			peer2 := c.stand.Accept()
+			peer2.Expect(`^GET other `)
 			for _, s := range x.send {
-				p.Send(s)
+				peer.Send(s)
 			}
 			if x.end {
-				p.Close()
+				peer.Close()
 			}
 			c.expect("a", x.how, x.body)
-			c.call("a", false) // what is still to come of the first answer is not its
-			r := c.stand.Accept()
-			r.Expect(`^GET a `)
-			r.Send("a HIT 3\r\nnew\r\n")
+			c.call("a", false) // the rest of the first reply does not belong to it
+			peer3 := c.stand.Accept()
+			peer3.Expect(`^GET a `)
+			peer3.Send("a HIT 3\r\nnew\r\n")
 			c.expect("a", control.OK, []byte("new"))
-			q.Send("other SHED\r\n")
+			peer2.Send("other SHED\r\n")
 			c.expect("other", control.Rejected, nil)
-			c.none()
+			c.expectNoMore()
 		})
 	}
-	t.Run("never", func(t *testing.T) {
-		c := cross(t, 1)
+	t.Run("no reply", func(t *testing.T) {
+		c := newRaceTest(t, 1)
 		c.call("a", false)
-		p := c.stand.Accept()
-		p.Expect(`^GET a `)
+		peer := c.stand.Accept()
+		peer.Expect(`^GET a `)
 		c.call("b", false)
 		c.Abandon("a")
-		q := c.stand.Accept()
-		q.Expect(`^GET b `)
-		p.Bytes("\r\nSTOP a\r\n")
-		if rest := p.Rest(); rest != "" {
+		peer2 := c.stand.Accept()
+		peer2.Expect(`^GET b `)
+		peer.Bytes("\r\nSTOP a\r\n")
+		if rest := peer.Rest(); rest != "" {
 			t.Errorf("read %q", rest)
 		}
-		q.Send("b SHED\r\n")
+		peer2.Send("b SHED\r\n")
 		c.expect("b", control.Rejected, nil)
-		c.none()
+		c.expectNoMore()
 	})
 }
 
-// The end of a call stands before the core's loop, full as it is, while the same request's next call is made and ends: each
-// end names the call that its connection carried, by which the core tells them apart.
-func TestAnEndNamesTheCallOfItsConnection(t *testing.T) {
-	c, told := cross(t, 4), make(chan core.Event) // an end is told once it is taken
-	c.sink = func(e core.Event) { told <- e }
+// Checks the outcomes of several calls of one request that wait for a busy core loop: each names the number of the
+// call that its connection carried, by which the core tells them apart.
+func TestOutcomeNamesTheCallOfItsConnection(t *testing.T) {
+	c, reported := newRaceTest(t, 4), make(chan core.Event) // unbuffered: an outcome is reported once received
+	c.sink = func(e core.Event) { reported <- e }
 	for i, reply := range []string{"a HIT 1\r\n1\r\n", "a HIT 1\r\n2\r\n", "a SHED\r\n", ""} {
 		c.Call("a", uint64(i+1), "quote", 0, time.Second, true, nil)
-		p := c.stand.Accept()
-		p.Expect(`^GET a `)
-		if p.Send(reply); reply == "" {
-			p.Close()
+		peer := c.stand.Accept()
+		peer.Expect(`^GET a `)
+		if peer.Send(reply); reply == "" {
+			peer.Close()
 		}
 		for end, open := time.Now().Add(10*time.Second), true; open; time.Sleep(time.Millisecond) {
-			if c.locked(func() { open = len(c.Client.calls) > 0 }); time.Now().After(end) {
+			if c.locked(func() { open = len(c.Client.inFlight) > 0 }); time.Now().After(end) {
 				t.Fatalf("call %d does not end", i+1)
 			}
 		}
 	}
 	got := map[uint64]core.Event{}
 	for range 4 {
-		e := wait(t, told).(core.CallEnded)
+		e := receive(t, reported).(core.CallEnded)
 		got[e.Number] = e
 	}
 	if diff := cmp.Diff(map[uint64]core.Event{
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -1,4 +1,4 @@
-// Package index makes calls below through the index, a local proxy.
+// Package index makes downstream calls through the index, a proxy on the local machine.
 package index
 
 import (
@@ -20,57 +20,60 @@
 )
 
 const (
-	dialTimeout = time.Second
-	maxReply    = 16 << 10
-	maxHead     = 512
-	stale       = 4 * time.Second // what stands idle is closed by the index, sooner or later: it is not used then
-	idleBreak   = 30 * time.Millisecond
-	maxCarried  = 64 // calls that one connection carries
+	dialTimeout   = time.Second
+	maxReplyBytes = 16 << 10
+	maxHeadBytes  = 512
+	maxIdleTime   = 4 * time.Second // the index closes idle connections after a while: an older one is not reused
+	// A reused connection that breaks this soon after a send counts as closed by the index before the send.
+	idleResetWindow = 30 * time.Millisecond
+	maxCallsPerConn = 64 // calls made on one connection before it is closed
 )
 
-// Client makes each call on a connection that carries no other: one reply that is spoilt, or never comes,
-// takes no other call with it. Connections are used again after a good reply.
+// Client makes each call on a connection that carries no other call at the same time, so a malformed or missing reply
+// affects no other call. Connections are reused after a valid reply.
 type Client struct {
-	sink  func(core.Event)
-	log   *slog.Logger
-	limit int // connections
-	dial  net.Dialer
+	sink     func(core.Event)
+	log      *slog.Logger
+	maxConns int // maximum number of connections
+	dialer   net.Dialer
 
-	mu    sync.Mutex
-	addr  string
-	open  int     // connections, also those being made
-	idle  []*link // the last used is the last
-	queue []*call // those that wait for a connection
-	calls map[string]*call
+	mu        sync.Mutex
+	addr      string
+	openConns int            // connections, including those being dialed
+	idleConns []*connection  // ordered by last use, the most recent last
+	waiting   []*pendingCall // calls waiting for a connection
+	inFlight  map[string]*pendingCall
 }
 
-// call is one call in hand.
-type call struct {
-	handle string
-	number uint64
-	line   []byte
-	once   bool // it must not be made twice
-	fresh  bool // it needs a new connection
-	link   *link
-	sent   time.Time
+// pendingCall is an in-flight call.
+type pendingCall struct {
+	handle       string
+	number       uint64
+	line         []byte
+	once         bool // the call must not be sent twice
+	needsNewConn bool // the call needs a new connection
+	link         *connection
+	sent         time.Time
 }
 
-// link is one connection.
-type link struct {
+// connection is one connection to the index.
+type connection struct {
 	outbound *sock.WriteQueue
-	call     *call
-	again    bool            // it stood idle before its call
-	heard    bool            // something came since its call was made
-	carried  map[string]bool // handles of its calls: a second copy of a reply must not pass for a later one's
-	used     time.Time
+	call     *pendingCall
+	reused   bool // it was idle before the current call
+	received bool // something was received since the current call was sent
+	// handles contains the handles of its calls: a duplicate reply must not be taken for the reply to a later call of
+	// the same handle.
+	handles  map[string]bool
+	lastUsed time.Time
 }
 
-// New makes a client of up to limit connections that tells sink how calls end.
-func New(addr string, limit int, sink func(core.Event), log *slog.Logger) *Client {
-	return &Client{addr: addr, limit: limit, dial: net.Dialer{Timeout: dialTimeout}, sink: sink, log: log, calls: map[string]*call{}}
+// New returns a client that opens at most maxConns connections and reports the outcome of each call to sink.
+func New(addr string, maxConns int, sink func(core.Event), log *slog.Logger) *Client {
+	return &Client{addr: addr, maxConns: maxConns, dialer: net.Dialer{Timeout: dialTimeout}, sink: sink, log: log, inFlight: map[string]*pendingCall{}}
 }
 
-// Move makes all further calls at another address. Those in hand may still end where they are.
+// Move sends all further calls to another address. In-flight calls may still complete at the old one.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,96 +81,97 @@
 		return
 	}
 	c.addr = addr
-	for _, l := range c.idle {
-		l.outbound.Kill()
+	for _, conn := range c.idleConns {
+		conn.outbound.Kill()
 	}
-	c.idle = nil
+	c.idleConns = nil
 }
 
-// Call makes a call. Class and subject are not told here: the body says it all.
+// Call makes a call. The class and the subject are not sent, because the body contains everything.
 func (c *Client) Call(handle string, number uint64, _ string, _ uint64, patience time.Duration, once bool, body []byte) {
 	ms := max(1, patience.Milliseconds())
 	line := fmt.Appendf(make([]byte, 0, len(body)+64), "GET %s %d %d\r\n", handle, ms, len(body))
-	x := &call{handle: handle, number: number, line: append(append(line, body...), '\r', '\n'), once: once, fresh: once}
+	pending := &pendingCall{handle: handle, number: number, line: append(append(line, body...), '\r', '\n'), once: once, needsNewConn: once}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.giveUp(handle)
-	c.calls[handle] = x
-	c.place(x)
+	c.abandon(handle)
+	c.inFlight[handle] = pending
+	c.assign(pending)
 }
 
-// place finds a connection for a call: one that stands idle, a new one, or the next that is free. A call
-// that must not be made twice gets a new one: a reset of an idle connection would leave open whether it ran.
-func (c *Client) place(x *call) {
-	for i := len(c.idle) - 1; i >= 0 && !x.fresh; i-- {
-		l := c.idle[i]
-		if time.Since(l.used) > stale || len(l.carried) >= maxCarried {
-			c.unlist(l)
-			l.outbound.Kill()
-		} else if !l.carried[x.handle] {
-			c.unlist(l)
-			if c.send(l, x, true) {
+// assign assigns a call to an idle connection, a new one, or the next one that becomes free. A call that must not be
+// sent twice gets a new connection, because the reset of an idle one would not show whether the call ran.
+func (c *Client) assign(pending *pendingCall) {
+	for i := len(c.idleConns) - 1; i >= 0 && !pending.needsNewConn; i-- {
+		conn := c.idleConns[i]
+		if time.Since(conn.lastUsed) > maxIdleTime || len(conn.handles) >= maxCallsPerConn {
+			c.removeIdle(conn)
+			conn.outbound.Kill()
+		} else if !conn.handles[pending.handle] {
+			c.removeIdle(conn)
+			if c.sendOn(conn, pending, true) {
 				return
 			}
-			x.link = nil
+			pending.link = nil
 		}
 	}
-	if c.open < c.limit {
-		c.open++
-		go c.connect(x)
+	if c.openConns < c.maxConns {
+		c.openConns++
+		go c.serveConnection(pending)
 		return
 	}
-	c.queue = append(c.queue, x)
-	if len(c.idle) > 0 { // its end makes room for a new one
-		c.idle[0].outbound.Kill()
-		c.idle = c.idle[1:]
+	c.waiting = append(c.waiting, pending)
+	if len(c.idleConns) > 0 { // closing it makes room for a new connection
+		c.idleConns[0].outbound.Kill()
+		c.idleConns = c.idleConns[1:]
 	}
 }
 
-func (c *Client) unlist(l *link) {
-	if i := slices.Index(c.idle, l); i >= 0 {
-		c.idle = slices.Delete(c.idle, i, i+1)
+func (c *Client) removeIdle(conn *connection) {
+	if i := slices.Index(c.idleConns, conn); i >= 0 {
+		c.idleConns = slices.Delete(c.idleConns, i, i+1)
 	}
 }
 
-// send puts a call on a connection; false = it is dead, and nothing of the call left.
-func (c *Client) send(l *link, x *call, again bool) bool {
-	x.link, x.sent = l, time.Now()
-	l.call, l.again, l.heard = x, again, false
-	l.carried[x.handle] = true
-	return l.outbound.Send(x.line)
+// sendOn sends a call on a connection. It returns false if the connection is closed; no byte of the call was sent then.
+func (c *Client) sendOn(conn *connection, pending *pendingCall, again bool) bool {
+	pending.link, pending.sent = conn, time.Now()
+	conn.call, conn.reused, conn.received = pending, again, false
+	conn.handles[pending.handle] = true
+	return conn.outbound.Send(pending.line)
 }
 
-// Abandon gives a call up. Its connection goes with it: a reply that never came may still come.
+// Abandon gives up a call. Its connection is closed, because the missing reply may still arrive on it.
 func (c *Client) Abandon(handle string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.giveUp(handle)
+	c.abandon(handle)
 }
 
-func (c *Client) giveUp(handle string) {
-	x := c.calls[handle]
-	if x == nil {
+func (c *Client) abandon(handle string) {
+	pending := c.inFlight[handle]
+	if pending == nil {
 		return
 	}
-	delete(c.calls, handle)
-	if i := slices.Index(c.queue, x); i >= 0 {
-		c.queue = slices.Delete(c.queue, i, i+1)
+	delete(c.inFlight, handle)
+	if i := slices.Index(c.waiting, pending); i >= 0 {
+		c.waiting = slices.Delete(c.waiting, i, i+1)
 	}
-	if l := x.link; l != nil {
-		l.call = nil
-		l.outbound.Send([]byte("STOP " + handle + "\r\n"))
-		l.outbound.Close()
+	if conn := pending.link; conn != nil {
+		conn.call = nil
+		conn.outbound.Send([]byte("STOP " + handle + "\r\n"))
+		conn.outbound.Close()
 	}
 }
 
-// reach dials the address that is the client's when the dial ends: one that was left meanwhile is not used, whether it
-// took the connection or not. Each dial takes up to dialTimeout. c.mu is held before and after, not during a dial.
-func (c *Client) reach() (conn net.Conn, addr string, err error) {
+// dialCurrentAddr dials the client's address, and dials again if the address changed meanwhile: a connection to the
+// old address is closed unused. Each attempt takes up to dialTimeout. c.mu must be held by the caller; it is released
+// during a dial.
+func (c *Client) dialCurrentAddr() (conn net.Conn, addr string, err error) {
 	for {
 		addr = c.addr
 		c.mu.Unlock()
-		conn, err = c.dial.Dial("tcp", addr)
+		conn, err = c.dialer.Dial("tcp", addr)
 		c.mu.Lock()
 		if c.addr == addr {
 			return conn, addr, err
@@ -178,133 +182,134 @@
 	}
 }
 
-// connect is the life of one connection, made for one call.
-func (c *Client) connect(x *call) {
+// serveConnection dials a connection for one call and serves it until it ends.
+func (c *Client) serveConnection(pending *pendingCall) {
 	c.mu.Lock()
-	conn, addr, err := c.reach()
-	if err != nil { // nothing was sent: the call never ran
+	conn, addr, err := c.dialCurrentAddr()
+	if err != nil { // nothing was sent, so the call did not run
 		c.mu.Unlock()
 		c.log.Warn("link down", "to", "index", "err", err)
-		c.done(nil, x, control.Unreachable)
+		c.connectionEnded(nil, pending, control.Unreachable)
 		return
 	}
-	l := &link{outbound: sock.NewWriteQueue(conn), carried: map[string]bool{}}
-	if c.calls[x.handle] == x {
-		c.send(l, x, false)
+	tracked := &connection{outbound: sock.NewWriteQueue(conn), handles: map[string]bool{}}
+	if c.inFlight[pending.handle] == pending {
+		c.sendOn(tracked, pending, false)
 	} else {
-		c.rest(l, addr)
+		c.makeIdle(tracked, addr)
 	}
 	c.mu.Unlock()
-	err = c.read(l, bufio.NewReaderSize(conn, maxHead), addr)
+	err = c.readReplies(tracked, bufio.NewReaderSize(conn, maxHeadBytes), addr)
 	c.mu.Lock()
-	c.unlist(l) // from here on no call comes on it
-	x = l.call
+	c.removeIdle(tracked) // no call is assigned to it from here on
+	pending = tracked.call
 	c.mu.Unlock()
-	l.outbound.Kill() // before its place is given back
-	if x != nil || !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
+	tracked.outbound.Kill() // closed before another connection may take its slot
+	if pending != nil || !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		c.log.Warn("link down", "to", "index", "err", err)
 	}
-	c.done(l, x, control.Broken)
+	c.connectionEnded(tracked, pending, control.Broken)
 }
 
-// done is the end of a connection, or of the try to make one, with the call that was on it.
-func (c *Client) done(l *link, x *call, how control.Outcome) {
+// connectionEnded handles the end of a connection, or of the attempt to open one, and of the call that it carried.
+func (c *Client) connectionEnded(conn *connection, pending *pendingCall, outcome control.Outcome) {
 	c.mu.Lock()
-	c.open--
-	var lost *call
-	if x != nil && c.calls[x.handle] == x && x.link == l {
-		if l != nil && l.again && !l.heard && !x.once && time.Since(x.sent) < idleBreak {
-			x.link, x.fresh = nil, true // it had been forgotten: the call is made again
-			c.log.Info("call repeated", "id", x.handle, "why", "an idle connection had ended")
-			c.place(x)
+	c.openConns--
+	var failed *pendingCall
+	if pending != nil && c.inFlight[pending.handle] == pending && pending.link == conn {
+		if conn != nil && conn.reused && !conn.received && !pending.once && time.Since(pending.sent) < idleResetWindow {
+			pending.link, pending.needsNewConn = nil, true // the index had closed the idle connection: the call is sent again
+			c.log.Info("call repeated", "id", pending.handle, "why", "an idle connection had ended")
+			c.assign(pending)
 		} else {
-			delete(c.calls, x.handle)
-			lost = x
+			delete(c.inFlight, pending.handle)
+			failed = pending
 		}
 	}
-	if len(c.queue) > 0 && c.open < c.limit {
-		next := c.queue[0]
-		c.queue = slices.Delete(c.queue, 0, 1)
-		c.place(next)
+	if len(c.waiting) > 0 && c.openConns < c.maxConns {
+		next := c.waiting[0]
+		c.waiting = slices.Delete(c.waiting, 0, 1)
+		c.assign(next)
 	}
 	c.mu.Unlock()
-	if lost != nil {
-		c.sink(core.CallEnded{Handle: lost.handle, Number: lost.number, Outcome: how})
+	if failed != nil {
+		c.sink(core.CallEnded{Handle: failed.handle, Number: failed.number, Outcome: outcome})
 	}
 }
 
-// rest has a connection wait for its next call, which may stand in the queue.
-func (c *Client) rest(l *link, addr string) {
-	l.call, l.used = nil, time.Now()
-	if addr != c.addr || len(c.queue) > 0 && c.queue[0].fresh {
-		l.outbound.Kill()
+// makeIdle makes a connection available for the next call, which may already be waiting.
+func (c *Client) makeIdle(conn *connection, addr string) {
+	conn.call, conn.lastUsed = nil, time.Now()
+	if addr != c.addr || len(c.waiting) > 0 && c.waiting[0].needsNewConn {
+		conn.outbound.Kill()
 		return
 	}
-	c.idle = append(c.idle, l)
-	if len(c.queue) > 0 {
-		next := c.queue[0]
-		c.queue = slices.Delete(c.queue, 0, 1)
-		c.place(next)
+	c.idleConns = append(c.idleConns, conn)
+	if len(c.waiting) > 0 {
+		next := c.waiting[0]
+		c.waiting = slices.Delete(c.waiting, 0, 1)
+		c.assign(next)
 	}
 }
 
-var errReply = errors.New("malformed reply")
+var errMalformedReply = errors.New("malformed reply")
 
-// read takes replies until the connection ends. One that belongs to no call in hand is passed over.
-func (c *Client) read(l *link, in *bufio.Reader, addr string) error {
+// readReplies processes replies until the connection ends. A reply that does not match the in-flight call is ignored.
+func (c *Client) readReplies(conn *connection, in *bufio.Reader, addr string) error {
 	for {
-		e, err := readReply(in)
+		reply, err := readReply(in)
 		if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		l.heard = true
-		x := l.call
-		mine := x != nil && x.handle == e.Handle
-		if mine { // the reply is to the call that this connection carries, whatever calls of its handle there are
-			e.Number = x.number
-			delete(c.calls, e.Handle)
-			c.rest(l, addr)
+		conn.received = true
+		pending := conn.call
+		mine := pending != nil && pending.handle == reply.Handle
+		if mine { // the reply belongs to the call on this connection, even if its handle has newer calls
+			reply.Number = pending.number
+			delete(c.inFlight, reply.Handle)
+			c.makeIdle(conn, addr)
 		}
 		c.mu.Unlock()
 		if mine {
-			c.sink(e)
+			c.sink(reply)
 		}
 	}
 }
 
-// readReply reads one reply, which names no number. NOBODY is Moot: the run is over, and its own end follows.
-func readReply(in *bufio.Reader) (e core.CallEnded, err error) {
+// readReply reads one reply, which does not contain the call's number. NOBODY maps to Moot: the run is over and its
+// own end follows.
+func readReply(in *bufio.Reader) (reply core.CallEnded, err error) {
 	line, err := sock.Line(in)
 	if err != nil {
-		return e, err
+		return reply, err
 	}
 	handle, rest, _ := bytes.Cut(line, []byte(" "))
 	word, size, _ := bytes.Cut(rest, []byte(" "))
-	e.Handle = string(handle)
+	reply.Handle = string(handle)
 	switch string(word) {
 	case "HIT":
-		n, err := strconv.ParseUint(string(size), 10, 32)
-		if err != nil || n > maxReply {
-			return e, fmt.Errorf("%w: length %q", errReply, size)
+		length, err := strconv.ParseUint(string(size), 10, 32)
+		if err != nil || length > maxReplyBytes {
+			return reply, fmt.Errorf("%w: length %q", errMalformedReply, size)
 		}
-		e.Outcome, e.Body = control.OK, make([]byte, n+2)
-		if _, err := io.ReadFull(in, e.Body); err != nil {
-			return e, err
+		reply.Outcome, reply.Body = control.OK, make([]byte, length+2)
+		if _, err := io.ReadFull(in, reply.Body); err != nil {
+			return reply, err
 		}
-		if e.Body = bytes.TrimSuffix(e.Body, []byte("\r\n")); uint64(len(e.Body)) != n {
-			return e, fmt.Errorf("%w: no line end after the body", errReply)
+		if reply.Body = bytes.TrimSuffix(reply.Body, []byte("\r\n")); uint64(len(reply.Body)) != length {
+			return reply, fmt.Errorf("%w: no line end after the body", errMalformedReply)
 		}
 	case "SHED":
-		e.Outcome = control.Rejected
+		reply.Outcome = control.Rejected
 	case "BROKEN":
-		e.Outcome = control.Errored
+		reply.Outcome = control.Errored
 	case "SLOW":
-		e.Outcome = control.TimedOut
+		reply.Outcome = control.TimedOut
 	case "NOBODY":
-		e.Outcome = control.Moot
+		reply.Outcome = control.Moot
 	default:
-		return e, fmt.Errorf("%w: %q", errReply, word)
+		return reply, fmt.Errorf("%w: %q", errMalformedReply, word)
 	}
-	return e, nil
+	return reply, nil
 }
