--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,4 +1,4 @@
-// Package directory reports to the directory where balancers learn of this server.
+// Package directory reports this server's state to the directory, from which balancers learn of it.
 package directory
 
 import (
@@ -23,40 +23,43 @@
 )
 
 const (
-	dialTimeout  = 300 * time.Millisecond
-	replyTimeout = 250 * time.Millisecond
-	maxReply     = 4 << 10
-	maxPatient   = 2 // so many times replyTimeout is added to the wait for an answer while none comes in time
-	// failed reports in a row, with over half a second between the first and the last of them: the directory is away
-	tellAfter = 6
+	dialTimeout        = 300 * time.Millisecond
+	replyTimeout       = 250 * time.Millisecond
+	maxReplyBytes      = 4 << 10
+	maxReplyExtensions = 2 // limit of the extensions by replyTimeout of the wait for a late answer
+	// warnAfterFailures is the number of failed reports in a row after which a warning is logged; over half a second
+	// lies between the first and the last of them.
+	warnAfterFailures = 6
 )
 
-// Client reports the newest state that it was given, again and again until an answer says that it counted. What it is
-// told crosses reports that are on their way: a report is never of a state that was given up before its first byte was
-// written. Its methods never wait, and may be called from any goroutine.
+// Client reports the newest state that it was given until an answer confirms it. A new state may be set while a
+// report is on its way, but a report never contains a state that was replaced before the report's first byte was
+// written. Methods other than Run never block and may be called from any goroutine.
 type Client struct {
-	name        string
-	log         *slog.Logger
-	dial, reply time.Duration // bounds of a dial, and of a report from its first byte to the last of its answer; see patient
-	wake        chan struct{} // there is something to report
+	name string
+	log  *slog.Logger
+	// Limits of a dial, and of a report from its first byte to the end of its answer; replyExtensions extends the
+	// latter.
+	dialLimit, replyLimit time.Duration
+	wake                  chan struct{} // signals that there is something to report
 
-	mu   sync.Mutex
-	addr string
-	body string             // what to report; "" = nothing
-	cut  context.CancelFunc // ends the report in hand
+	mu           sync.Mutex
+	addr         string
+	body         string             // body of the report; empty = nothing to report
+	cancelReport context.CancelFunc // cancels the report in flight
 
-	conn    net.Conn // Run's alone, as all below; nil = none
-	in      *bufio.Reader
-	at      string // the address that conn goes to
-	patient int    // so many times reply is added to the wait for an answer
+	conn            net.Conn // used by Run only, like the fields below; nil = no connection
+	reader          *bufio.Reader
+	connAddr        string // address that conn is connected to
+	replyExtensions int    // number of times that replyLimit is added to the wait for an answer
 }
 
-// New makes a client; an empty addr is a server that is listed nowhere.
+// New returns a client. With an empty addr the server is listed nowhere and nothing is sent.
 func New(addr, name string, log *slog.Logger) *Client {
-	return &Client{addr: addr, name: name, log: log, dial: dialTimeout, reply: replyTimeout, wake: make(chan struct{}, 1), cut: func() {}}
+	return &Client{addr: addr, name: name, log: log, dialLimit: dialTimeout, replyLimit: replyTimeout, wake: make(chan struct{}, 1), cancelReport: func() {}}
 }
 
-// Move has all further reports sent to another address, beginning with the newest state at once.
+// Move sends all further reports to another address, starting with the newest state at once.
 func (c *Client) Move(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -64,49 +67,49 @@
 		return
 	}
 	c.addr = addr
-	c.cut()
-	c.due()
+	c.cancelReport()
+	c.signal()
 }
 
-// Report takes the newest state: whether this server takes work. It is reported also if it is as before.
+// Report sets the newest state, whether this server accepts work, and reports it even if it has not changed.
 func (c *Client) Report(open bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	was := c.body
+	previous := c.body
 	c.body = `{"mode":"closed"}`
 	if open {
 		c.body = `{"mode":"open"}`
 	}
-	if c.body != was { // what is in hand is answered soon, in order, or given up
-		time.AfterFunc(c.reply, c.cut)
+	if c.body != previous { // the report in flight is answered soon, in order, or canceled
+		time.AfterFunc(c.replyLimit, c.cancelReport)
 	}
-	c.due()
+	c.signal()
 }
 
-// Silence ends all reports until the next call of Report. Guards against an old process that speaks for its successor:
-// both report under one name.
+// Silence stops all reports until the next call of Report. It prevents an old process from reporting for its
+// successor, since both report under one name.
 func (c *Client) Silence() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body = ""
-	c.cut()
+	c.cancelReport()
 }
 
-func (c *Client) due() {
+func (c *Client) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run sends reports until ctx ends. One that failed is tried again by itself, with a growing wait between tries that
-// each new report cuts short.
+// Run sends reports until ctx ends. A failed report is retried with a growing delay, which each new report cuts
+// short.
 func (c *Client) Run(ctx context.Context) {
-	defer c.hangUp(false)
+	defer c.closeConn(false)
 	var (
-		wait  sock.Backoff
-		retry <-chan time.Time
-		wrong int
+		wait     sock.Backoff
+		retry    <-chan time.Time
+		failures int
 	)
 	for {
 		select {
@@ -116,26 +119,27 @@
 		case <-retry:
 		}
 		retry = nil
-		err := c.put(ctx)
-		if err == nil || errors.Is(err, errCut) {
+		err := c.sendReport(ctx)
+		if err == nil || errors.Is(err, errSuperseded) {
 			wait.Reset()
-			wrong, c.patient = 0, 0
+			failures, c.replyExtensions = 0, 0
 			continue
 		}
-		// Guards against a slow directory that drops what nobody waits for: it would never hear this server.
-		if c.patient < maxPatient && errors.Is(err, os.ErrDeadlineExceeded) {
-			c.patient++
+		// A slow directory may drop requests whose client no longer waits, and would then never receive a report:
+		// wait longer.
+		if c.replyExtensions < maxReplyExtensions && errors.Is(err, os.ErrDeadlineExceeded) {
+			c.replyExtensions++
 		}
 		retry = time.After(wait.Next())
-		if wrong++; wrong == tellAfter {
+		if failures++; failures == warnAfterFailures {
 			c.log.Warn("link down", "to", "directory", "err", err)
 		}
 	}
 }
 
-// hangUp ends the connection. With abort what was not acknowledged is taken back: guards against an old report that a
-// network delivers after a newer one.
-func (c *Client) hangUp(abort bool) {
+// closeConn closes the connection. With abort, unacknowledged data is discarded, which prevents the network from
+// delivering an old report after a newer one.
+func (c *Client) closeConn(abort bool) {
 	if c.conn == nil {
 		return
 	}
@@ -146,106 +150,106 @@
 	c.conn = nil
 }
 
-var errCut = errors.New("given up for a newer state")
+var errSuperseded = errors.New("canceled for a newer state")
 
-// put makes one report, on the connection that was kept if that is still good, else on a new one.
-func (c *Client) put(ctx context.Context) (err error) {
-	now, cut := context.WithCancel(ctx)
-	defer cut()
+// sendReport sends one report on the kept connection if it is still usable, otherwise on a new one.
+func (c *Client) sendReport(ctx context.Context) (err error) {
+	reportCtx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	c.mu.Lock()
 	addr, body := c.addr, c.body
-	c.cut = cut
+	c.cancelReport = cancel
 	c.mu.Unlock()
-	if c.conn != nil && (c.at != addr || !idle(c.conn, c.in)) {
-		c.hangUp(false)
+	if c.conn != nil && (c.connAddr != addr || !isIdle(c.conn, c.reader)) {
+		c.closeConn(false)
 	}
 	if addr == "" || body == "" {
 		return nil
 	}
-	kept := c.conn != nil
-	if err = c.try(now, addr); err != nil && kept && !errors.Is(err, os.ErrDeadlineExceeded) && now.Err() == nil {
-		err = c.try(now, addr) // the connection may have been closed just now
+	reused := c.conn != nil
+	if err = c.tryReport(reportCtx, addr); err != nil && reused && !errors.Is(err, os.ErrDeadlineExceeded) && reportCtx.Err() == nil {
+		err = c.tryReport(reportCtx, addr) // the kept connection may have been closed just before
 	}
-	if err != nil && now.Err() != nil {
-		return errCut
+	if err != nil && reportCtx.Err() != nil {
+		return errSuperseded
 	}
 	return err
 }
 
-// try makes one report of the state as it is once a connection is there. Its connection is kept only after a whole
-// answer. One that came whole may count without an answer.
-func (c *Client) try(now context.Context, addr string) (err error) {
+// tryReport sends one report of the state at the time when the connection is ready. The connection is kept only after a
+// complete answer. A report without an answer may have taken effect nevertheless.
+func (c *Client) tryReport(reportCtx context.Context, addr string) (err error) {
 	if c.conn == nil {
-		d := net.Dialer{Timeout: c.dial}
-		if c.conn, err = d.DialContext(now, "tcp", addr); err != nil {
+		d := net.Dialer{Timeout: c.dialLimit}
+		if c.conn, err = d.DialContext(reportCtx, "tcp", addr); err != nil {
 			c.conn = nil
 			return err
 		}
-		c.in, c.at = bufio.NewReader(c.conn), addr
+		c.reader, c.connAddr = bufio.NewReader(c.conn), addr
 	}
 	conn := c.conn
-	end := context.AfterFunc(now, func() { conn.SetDeadline(time.Unix(1, 0)) })
+	end := context.AfterFunc(reportCtx, func() { conn.SetDeadline(time.Unix(1, 0)) })
 	keep := false
 	defer func() {
 		if !end() || err != nil {
-			c.hangUp(true)
+			c.closeConn(true)
 		} else if !keep {
-			c.hangUp(false)
+			c.closeConn(false)
 		}
 	}()
-	if err := conn.SetDeadline(time.Now().Add(time.Duration(1+c.patient) * c.reply)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(time.Duration(1+c.replyExtensions) * c.replyLimit)); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	body := c.body
 	c.mu.Unlock()
-	if now.Err() != nil { // also if it was cut before the deadline was set
-		return now.Err()
+	if reportCtx.Err() != nil { // also if it was canceled before the deadline was set
+		return reportCtx.Err()
 	}
 	head := "PUT /dir/nodes/" + c.name + " HTTP/1.1\r\nHost: " + addr +
 		"\r\nContent-Type: application/json\r\nContent-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n"
 	if _, err := io.WriteString(conn, head+body); err != nil {
 		return err
 	}
-	status, keep, err := readReply(c.in)
+	status, keep, err := readReply(c.reader)
 	if err == nil && status != 204 {
 		err = fmt.Errorf("report answered %d", status)
 	}
 	return err
 }
 
-// idle tells whether nothing has come on a connection that waits for its next report. Guards against a second answer
-// to the last one that is taken for the answer to the next.
-func idle(conn net.Conn, in *bufio.Reader) bool {
+// isIdle reports whether nothing was received on a kept connection. It prevents a second answer to the previous report
+// from being taken for the answer to the next.
+func isIdle(conn net.Conn, in *bufio.Reader) bool {
 	s, ok := conn.(syscall.Conn)
 	if !ok || in.Buffered() > 0 {
 		return false
 	}
-	rc, err := s.SyscallConn()
+	rawConn, err := s.SyscallConn()
 	if err != nil {
 		return false
 	}
-	none := false
-	err = rc.Control(func(fd uintptr) {
+	nothingReceived := false
+	err = rawConn.Control(func(fd uintptr) {
 		_, _, err := unix.Recvfrom(int(fd), make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		none = errors.Is(err, unix.EAGAIN)
+		nothingReceived = errors.Is(err, unix.EAGAIN)
 	})
-	return err == nil && none
+	return err == nil && nothingReceived
 }
 
-var errReply = errors.New("malformed reply")
+var errMalformedReply = errors.New("malformed reply")
 
-// readReply reads one HTTP/1.1 reply and drops its body; keep = the connection may be used again.
+// readReply reads one HTTP/1.1 reply and discards its body. keep reports whether the connection may be reused.
 func readReply(in *bufio.Reader) (status int, keep bool, err error) {
 	line, err := sock.Line(in)
 	if err != nil {
 		return 0, false, err
 	}
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) {
-		return 0, false, fmt.Errorf("%w: %q", errReply, line)
+		return 0, false, fmt.Errorf("%w: %q", errMalformedReply, line)
 	}
 	if status, err = strconv.Atoi(string(line[9:12])); err != nil {
-		return 0, false, fmt.Errorf("%w: %q", errReply, line)
+		return 0, false, fmt.Errorf("%w: %q", errMalformedReply, line)
 	}
 	keep, size := line[7] == '1', 0
 	for {
@@ -260,16 +264,16 @@
 		value = strings.TrimSpace(value)
 		switch strings.ToLower(name) {
 		case "content-length":
-			if size, err = strconv.Atoi(value); err != nil || size < 0 || size > maxReply {
-				return 0, false, fmt.Errorf("%w: length %q", errReply, value)
+			if size, err = strconv.Atoi(value); err != nil || size < 0 || size > maxReplyBytes {
+				return 0, false, fmt.Errorf("%w: length %q", errMalformedReply, value)
 			}
 		case "connection":
 			keep = !strings.EqualFold(value, "close")
 		case "transfer-encoding":
-			keep = false // its body is not read
+			keep = false // the body is not read
 		}
 	}
-	if status == 204 { // it has no body, whatever length it tells
+	if status == 204 { // it has no body, whatever Content-Length says
 		return status, keep && size == 0, nil
 	}
 	_, err = in.Discard(size)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -9,41 +9,42 @@
 	"larchscale/internal/scenario"
 )
 
-// Reports are calls of HTTP/1.1 on one connection, made anew when the directory closes it or fails.
-func TestReports(t *testing.T) {
-	stand := scenario.Listen(t)
-	c := directory.New(stand.Addr, "n3", slog.New(slog.DiscardHandler))
+// Checks that reports are HTTP/1.1 requests on one connection, which is opened again when the directory closes it or
+// returns an error.
+func TestReportsOnOneConnection(t *testing.T) {
+	backend := scenario.Listen(t)
+	c := directory.New(backend.Addr, "n3", slog.New(slog.DiscardHandler))
 	ctx, end := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
-	put := func(p *scenario.Peer, mode string) {
+	put := func(peer *scenario.Peer, mode string) {
 		t.Helper()
-		p.Expect(`^PUT /dir/nodes/n3 HTTP/1.1$`)
-		p.Expect(`^Content-Length: \d+$`)
-		p.Expect(`^$`)
-		p.Bytes(`{"mode":"` + mode + `"}`)
-		p.Send("HTTP/1.1 204 No Content\r\nServer: x\r\n\r\n")
+		peer.Expect(`^PUT /dir/nodes/n3 HTTP/1.1$`)
+		peer.Expect(`^Content-Length: \d+$`)
+		peer.Expect(`^$`)
+		peer.Bytes(`{"mode":"` + mode + `"}`)
+		peer.Send("HTTP/1.1 204 No Content\r\nServer: x\r\n\r\n")
 	}
 	c.Report(true)
-	p := stand.Accept()
-	put(p, "open")
+	peer := backend.Accept()
+	put(peer, "open")
 	c.Report(false)
-	put(p, "closed") // the same connection
-	p.Close()
+	put(peer, "closed") // on the same connection
+	peer.Close()
 	c.Report(true)
-	p = stand.Accept()
-	p.Expect(`^PUT`)
-	p.Send("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno")
-	p = stand.Accept() // none is kept after an error, and the report is made again by itself
-	put(p, "open")
-	c.Report(true) // so is one that is not answered
-	p.Expect(`open`)
-	p = stand.Accept()
-	put(p, "open")
+	peer = backend.Accept()
+	peer.Expect(`^PUT`)
+	peer.Send("HTTP/1.1 500 Oops\r\nContent-Length: 2\r\n\r\nno")
+	peer = backend.Accept() // after an error the connection is closed and the report is repeated
+	put(peer, "open")
+	c.Report(true) // a report without an answer is repeated too
+	peer.Expect(`open`)
+	peer = backend.Accept()
+	put(peer, "open")
 	c.Report(false)
-	put(p, "closed")
+	put(peer, "closed")
 	next := scenario.Listen(t)
-	c.Move(next.Addr) // the new directory is told at once
+	c.Move(next.Addr) // the new directory gets a report at once
 	put(next.Accept(), "closed")
 	end()
 	<-done
--- a/internal/directory/faults_test.go
+++ b/internal/directory/faults_test.go
@@ -19,56 +19,57 @@
 	"golang.org/x/sys/unix"
 )
 
-// patience is a bound that only a test that fails reaches, and lapse is when the directory drops an entry.
+// testTimeout is a time limit that only a failing test reaches; lapse is the time after which the directory drops an
+// entry.
 const (
-	patience = 20 * time.Second
-	lapse    = 3 * time.Second
+	testTimeout   = 20 * time.Second
+	entryLifetime = 3 * time.Second
 )
 
-const answered = "HTTP/1.1 204 No Content\r\n\r\n"
+const okReply = "HTTP/1.1 204 No Content\r\n\r\n"
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// desk is a directory that a test plays report by report.
-type desk struct {
+// testDirectory is a directory whose answers the test controls report by report.
+type testDirectory struct {
 	t *testing.T
 	*net.TCPListener
 }
 
-func open(t *testing.T, addr string) *desk {
+func openDirectory(t *testing.T, addr string) *testDirectory {
 	t.Helper()
-	l, err := net.Listen("tcp", addr)
+	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
-	return &desk{t, l.(*net.TCPListener)}
+	t.Cleanup(func() { listener.Close() })
+	return &testDirectory{t, listener.(*net.TCPListener)}
 }
 
-func (d *desk) addr() string { return d.Addr().String() }
+func (dir *testDirectory) addr() string { return dir.Addr().String() }
 
-// line is one connection of the client.
-type line struct {
+// testConn is one connection from the client.
+type testConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-// next takes the next connection, within the time that an entry stays listed.
-func (d *desk) next() *line {
-	d.t.Helper()
-	d.SetDeadline(time.Now().Add(lapse))
-	c, err := d.Accept()
+// acceptConn accepts the next connection, which must come within the lifetime of an entry.
+func (dir *testDirectory) acceptConn() *testConn {
+	dir.t.Helper()
+	dir.SetDeadline(time.Now().Add(entryLifetime))
+	c, err := dir.Accept()
 	if err != nil {
-		d.t.Fatal(err)
+		dir.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
-	return &line{c, bufio.NewReader(c)}
+	dir.t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(testTimeout))
+	return &testConn{c, bufio.NewReader(c)}
 }
 
-// report reads one report; "" = the connection ended.
-func (l *line) report() string {
-	r, err := http.ReadRequest(l.in)
+// report reads one report and returns its mode, or "" if the connection ended.
+func (conn *testConn) report() string {
+	r, err := http.ReadRequest(conn.in)
 	if err != nil {
 		return ""
 	}
@@ -79,33 +80,34 @@
 	return strings.TrimSuffix(strings.TrimPrefix(string(body), `{"mode":"`), `"}`)
 }
 
-// expect reads one report of a mode.
-func (d *desk) expect(l *line, mode string) {
-	d.t.Helper()
-	if got := l.report(); got != mode {
-		d.t.Fatalf("reported %q, want %q", got, mode)
+// expect reads one report and checks its mode.
+func (dir *testDirectory) expect(conn *testConn, mode string) {
+	dir.t.Helper()
+	if got := conn.report(); got != mode {
+		dir.t.Fatalf("reported %q, want %q", got, mode)
 	}
 }
 
-func (l *line) say(s string) { io.WriteString(l, s) }
+func (conn *testConn) send(s string) { io.WriteString(conn, s) }
 
-// quiet fails if the client has connected since the last line that was taken: the listener's queue keeps its order.
-func (d *desk) quiet(what string) {
-	d.t.Helper()
-	mark, err := net.Dial("tcp", d.addr())
+// expectNoConnection fails the test if the client has connected since the last accepted connection. It relies on the
+// order of the listener's queue.
+func (dir *testDirectory) expectNoConnection(what string) {
+	dir.t.Helper()
+	mark, err := net.Dial("tcp", dir.addr())
 	if err != nil {
-		d.t.Fatal(err)
+		dir.t.Fatal(err)
 	}
 	defer mark.Close()
-	if l := d.next(); l.RemoteAddr().String() != mark.LocalAddr().String() {
-		d.t.Errorf("%s: %q", what, l.report())
+	if conn := dir.acceptConn(); conn.RemoteAddr().String() != mark.LocalAddr().String() {
+		dir.t.Errorf("%s: %q", what, conn.report())
 	}
 }
 
-// run starts a client whose waits for a dial and for an answer are bounded by dial and reply.
-func run(t *testing.T, addr string, dial, reply time.Duration) *Client {
+// startClient starts a client with the given limits for a dial and an answer.
+func startClient(t *testing.T, addr string, dial, reply time.Duration) *Client {
 	c := New(addr, "n3", slog.New(slog.DiscardHandler))
-	c.dial, c.reply = dial, reply
+	c.dialLimit, c.replyLimit = dial, reply
 	ctx, end := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { c.Run(ctx); close(done) }()
@@ -113,243 +115,244 @@
 		end()
 		select {
 		case <-done:
-		case <-time.After(lapse):
-			t.Error("it does not end")
+		case <-time.After(entryLifetime):
+			t.Error("Run does not return")
 		}
 	})
 	return c
 }
 
-// A change whose report breaks is reported again, with no word from outside.
-func TestChangeIsReportedAgainAfterABreak(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, patience)
+// Checks that a report whose connection breaks is sent again without another call of Report.
+func TestReportRepeatedAfterBrokenConnection(t *testing.T) {
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	l := d.next()
-	d.expect(l, "open")
-	l.say(answered)
+	conn := dir.acceptConn()
+	dir.expect(conn, "open")
+	conn.send(okReply)
 	c.Report(false)
-	d.expect(l, "closed")
-	l.Close() // it may have counted or not
+	dir.expect(conn, "closed")
+	conn.Close() // the report may have taken effect or not
 	for _, bad := range []string{"", "HTTP/1.1 500 Oops\r\n\r\n", "HTTP/1.1 204 No"} {
-		l = d.next()
-		d.expect(l, "closed")
-		l.say(bad)
-		l.Close()
+		conn = dir.acceptConn()
+		dir.expect(conn, "closed")
+		conn.send(bad)
+		conn.Close()
 	}
-	l = d.next()
-	d.expect(l, "closed")
-	l.say(answered)
+	conn = dir.acceptConn()
+	dir.expect(conn, "closed")
+	conn.send(okReply)
 }
 
-// One whose answer does not come in time is reported again, with no word from outside.
-func TestChangeIsReportedAgainAfterATimeout(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, 50*time.Millisecond)
+// Checks that a report without an answer in time is sent again without another call of Report.
+func TestReportRepeatedAfterTimeout(t *testing.T) {
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, 50*time.Millisecond)
 	c.Report(false)
 	for range 3 {
-		d.expect(d.next(), "closed")
+		dir.expect(dir.acceptConn(), "closed")
 	}
 }
 
-// A directory that is slow is waited for longer: it may drop what nobody waits for.
-func TestSlowDirectoryIsHeard(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, 300*time.Millisecond)
+// Checks that the client waits longer for a slow directory, which may drop requests whose client no longer waits.
+func TestSlowDirectoryGetsLongerTimeout(t *testing.T) {
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, 300*time.Millisecond)
 	c.Report(true)
 	for range 2 {
-		l := d.next()
-		d.expect(l, "open")
-		l.in.ReadByte() // it is given up
+		conn := dir.acceptConn()
+		dir.expect(conn, "open")
+		conn.in.ReadByte() // returns when the client closes the connection
 	}
-	l := d.next()
-	d.expect(l, "open")
-	time.Sleep(600 * time.Millisecond) // as long as the second waited
-	l.say(answered)
+	conn := dir.acceptConn()
+	dir.expect(conn, "open")
+	time.Sleep(600 * time.Millisecond) // as long as the wait of the second report
+	conn.send(okReply)
 	c.Report(true)
-	d.expect(l, "open")
+	dir.expect(conn, "open")
 }
 
-// Nor does a change wait long behind a report that waits for a slow directory.
-func TestChangeCutsShortAReportThatWaits(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, 400*time.Millisecond)
+// Checks that a changed state does not wait long behind a report to a slow directory.
+func TestChangeCancelsWaitingReport(t *testing.T) {
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, 400*time.Millisecond)
 	c.Report(true)
 	for range 2 {
-		l := d.next()
-		d.expect(l, "open")
-		l.in.ReadByte()
+		conn := dir.acceptConn()
+		dir.expect(conn, "open")
+		conn.in.ReadByte()
 	}
-	d.expect(d.next(), "open") // this one may wait for 1,200 ms
+	dir.expect(dir.acceptConn(), "open") // this report may wait for 1,200 ms
 	began := time.Now()
 	c.Report(false)
-	d.expect(d.next(), "closed")
+	dir.expect(dir.acceptConn(), "closed")
 	if took := time.Since(began); took > 1000*time.Millisecond {
 		t.Errorf("the change came after %v", took)
 	}
 }
 
-// A report that breaks while a newer one stands behind it is not repeated: the newer one is sent.
+// Checks that a broken report is not repeated if a newer state is pending: the newer one is sent.
 func TestRetrySendsTheNewestState(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, patience)
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	l := d.next()
-	d.expect(l, "open")
-	l.say(answered)
+	conn := dir.acceptConn()
+	dir.expect(conn, "open")
+	conn.send(okReply)
 	c.Report(true)
-	d.expect(l, "open") // on a connection that was kept
+	dir.expect(conn, "open") // on the kept connection
 	c.Report(false)
-	l.Close()
-	d.expect(d.next(), "closed")
+	conn.Close()
+	dir.expect(dir.acceptConn(), "closed")
 }
 
-// What is sent after a dial is the state as it is then.
+// Checks that a report sent after a dial contains the state at that time.
 func TestStateChangesDuringADial(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	full := d.fill()
-	c := run(t, d.addr(), patience, patience)
+	dir := openDirectory(t, "127.0.0.1:0")
+	full := dir.fillBacklog()
+	c := startClient(t, dir.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	d.dialling()
+	dir.waitForDial()
 	c.Report(false)
 	full()
-	d.expect(d.next(), "closed")
+	dir.expect(dir.acceptConn(), "closed")
 }
 
-// No open comes after a closed, whatever became of the opens before: one that was not answered has its connection
-// aborted, so that nothing of it is on its way any longer.
+// Checks that no "open" arrives after a "closed": a report without an answer has its connection aborted, so that none
+// of its data can still be delivered.
 func TestNoOpenAfterClosed(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, 100*time.Millisecond)
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, 100*time.Millisecond)
 	c.Report(true)
-	lines := []*line{d.next(), d.next()} // the second is the retry
-	for _, l := range lines {
-		d.expect(l, "open")
+	conns := []*testConn{dir.acceptConn(), dir.acceptConn()} // the second is the retry
+	for _, conn := range conns {
+		dir.expect(conn, "open")
 	}
 	c.Report(false)
 	late := 0
-	for l := d.next(); ; l = d.next() {
-		if l.report() == "closed" {
-			lines = append(lines, l)
+	for conn := dir.acceptConn(); ; conn = dir.acceptConn() {
+		if conn.report() == "closed" {
+			conns = append(conns, conn)
 			break
 		}
 		if late++; late > 8 {
-			t.Fatal("it goes on reporting open")
+			t.Fatal("the client still reports open")
 		}
 	}
-	for i, l := range lines {
-		if _, err := l.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+	for i, conn := range conns {
+		if _, err := conn.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 			t.Errorf("connection %d ended with %v, want a reset", i, err)
 		}
 	}
 	for range 5 {
 		c.Report(false)
-		l := d.next()
-		d.expect(l, "closed")
-		l.say("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
+		conn := dir.acceptConn()
+		dir.expect(conn, "closed")
+		conn.send("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n")
 	}
 }
 
-// A move while a report is in flight: the new directory is told the newest state at once, the old one nothing more.
-func TestMoveCrossesAReport(t *testing.T) {
-	old, next := open(t, "127.0.0.1:0"), open(t, "127.0.0.1:0")
-	c := run(t, old.addr(), patience, patience)
+// Checks a move while a report is in flight: the new directory gets the newest state at once, the old one nothing
+// more.
+func TestMoveDuringReport(t *testing.T) {
+	old, next := openDirectory(t, "127.0.0.1:0"), openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, old.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	l := old.next()
-	old.expect(l, "open")
+	conn := old.acceptConn()
+	old.expect(conn, "open")
 	c.Report(false)
 	c.Move(next.addr())
-	m := next.next()
+	m := next.acceptConn()
 	next.expect(m, "closed")
-	m.say(answered)
+	m.send(okReply)
 	c.Report(true)
 	next.expect(m, "open")
-	if got := l.report(); got != "" {
-		t.Errorf("the old one was told %q after the move", got)
+	if got := conn.report(); got != "" {
+		t.Errorf("the old directory got %q after the move", got)
 	}
-	old.quiet("the old one was told after the move")
+	old.expectNoConnection("the old directory got a report after the move")
 }
 
-// A move while a connection to the old directory is being made.
-func TestMoveCrossesADial(t *testing.T) {
-	old, next := open(t, "127.0.0.1:0"), open(t, "127.0.0.1:0")
-	full := old.fill()
-	c := run(t, old.addr(), patience, patience)
+// Checks a move while a connection to the old directory is being opened.
+func TestMoveDuringDial(t *testing.T) {
+	old, next := openDirectory(t, "127.0.0.1:0"), openDirectory(t, "127.0.0.1:0")
+	full := old.fillBacklog()
+	c := startClient(t, old.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	old.dialling()
+	old.waitForDial()
 	c.Move(next.addr())
-	next.expect(next.next(), "open")
+	next.expect(next.acceptConn(), "open")
 	full()
-	old.quiet("the old one was connected to after the move")
+	old.expectNoConnection("the old directory got a connection after the move")
 }
 
-// A client that is silenced says nothing of what it was told before, nor tries a report again.
-func TestSilenceCrossesAReport(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, patience)
+// Checks that a silenced client neither completes the report in flight nor retries it.
+func TestSilenceDuringReport(t *testing.T) {
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	l := d.next()
-	d.expect(l, "open")
+	conn := dir.acceptConn()
+	dir.expect(conn, "open")
 	c.Silence()
-	if _, err := l.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the report in hand ended with %v, want a reset", err)
+	if _, err := conn.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
+		t.Errorf("the report in flight ended with %v, want a reset", err)
 	}
-	time.Sleep(100 * time.Millisecond) // for three retries, if there were any
+	time.Sleep(100 * time.Millisecond) // time for three retries, if there were any
 	c.Report(false)
-	d.expect(d.next(), "closed")
+	dir.expect(dir.acceptConn(), "closed")
 }
 
-// Two answers to one report: the second is not taken for the answer to the next one.
+// Checks that the second of two answers to one report is not taken for the answer to the next one.
 func TestTwoAnswersToOneReport(t *testing.T) {
-	for _, parts := range [][]string{{answered + answered}, {answered, answered}, {answered, "x"}} {
-		d := open(t, "127.0.0.1:0")
-		c := run(t, d.addr(), patience, patience)
+	for _, parts := range [][]string{{okReply + okReply}, {okReply, okReply}, {okReply, "x"}} {
+		dir := openDirectory(t, "127.0.0.1:0")
+		c := startClient(t, dir.addr(), testTimeout, testTimeout)
 		c.Report(true)
-		l := d.next()
-		d.expect(l, "open")
+		conn := dir.acceptConn()
+		dir.expect(conn, "open")
 		for _, p := range parts {
-			l.say(p)
+			conn.send(p)
 		}
 		c.Report(false)
-		d.expect(d.next(), "closed")
+		dir.expect(dir.acceptConn(), "closed")
 	}
 }
 
-// An answer without a body ends with its head, whatever length it claims.
+// Checks that a 204 answer ends with its head, whatever length it claims.
 func TestNoContentHasNoBody(t *testing.T) {
-	d := open(t, "127.0.0.1:0")
-	c := run(t, d.addr(), patience, patience)
+	dir := openDirectory(t, "127.0.0.1:0")
+	c := startClient(t, dir.addr(), testTimeout, testTimeout)
 	c.Report(true)
-	l := d.next()
-	d.expect(l, "open")
-	l.say("HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n")
+	conn := dir.acceptConn()
+	dir.expect(conn, "open")
+	conn.send("HTTP/1.1 204 No Content\r\nContent-Length: 7\r\n\r\n")
 	c.Report(false)
-	d.expect(d.next(), "closed")
+	dir.expect(dir.acceptConn(), "closed")
 }
 
-// A directory that is there and of no use: whatever it does to a report, a change reaches it long before the entry
-// lapses once it is well, and the client ends at once.
-func TestSilentDirectory(t *testing.T) {
-	for name, answer := range map[string]func(*line){
-		"never answers":         func(*line) {},
-		"closes at once":        func(l *line) { l.Close() },
-		"breaks off in a head":  func(l *line) { l.say("HTTP/1.1 204 No Content\r\nServer"); l.Close() },
-		"breaks off in a body":  func(l *line) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); l.Close() },
-		"hangs in a body":       func(l *line) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf") },
-		"a spoilt length":       func(l *line) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 9x\r\n\r\n") },
-		"a length below zero":   func(l *line) { l.say("HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\n") },
-		"a length past all":     func(l *line) { l.say("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n") },
-		"a status that is none": func(l *line) { l.say("HTTP/1.1 2x4 No\r\n\r\n") },
-		"byte by byte": func(l *line) {
-			for _, b := range answered {
-				l.say(string(b))
+// Checks that whatever a faulty directory does to a report, a change reaches it well within the lifetime of an entry
+// once it works again, and that Run returns at once.
+func TestFaultyDirectory(t *testing.T) {
+	for name, answer := range map[string]func(*testConn){
+		"never answers":           func(*testConn) {},
+		"closes at once":          func(conn *testConn) { conn.Close() },
+		"breaks off in a head":    func(conn *testConn) { conn.send("HTTP/1.1 204 No Content\r\nServer"); conn.Close() },
+		"breaks off in a body":    func(conn *testConn) { conn.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); conn.Close() },
+		"hangs in a body":         func(conn *testConn) { conn.send("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf") },
+		"an invalid length":       func(conn *testConn) { conn.send("HTTP/1.1 200 OK\r\nContent-Length: 9x\r\n\r\n") },
+		"a negative length":       func(conn *testConn) { conn.send("HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\n") },
+		"a length over the limit": func(conn *testConn) { conn.send("HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n") },
+		"an invalid status":       func(conn *testConn) { conn.send("HTTP/1.1 2x4 No\r\n\r\n") },
+		"byte by byte": func(conn *testConn) {
+			for _, b := range okReply {
+				conn.send(string(b))
 				time.Sleep(30 * time.Millisecond)
 			}
 		},
-		"a head without end": func(l *line) {
-			l.say("HTTP/1.1 204 No Content\r\n")
+		"a head without end": func(conn *testConn) {
+			conn.send("HTTP/1.1 204 No Content\r\n")
 			for i := 0; i < 1000; i++ {
-				if _, err := io.WriteString(l, "X: y\r\n"); err != nil {
+				if _, err := io.WriteString(conn, "X: y\r\n"); err != nil {
 					return
 				}
 				time.Sleep(5 * time.Millisecond)
@@ -358,68 +361,69 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := open(t, "127.0.0.1:0")
-			c := run(t, d.addr(), dialTimeout, replyTimeout)
+			dir := openDirectory(t, "127.0.0.1:0")
+			c := startClient(t, dir.addr(), dialTimeout, replyTimeout)
 			c.Report(true)
 			for range 2 {
-				l := d.next()
-				d.expect(l, "open")
-				go answer(l)
+				conn := dir.acceptConn()
+				dir.expect(conn, "open")
+				go answer(conn)
 			}
 			began := time.Now()
 			c.Report(false)
-			for l := d.next(); ; l = d.next() {
-				if l.report() == "closed" {
-					l.say(answered)
+			for conn := dir.acceptConn(); ; conn = dir.acceptConn() {
+				if conn.report() == "closed" {
+					conn.send(okReply)
 					break
 				}
-				go answer(l)
+				go answer(conn)
 			}
-			if took := time.Since(began); took > lapse/2 {
+			if took := time.Since(began); took > entryLifetime/2 {
 				t.Errorf("the change took %v", took)
 			}
 			c.Report(true)
-			d.expect(d.next(), "open") // it ends while this one waits
+			dir.expect(dir.acceptConn(), "open") // Run is ended while this report waits
 		})
 	}
 }
 
-// A directory that is away for long is told again within a second of its return, and nothing piles up meanwhile.
-func TestDirectoryReturnsAfterLong(t *testing.T) {
+// Checks that a directory that was unavailable for long gets a report within a second of its return, and that no
+// descriptors pile up meanwhile.
+func TestDirectoryReturnsAfterLongOutage(t *testing.T) {
 	before := descriptors(t)
-	d := open(t, "127.0.0.1:0")
-	addr := d.addr()
-	d.Close()
-	c := run(t, addr, dialTimeout, replyTimeout)
-	ticks := time.NewTicker(600 * time.Millisecond) // as the core reports
+	dir := openDirectory(t, "127.0.0.1:0")
+	addr := dir.addr()
+	dir.Close()
+	c := startClient(t, addr, dialTimeout, replyTimeout)
+	ticks := time.NewTicker(600 * time.Millisecond) // the interval of the core's reports
 	defer ticks.Stop()
-	away := func(most int) {
+	reportWhileDown := func(limit int) {
 		for range 2 {
 			c.Report(true)
 			<-ticks.C
-			if n := descriptors(t) - before; n > most {
-				t.Errorf("%d descriptors, %d at most", n, most)
+			if n := descriptors(t) - before; n > limit {
+				t.Errorf("%d descriptors, limit %d", n, limit)
 			}
 		}
 	}
-	away(1)                  // a dial in hand
-	for d = nil; d == nil; { // refused dials may have the port in use for a moment
-		if l, err := net.Listen("tcp", addr); err == nil {
-			t.Cleanup(func() { l.Close() })
-			d = &desk{t, l.(*net.TCPListener)}
+	reportWhileDown(1)           // a dial in progress
+	for dir = nil; dir == nil; { // refused dials may use the port for a moment
+		if listener, err := net.Listen("tcp", addr); err == nil {
+			t.Cleanup(func() { listener.Close() })
+			dir = &testDirectory{t, listener.(*net.TCPListener)}
 		}
 	}
-	full := d.fill()
-	away(4) // the listener, both ends of what fills it, a dial in hand
+	full := dir.fillBacklog()
+	reportWhileDown(4) // the listener, both ends of the filling connection, a dial in progress
 	full()
 	back := time.Now()
 	end := time.AfterFunc(600*time.Millisecond, func() { c.Report(true) })
 	defer end.Stop()
-	d.expect(d.next(), "open")
+	dir.expect(dir.acceptConn(), "open")
 	took := time.Since(back)
-	t.Logf("told %v after its return", took)
+	t.Logf("reported %v after its return", took)
 	if took > time.Second {
-		t.Errorf("told %v after its return", took)
+		t.Errorf("reported %v after its return", took)
 	}
 }
 
@@ -432,42 +436,41 @@
 	return len(all)
 }
 
-// fill makes the listener a black hole: with its queue full the kernel drops what dials it. The function given back
-// ends that.
-func (d *desk) fill() func() {
-	d.t.Helper()
-	rc, err := d.SyscallConn()
+// fillBacklog makes the listener drop connection attempts by filling its queue. The returned function ends that.
+func (dir *testDirectory) fillBacklog() func() {
+	dir.t.Helper()
+	rc, err := dir.SyscallConn()
 	if err != nil {
-		d.t.Fatal(err)
+		dir.t.Fatal(err)
 	}
 	depth := func(n int) {
 		if cerr := rc.Control(func(fd uintptr) { err = unix.Listen(int(fd), n) }); cerr != nil || err != nil {
-			d.t.Fatal(cerr, err)
+			dir.t.Fatal(cerr, err)
 		}
 	}
 	depth(0)
-	mine, err := net.Dial("tcp", d.addr())
+	mine, err := net.Dial("tcp", dir.addr())
 	if err != nil {
-		d.t.Fatal(err)
+		dir.t.Fatal(err)
 	}
-	d.t.Cleanup(func() { mine.Close() })
+	dir.t.Cleanup(func() { mine.Close() })
 	return func() {
-		d.t.Helper()
+		dir.t.Helper()
 		depth(16)
-		if l := d.next(); l.RemoteAddr().String() != mine.LocalAddr().String() {
-			d.t.Error("it was not full")
+		if conn := dir.acceptConn(); conn.RemoteAddr().String() != mine.LocalAddr().String() {
+			dir.t.Error("the queue was not full")
 		}
 	}
 }
 
-// dialling waits until a connection to the full listener is being made.
-func (d *desk) dialling() {
-	d.t.Helper()
-	want := fmt.Sprintf(":%04X", d.Addr().(*net.TCPAddr).Port)
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+// waitForDial waits until the client is dialing the full listener.
+func (dir *testDirectory) waitForDial() {
+	dir.t.Helper()
+	want := fmt.Sprintf(":%04X", dir.Addr().(*net.TCPAddr).Port)
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
-			d.t.Fatal(err)
+			dir.t.Fatal(err)
 		}
 		for row := range strings.Lines(string(table)) {
 			if f := strings.Fields(row); len(f) > 3 && strings.HasSuffix(f[2], want) && f[3] == "02" { // SYN_SENT
@@ -475,5 +478,5 @@
 			}
 		}
 	}
-	d.t.Fatal("nobody dials")
+	dir.t.Fatal("no dial was seen")
 }
