--- a/internal/sequential/process.go
+++ b/internal/sequential/process.go
@@ -7,82 +7,85 @@
 	"gonum.org/v1/gonum/mathext"
 )
 
-// term is what one stratum brings to an e-process: the sum of y and of its squares, and how far y can fall and rise.
-type term struct{ n, y, yy, low, high float64 }
+// increment is the contribution of one stratum to an e-process: the number of units, the sums of y and of its
+// squares, and how far y can fall below and rise above zero.
+type increment struct{ n, y, ySquares, low, high float64 }
 
-// mean is a mean that forgets.
-type mean struct{ n, sum float64 }
+// decayingMean is a mean that discounts older values.
+type decayingMean struct{ n, sum float64 }
 
-// Weights of what is expected of a box: that of the fleet counts as so many of its own units, the plan's base as so
-// many of the fleet's, and each block as so much less when another has come.
+// The expected value of a server combines three sources: the fleet's mean counts as much as priorUnits units of the
+// server, the plan's base as much as priorUnits units of the fleet, and the weight of a block is multiplied by
+// blockDecay with each later block.
 const (
-	prior  = 50
-	forget = 0.8
+	priorUnits = 50
+	blockDecay = 0.8
 )
 
-// terms centres each stratum on what the blocks up to the last but one say of its box, both arms together: their
-// values are known before its first unit is given out, so the centre is set before the unit. By measure of the plan.
-func terms(p *Plan, strata []Stratum) [][]term {
+// increments centers each stratum on the mean of its server over the blocks up to the last but one, both arms together.
+// Those values are known before the stratum's first unit is assigned, so the center does not depend on its units. The
+// result is indexed by measure of the plan (worth, then the guards).
+func increments(p *Plan, strata []Stratum) [][]increment {
 	bases := make([]float64, 1, 1+len(p.Guards))
 	bases[0] = p.Base
 	for _, g := range p.Guards {
 		bases = append(bases, g.Base)
 	}
-	out := make([][]term, len(bases))
-	type past [1 + MaxGuards]mean
+	out := make([][]increment, len(bases))
+	type past [1 + MaxGuards]decayingMean
 	var fleet past
-	boxes := map[string]*past{}
+	servers := map[string]*past{}
 	for j := range out {
-		out[j] = make([]term, 0, len(strata))
+		out[j] = make([]increment, 0, len(strata))
 	}
-	taken := 0
+	applied := 0
 	for i := range strata {
-		s := &strata[i]
-		for ; strata[taken].Block <= s.Block-2; taken++ {
-			t := &strata[taken]
-			own := boxes[t.Box]
-			if own == nil {
-				own = &past{}
-				boxes[t.Box] = own
+		stratum := &strata[i]
+		for ; strata[applied].Block <= stratum.Block-2; applied++ {
+			previous := &strata[applied]
+			serverMeans := servers[previous.Box]
+			if serverMeans == nil {
+				serverMeans = &past{}
+				servers[previous.Box] = serverMeans
 			}
 			for j := range bases {
-				n := float64(t.Arms[0].N + t.Arms[1].N)
-				sum := t.Arms[0].Values[j].Sum + t.Arms[1].Values[j].Sum
-				own[j] = mean{own[j].n*forget + n, own[j].sum*forget + sum}
-				f := fleet[j]
-				if taken == 0 || strata[taken-1].Block < t.Block {
-					f.n, f.sum = f.n*forget, f.sum*forget
+				n := float64(previous.Arms[0].N + previous.Arms[1].N)
+				sum := previous.Arms[0].Values[j].Sum + previous.Arms[1].Values[j].Sum
+				serverMeans[j] = decayingMean{serverMeans[j].n*blockDecay + n, serverMeans[j].sum*blockDecay + sum}
+				fleetMean := fleet[j]
+				if applied == 0 || strata[applied-1].Block < previous.Block {
+					fleetMean.n, fleetMean.sum = fleetMean.n*blockDecay, fleetMean.sum*blockDecay
 				}
-				fleet[j] = mean{f.n + n, f.sum + sum}
+				fleet[j] = decayingMean{fleetMean.n + n, fleetMean.sum + sum}
 			}
 		}
-		if s.Arms[0].N+s.Arms[1].N == 0 {
+		if stratum.Arms[0].N+stratum.Arms[1].N == 0 {
 			continue
 		}
-		own := boxes[s.Box]
+		serverMeans := servers[stratum.Box]
 		for j, base := range bases {
-			c := (fleet[j].sum + prior*base) / (fleet[j].n + prior)
-			if own != nil {
-				c = (own[j].sum + prior*c) / (own[j].n + prior)
+			center := (fleet[j].sum + priorUnits*base) / (fleet[j].n + priorUnits)
+			if serverMeans != nil {
+				center = (serverMeans[j].sum + priorUnits*center) / (serverMeans[j].n + priorUnits)
 			}
-			out[j] = append(out[j], newTerm(p.Ratio, c, s, j))
+			out[j] = append(out[j], newIncrement(p.Ratio, center, stratum, j))
 		}
 	}
 	return out
 }
 
-func newTerm(p, c float64, s *Stratum, j int) term {
-	t := term{low: max((1-p)*c, p*(1-c)), high: max((1-p)*(1-c), p*c)}
-	for a, weight := range [2]float64{-p, 1 - p} {
-		n, v := float64(s.Arms[a].N), s.Arms[a].Values[j]
-		t.n += n
-		t.y += weight * (v.Sum - n*c)
-		t.yy += weight * weight * (v.Squares - 2*c*v.Sum + n*c*c)
+func newIncrement(ratio, center float64, stratum *Stratum, measure int) increment {
+	result := increment{low: max((1-ratio)*center, ratio*(1-center)), high: max((1-ratio)*(1-center), ratio*center)}
+	for arm, weight := range [2]float64{-ratio, 1 - ratio} {
+		n, v := float64(stratum.Arms[arm].N), stratum.Arms[arm].Values[measure]
+		result.n += n
+		result.y += weight * (v.Sum - n*center)
+		result.ySquares += weight * weight * (v.Squares - 2*center*v.Sum + n*center*center)
 	}
-	return t
+	return result
 }
 
-func total(ts []term) (n, y float64) {
+func totals(ts []increment) (n, y float64) {
 	for _, t := range ts {
 		n += t.n
 		y += t.y
@@ -90,95 +93,97 @@
 	return n, y
 }
 
-// single is the logarithm of the e-process against a mean of y of at most d (sign 1) or at least d (sign -1), with
-// one size of bet. A bet that could lose all is made smaller, by the stratum's centre alone.
-func single(ts []term, d, sign, bet float64) float64 {
-	return mixture(ts, d, sign, []float64{bet}, false)
+// logEProcess returns the logarithm of the e-process against the hypothesis that the mean of y is at most d (sign 1)
+// or at least d (sign -1), with one bet size. A bet that could lose everything is reduced, using only the stratum's
+// center.
+func logEProcess(ts []increment, bound, sign, bet float64) float64 {
+	return logMixture(ts, bound, sign, []float64{bet}, false)
 }
 
-// mixture is the same over several sizes of bet with even weights; relative ones are shares of the most that a
-// stratum allows.
-func mixture(ts []term, d, sign float64, bets []float64, relative bool) float64 {
+// logMixture is like single for several bet sizes with equal weights. Relative bets are shares of the largest bet
+// that a stratum allows.
+func logMixture(ts []increment, d, sign float64, bets []float64, relative bool) float64 {
 	var logs [4]float64
 	for i := range ts {
 		t := &ts[i]
-		fall := t.low + d
+		maxFall := t.low + d
 		if sign < 0 {
-			fall = t.high - d
+			maxFall = t.high - d
 		}
-		z, zz := sign*(t.y-t.n*d), t.yy-2*d*t.y+t.n*d*d
+		z, zz := sign*(t.y-t.n*d), t.ySquares-2*d*t.y+t.n*d*d
 		for k, l := range bets {
 			if relative {
-				l /= fall
+				l /= maxFall
 			}
-			u := min(l*fall, 0.9)
-			l = u / fall
-			logs[k] += l*z + (math.Log1p(-u)+u)/(fall*fall)*zz
+			fraction := min(l*maxFall, 0.9)
+			l = fraction / maxFall
+			logs[k] += l*z + (math.Log1p(-fraction)+fraction)/(maxFall*maxFall)*zz
 		}
 	}
 	return logMean(logs[:len(bets)])
 }
 
-// logMean is the logarithm of the mean of exponentials.
+// logMean returns the logarithm of the mean of the exponentials of logs.
 func logMean(logs []float64) float64 {
-	top := math.Inf(-1)
+	largest := math.Inf(-1)
 	for _, l := range logs {
-		top = max(top, l)
+		largest = max(largest, l)
 	}
 	sum := 0.0
 	for _, l := range logs {
-		sum += math.Exp(l - top)
+		sum += math.Exp(l - largest)
 	}
-	return top + math.Log(sum/float64(len(logs)))
+	return largest + math.Log(sum/float64(len(logs)))
 }
 
-// split judges whether units are given out as they should be, over all and for each box, by the e-process of a beta
-// mixture; half of the budget is for all, the rest even over as many boxes as can be. "" = nothing is shown.
-func split(p *Plan, strata []Stratum) string {
+// checkAssignment tests whether units are assigned to the arms in the planned ratio, over all servers and for each
+// server, with the e-process of a beta mixture. Half of the error budget is for the total; the rest is shared equally
+// by the maximum number of servers. It returns "" if no deviation is shown, otherwise a description of it.
+func checkAssignment(p *Plan, strata []Stratum) string {
 	var all [2]float64
-	boxes := map[string]*[2]float64{}
+	servers := map[string]*[2]float64{}
 	for i := range strata {
-		s := &strata[i]
-		own := boxes[s.Box]
-		if own == nil {
-			own = &[2]float64{}
-			boxes[s.Box] = own
+		stratum := &strata[i]
+		serverCounts := servers[stratum.Box]
+		if serverCounts == nil {
+			serverCounts = &[2]float64{}
+			servers[stratum.Box] = serverCounts
 		}
-		for a := range all {
-			n := float64(s.Arms[a].Assigned)
-			all[a] += n
-			own[a] += n
+		for arm := range all {
+			n := float64(stratum.Arms[arm].Assigned)
+			all[arm] += n
+			serverCounts[arm] += n
 		}
 	}
-	judge := func(name string, n [2]float64, need float64) string {
-		e := betaBinomial(n[0], n[1], p.Ratio)
-		if e < need {
+	check := func(name string, n [2]float64, required float64) string {
+		evidence := logBetaBinomialRatio(n[0], n[1], p.Ratio)
+		if evidence < required {
 			return ""
 		}
 		return fmt.Sprintf("%s: %.0f units were given to A and %.0f to B, a share of %.4f where %.4f was set: evidence e^%.2f of e^%.2f needed",
-			name, n[0], n[1], n[1]/(n[0]+n[1]), p.Ratio, e, need)
+			name, n[0], n[1], n[1]/(n[0]+n[1]), p.Ratio, evidence, required)
 	}
-	if why := judge("all boxes", all, math.Log(2/p.Void)); why != "" {
+	if why := check("all boxes", all, math.Log(2/p.Void)); why != "" {
 		return why
 	}
-	need := math.Log(2 * MaxBoxes / p.Void)
-	for i := range strata { // in the order of the strata, so that the same counts name the same box
-		if n := boxes[strata[i].Box]; n != nil {
-			if why := judge("box "+strata[i].Box, *n, need); why != "" {
+	required := math.Log(2 * MaxBoxes / p.Void)
+	for i := range strata { // in the order of the strata, so that equal counts always name the same server
+		if n := servers[strata[i].Box]; n != nil {
+			if why := check("box "+strata[i].Box, *n, required); why != "" {
 				return why
 			}
-			delete(boxes, strata[i].Box)
+			delete(servers, strata[i].Box)
 		}
 	}
 	return ""
 }
 
-// concentration of the beta mixture: as if so many units had been seen at the set ratio.
-const concentration = 100
+// betaConcentration of the beta mixture: its weight in units observed at the planned ratio.
+const betaConcentration = 100
 
-// betaBinomial is the logarithm of the likelihood of a split under a beta mixture about the ratio, to that under the
+// logBetaBinomialRatio returns the logarithm of the likelihood ratio between a beta mixture around the ratio and the
 // ratio itself.
-func betaBinomial(a, b, ratio float64) float64 {
-	x, y := concentration*(1-ratio), concentration*ratio
-	return mathext.Lbeta(x+a, y+b) - mathext.Lbeta(x, y) - a*math.Log(1-ratio) - b*math.Log(ratio)
+func logBetaBinomialRatio(a, b, ratio float64) float64 {
+	alpha, beta := betaConcentration*(1-ratio), betaConcentration*ratio
+	return mathext.Lbeta(alpha+a, beta+b) - mathext.Lbeta(alpha, beta) - a*math.Log(1-ratio) - b*math.Log(ratio)
 }
--- a/internal/sequential/sequential_test.go
+++ b/internal/sequential/sequential_test.go
@@ -14,31 +14,32 @@
 		Guards: []Guard{{"in time", 0.9, 0.02}}}
 }
 
-// world gives units to arms for some blocks over three boxes; look is called as often as a second would be.
-type world struct {
-	worth, guard [2]float64
-	fade         float64 // what is lost of all worth from the middle of a block on
-	rate, blocks int     // units a box and block
+// simulation simulates units over some blocks and three servers; Look is called about as often as once a second in
+// production.
+type simulation struct {
+	worth, guard          [2]float64
+	loadPenalty           float64 // worth lost by all units from the middle of every second block on
+	unitsPerBlock, blocks int     // units per server and block
 }
 
-func (w world) run(p *Plan, seed uint64) (r Result) {
+func (w simulation) run(p *Plan, seed uint64) (result Result) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var strata []Stratum
-	for b := range w.blocks {
+	for block := range w.blocks {
 		at := len(strata)
-		strata = append(strata, Stratum{Box: "a", Block: b}, Stratum{Box: "b", Block: b}, Stratum{Box: "c", Block: b})
-		for u := range w.rate {
-			for x := range 3 {
+		strata = append(strata, Stratum{Box: "a", Block: block}, Stratum{Box: "b", Block: block}, Stratum{Box: "c", Block: block})
+		for unit := range w.unitsPerBlock {
+			for server := range 3 {
 				arm := rng.IntN(2)
 				worth := w.worth[arm]
-				if w.fade > 0 && b%2 == 1 && u > w.rate/2 {
-					worth -= w.fade
+				if w.loadPenalty > 0 && block%2 == 1 && unit > w.unitsPerBlock/2 {
+					worth -= w.loadPenalty
 				}
-				strata[at+x].Arms[arm].give(rng, worth, w.guard[arm])
+				strata[at+server].Arms[arm].addUnit(rng, worth, w.guard[arm])
 			}
-			if u%10 == 9 {
-				if r = Look(p, strata, false); r.Verdict != GoOn {
-					return r
+			if unit%10 == 9 {
+				if result = Look(p, strata, false); result.Verdict != GoOn {
+					return result
 				}
 			}
 		}
@@ -46,7 +47,7 @@
 	return Look(p, strata, true)
 }
 
-func (a *Arm) give(rng *rand.Rand, means ...float64) {
+func (a *Arm) addUnit(rng *rand.Rand, means ...float64) {
 	a.Assigned++
 	a.N++
 	for j, m := range means {
@@ -58,53 +59,54 @@
 	}
 }
 
-// Each kind of world ends as it should nearly always, and the wrong verdicts stay within their budgets over all looks.
-// 200 trials each: the bound is the budget and three sampling errors of that count.
+// Checks that each simulated world nearly always ends with its expected verdict and that wrong verdicts stay within
+// their error budgets over all evaluations. Each world runs 200 trials; the limit is the budget plus three sampling
+// errors of that count.
 func TestVerdicts(t *testing.T) {
-	most := func(budget float64) float64 { return budget + 3*math.Sqrt(budget*(1-budget)/200) }
+	limitFor := func(budget float64) float64 { return budget + 3*math.Sqrt(budget*(1-budget)/200) }
 	same := [2]float64{0.9, 0.9}
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		name  string
-		world world
+		world simulation
 		want  Verdict
-		least float64 // share of trials that end so
+		least float64 // minimum share of trials that end with want
 		never map[Verdict]float64
 	}{
-		{"A against A", world{worth: same, guard: same, rate: 300, blocks: 10}, None, 0.5, map[Verdict]float64{A: most(0.025), B: most(0.025), Harm: most(0.01), Void: most(0.001)}},
-		{"A against A, with jumps of load", world{worth: same, guard: same, fade: 0.6, rate: 300, blocks: 10}, None, 0, map[Verdict]float64{A: most(0.025), B: most(0.025), Harm: most(0.01), Void: most(0.001)}},
-		{"B better as planned", world{worth: [2]float64{0.9, 0.97}, guard: same, rate: 300, blocks: 10}, B, 0.9, map[Verdict]float64{A: most(0.001), None: most(0.05)}},
-		{"A better as planned", world{worth: [2]float64{0.97, 0.9}, guard: same, rate: 300, blocks: 10}, A, 0.9, map[Verdict]float64{B: most(0.001), None: most(0.05)}},
-		{"B better by the margin", world{worth: [2]float64{0.9, 0.9334}, guard: same, rate: 300, blocks: 10}, B, 0.1, map[Verdict]float64{A: most(0.001), None: most(0.05)}},
-		{"B better, and does harm", world{worth: [2]float64{0.8, 0.95}, guard: [2]float64{0.9, 0.4}, rate: 300, blocks: 10}, Harm, 0.95, nil},
-		{"harm as is tolerated", world{worth: same, guard: [2]float64{0.9, 0.88}, rate: 300, blocks: 10}, None, 0.5, map[Verdict]float64{Harm: most(0.01)}},
-		{"time is over", world{worth: same, guard: same, rate: 100, blocks: 3}, Deadline, 0.9, nil},
+		{"A against A", simulation{worth: same, guard: same, unitsPerBlock: 300, blocks: 10}, None, 0.5, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
+		{"A against A, with load peaks", simulation{worth: same, guard: same, loadPenalty: 0.6, unitsPerBlock: 300, blocks: 10}, None, 0, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
+		{"B better as planned", simulation{worth: [2]float64{0.9, 0.97}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.9, map[Verdict]float64{A: limitFor(0.001), None: limitFor(0.05)}},
+		{"A better as planned", simulation{worth: [2]float64{0.97, 0.9}, guard: same, unitsPerBlock: 300, blocks: 10}, A, 0.9, map[Verdict]float64{B: limitFor(0.001), None: limitFor(0.05)}},
+		{"B better by the margin", simulation{worth: [2]float64{0.9, 0.9334}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.1, map[Verdict]float64{A: limitFor(0.001), None: limitFor(0.05)}},
+		{"B better, but harmful", simulation{worth: [2]float64{0.8, 0.95}, guard: [2]float64{0.9, 0.4}, unitsPerBlock: 300, blocks: 10}, Harm, 0.95, nil},
+		{"tolerated harm", simulation{worth: same, guard: [2]float64{0.9, 0.88}, unitsPerBlock: 300, blocks: 10}, None, 0.5, map[Verdict]float64{Harm: limitFor(0.01)}},
+		{"time over", simulation{worth: same, guard: same, unitsPerBlock: 100, blocks: 3}, Deadline, 0.9, nil},
 	} {
 		p := plan()
 		count := map[Verdict]int{}
 		for seed := range uint64(200) {
-			r := k.world.run(&p, seed)
+			r := tc.world.run(&p, seed)
 			count[r.Verdict]++
 			if r.Why == "" || !strings.ContainsAny(r.Why, "0123456789") {
-				t.Fatalf("%s, seed %d: %v without figures: %q", k.name, seed, r.Verdict, r.Why)
+				t.Fatalf("%s, seed %d: %v without figures: %q", tc.name, seed, r.Verdict, r.Why)
 			}
 		}
-		if float64(count[k.want]) < 200*k.least {
-			t.Errorf("%s: %v, wanted %v", k.name, count, k.want)
+		if float64(count[tc.want]) < 200*tc.least {
+			t.Errorf("%s: %v, wanted %v", tc.name, count, tc.want)
 		}
-		for v, share := range k.never {
+		for v, share := range tc.never {
 			if float64(count[v]) > 200*share {
-				t.Errorf("%s: %v %d times of 200, at most %.1f", k.name, v, count[v], 200*share)
+				t.Errorf("%s: %v %d times of 200, limit %.1f", tc.name, v, count[v], 200*share)
 			}
 		}
 	}
 }
 
-// A winner needs so many units in each arm, whatever is shown.
-func TestTooFewUnits(t *testing.T) {
+// Checks that no winner is declared below the minimum number of units in each arm, however strong the evidence.
+func TestNoWinnerBelowMinimumUnits(t *testing.T) {
 	p := plan()
 	strata := make([]Stratum, 1)
 	for i := range 800 {
-		strata[0].Arms[i%2].give(rand.New(rand.NewPCG(1, uint64(i))), 0.1+0.8*float64(i%2), 0.9)
+		strata[0].Arms[i%2].addUnit(rand.New(rand.NewPCG(1, uint64(i))), 0.1+0.8*float64(i%2), 0.9)
 	}
 	r := Look(&p, strata, false)
 	if p.Least = 1000; r.Verdict != B || Look(&p, strata, false).Verdict != GoOn || Look(&p, nil, false).Verdict != GoOn {
@@ -112,21 +114,22 @@
 	}
 }
 
-// What one unit brings is never more than a fair bet on it would, whatever the unit, the ratio, the centre and the bet.
-func TestAUnitIsNoMoreThanAFairBet(t *testing.T) {
+// Checks that one unit never contributes more evidence than a fair bet on it would, whatever the unit, ratio, center
+// and bet.
+func TestUnitContributesAtMostAFairBet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.Float64Range(0.001, 0.999)
-		p, c, x, m := share.Draw(t, "p"), share.Draw(t, "c"), rapid.Float64Range(0, 1).Draw(t, "x"), share.Draw(t, "m")
+		p, center, x, m := share.Draw(t, "p"), share.Draw(t, "c"), rapid.Float64Range(0, 1).Draw(t, "x"), share.Draw(t, "m")
 		arm, sign, bet := rapid.IntRange(0, 1).Draw(t, "arm"), rapid.SampledFrom([]float64{-1, 1}).Draw(t, "sign"), rapid.Float64Range(0, 20).Draw(t, "bet")
 		var s Stratum
 		s.Arms[arm].N = 1
 		s.Arms[arm].Values[0] = Sums{x, x * x}
-		u := newTerm(p, c, &s, 0)
-		y, d := (float64(arm)-p)*(x-c), -sign*m*p*(1-p)
-		fall := map[float64]float64{1: u.low, -1: u.high}[sign]
-		bet = min(bet, 0.9/(fall+sign*d))
-		if got, most := single([]term{u}, d, sign, bet), math.Log1p(bet*sign*(y-d)); !(got <= most+1e-9) {
-			t.Fatalf("%v over %v", got, most)
+		contribution := newIncrement(p, center, &s, 0)
+		y, d := (float64(arm)-p)*(x-center), -sign*m*p*(1-p)
+		maxFall := map[float64]float64{1: contribution.low, -1: contribution.high}[sign]
+		bet = min(bet, 0.9/(maxFall+sign*d))
+		if got, most := logEProcess([]increment{contribution}, d, sign, bet), math.Log1p(bet*sign*(y-d)); !(got <= most+1e-9) {
+			t.Fatalf("%v exceeds %v", got, most)
 		}
 	})
 }
