--- a/internal/peers/asked_test.go
+++ b/internal/peers/asked_test.go
@@ -22,22 +22,22 @@
 )
 
 var (
-	recordTo = flag.String("capacity", "", "recording that BenchmarkAsked puts its measurement into")
-	revision = flag.String("revision", "", "of the program, for the recording")
+	recordingPath = flag.String("capacity", "", "recording that BenchmarkAsked puts its measurement into")
+	revision      = flag.String("revision", "", "of the program, for the recording")
 )
 
-// knownDigests is a ledger that knows the periods of all servers of a fleet.
-type knownDigests struct {
+// stubLedger is a ledger that has digests of all servers of a fleet.
+type stubLedger struct {
 	digests []ledger.Digest
 	states  [][]byte
 }
 
-func (k *knownDigests) PeriodStates(context.Context) ([]ledger.Digest, [][]byte, error) {
+func (k *stubLedger) PeriodStates(context.Context) ([]ledger.Digest, [][]byte, error) {
 	return k.digests, k.states, nil
 }
 
-func knownOf(servers int) *knownDigests {
-	known := &knownDigests{}
+func newStubLedger(servers int) *stubLedger {
+	known := &stubLedger{}
 	for server := range servers {
 		for period := range keeper.Defaults().Keep + 1 {
 			known.digests = append(known.digests, ledger.Digest{Box: fmt.Sprintf("server-%04d", server), Start: 1_790_000_000_000 + int64(period),
@@ -48,8 +48,8 @@
 	return known
 }
 
-// pair is two servers on loopback with mutual TLS, of which one asks the other.
-func pair(b *testing.B, servers int) *peers.Peers {
+// newAskingPeer starts two servers on loopback with mutual TLS and returns the one that asks the other.
+func newAskingPeer(b *testing.B, servers int) *peers.Peers {
 	b.Helper()
 	dir, warnings := b.TempDir(), &bytes.Buffer{}
 	log := slog.New(slog.NewTextHandler(warnings, &slog.HandlerOptions{Level: slog.LevelWarn}))
@@ -78,7 +78,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		askedLink.Serve(ctx, listener, peers.New(asked, "asked", knownOf(servers), askedLink, log))
+		askedLink.Serve(ctx, listener, peers.New(asked, "asked", newStubLedger(servers), askedLink, log))
 	}()
 	b.Cleanup(func() {
 		cancel()
@@ -89,7 +89,7 @@
 	})
 	asking := options("asking")
 	asking.Boxes = []string{"asked=" + listener.Addr().(*net.TCPAddr).String()}
-	return peers.New(asking, "asking", knownOf(0), newLink(asking), log)
+	return peers.New(asking, "asking", newStubLedger(0), newLink(asking), log)
 }
 
 func processorTime(b *testing.B) time.Duration {
@@ -102,12 +102,13 @@
 }
 
 // BenchmarkAsked measures the processor time of one request for digests and its answer, both sides together, by the
-// servers that the asked one knows: what a server spends on each request that it asks and each that it answers.
+// number of servers that the asked one knows. This is the cost to a server of each request that it makes and each
+// that it answers.
 func BenchmarkAsked(b *testing.B) {
 	values := map[int][]float64{}
 	for _, servers := range []int{0, 50, 100, 200, 400} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			asking := pair(b, servers)
+			asking := newAskingPeer(b, servers)
 			ctx := context.Background()
 			asking.Round(ctx)
 			b.ResetTimer()
@@ -117,7 +118,7 @@
 			}
 			each := float64((processorTime(b) - before).Nanoseconds()) / 1000 / float64(b.N)
 			b.ReportMetric(each, "cpu-us/op")
-			if b.N > 1 { // the first try of a benchmark is one request
+			if b.N > 1 { // the first iteration of a benchmark is a single request
 				values[servers] = append(values[servers], each)
 			}
 		})
@@ -125,16 +126,16 @@
 	record(b, values)
 }
 
-// record puts the measurement into the recording of the flag.
+// record adds the measurement to the recording named by the flag.
 func record(b *testing.B, values map[int][]float64) {
 	b.Helper()
-	if *recordTo == "" {
+	if *recordingPath == "" {
 		return
 	}
 	m := capacity.Measurement{Name: "ledger.server.cpu.asked", Unit: "us", SizeUnit: "servers", Revision: *revision, Cores: runtime.NumCPU(),
 		Command: "go test -run '^$' -bench Asked -benchtime 100x -count 3 ./internal/peers -capacity FILE",
 		Note:    "both sides of one request, mutual TLS on loopback; without the encoding of the asked server's own periods"}
-	recording, err := capacity.ReadRecording(*recordTo)
+	recording, err := capacity.ReadRecording(*recordingPath)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -146,7 +147,7 @@
 	if err := recording.Put(m); err != nil {
 		b.Fatal(err)
 	}
-	if err := recording.Write(*recordTo); err != nil {
+	if err := recording.Write(*recordingPath); err != nil {
 		b.Fatal(err)
 	}
 }
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers lets boxes that may talk exchange what they have sealed, until each can state a period for the
-// whole fleet. A box asks each peer for digests and fetches what differs; it believes a box only about itself.
+// Package peers lets servers that may communicate exchange the sealed states of their ledgers, until each can produce
+// the statement of a period for the whole fleet. A server asks each peer for digests and fetches the states that
+// differ. It accepts only what a server reports about itself.
 package peers
 
 import (
@@ -19,47 +20,47 @@
 	"larchscale/internal/link"
 )
 
-// Options are the operator's table [ledger.peers].
+// Options is the table [ledger.peers] of the operator's configuration.
 type Options struct {
 	link.Options
 	EveryMs int `toml:"every_ms"`
 }
 
-// Defaults are the options that a file need not name.
+// Defaults returns the options that apply where the operator's file sets none.
 func Defaults() Options { return Options{EveryMs: 10_000} }
 
-// Check finds what cannot be.
+// Check returns an error for settings that are out of range.
 func (o *Options) Check() error {
 	if err := o.Options.Check("ledger.peers"); err != nil {
 		return err
 	}
 	if o.EveryMs < 10 || o.EveryMs > 3_600_000 {
-		return fmt.Errorf("ledger.peers: every %d ms; 10 to 3600000 ms", o.EveryMs)
+		return fmt.Errorf("ledger.peers: every_ms is %d, must be 10 to 3600000", o.EveryMs)
 	}
 	return nil
 }
 
-// Book is the box's own ledger.
+// Book is the server's own ledger.
 type Book interface {
-	// PeriodStates gives what is sealed of each period.
+	// PeriodStates returns the digest and the encoded sealed state of each period.
 	PeriodStates(ctx context.Context) ([]ledger.Digest, [][]byte, error)
 }
 
-// Peers is one box among others.
+// Peers exchanges the ledger states of one server with its peers.
 type Peers struct {
-	opt    Options
-	self   string
-	book   Book
-	log    *slog.Logger
-	link   *link.Link
-	mu     sync.Mutex
-	table  *ledger.Peers
-	silent map[string]bool // who did not answer the last time
+	options    Options
+	self       string
+	book       Book
+	log        *slog.Logger
+	link       *link.Link
+	mu         sync.Mutex
+	table      *ledger.Peers
+	unanswered map[string]bool // peers that did not answer the last request
 }
 
-// New makes the peers of box self, which serve whatever comes to them over l.
+// New returns the exchange of server self, which asks its peers over l.
 func New(opt Options, self string, book Book, l *link.Link, log *slog.Logger) *Peers {
-	return &Peers{opt: opt, self: self, book: book, log: log, link: l, table: ledger.NewPeers(self), silent: map[string]bool{}}
+	return &Peers{options: opt, self: self, book: book, log: log, link: l, table: ledger.NewPeers(self), unanswered: map[string]bool{}}
 }
 
 // ServeHTTP answers /digests, /state?start=MS and /statement?period=NAME.
@@ -84,7 +85,7 @@
 		w.Write(states[i])
 	case "/statement":
 		p.mu.Lock()
-		s, err := p.table.Statement(r.URL.Query().Get("period"), digests, states, p.boxes())
+		s, err := p.table.Statement(r.URL.Query().Get("period"), digests, states, p.peerNames())
 		p.mu.Unlock()
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusNotFound)
@@ -96,49 +97,49 @@
 	}
 }
 
-func (p *Peers) boxes() (names []string) {
-	for _, b := range p.opt.Others() {
-		names = append(names, b.Name)
+func (p *Peers) peerNames() (names []string) {
+	for _, peer := range p.options.Others() {
+		names = append(names, peer.Name)
 	}
 	return names
 }
 
-// Run asks all peers, over and over, until ctx ends. One that does not answer stops none of the others.
+// Run asks all peers repeatedly until ctx ends. A peer that does not answer does not delay the others.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.Round(ctx)
-		every := time.Duration(p.opt.EveryMs) * time.Millisecond
+		every := time.Duration(p.options.EveryMs) * time.Millisecond
 		select {
 		case <-ctx.Done():
-		case <-time.After(every/2 + rand.N(every)): // boxes that start together spread
+		case <-time.After(every/2 + rand.N(every)): // random, so that servers started together spread their requests
 		}
 	}
 }
 
-// Round asks each peer once, all at a time.
+// Round asks each peer once, all concurrently.
 func (p *Peers) Round(ctx context.Context) {
-	var all sync.WaitGroup
-	for _, b := range p.opt.Others() {
-		all.Go(func() {
-			err := p.ask(ctx, b.Name, b.Addr)
+	var requests sync.WaitGroup
+	for _, peer := range p.options.Others() {
+		requests.Go(func() {
+			err := p.askPeer(ctx, peer.Name, peer.Addr)
 			p.mu.Lock()
 			defer p.mu.Unlock()
-			if err != nil && !p.silent[b.Name] && ctx.Err() == nil {
-				p.log.Warn("ledger", "do", "peers", "peer", b.Name, "err", err)
+			if err != nil && !p.unanswered[peer.Name] && ctx.Err() == nil {
+				p.log.Warn("ledger", "do", "peers", "peer", peer.Name, "err", err)
 			}
-			p.silent[b.Name] = err != nil
+			p.unanswered[peer.Name] = err != nil
 		})
 	}
-	all.Wait()
+	requests.Wait()
 }
 
-// ask brings this box's table up to what a peer says of itself.
-func (p *Peers) ask(ctx context.Context, name, addr string) error {
+// askPeer updates this server's table with what a peer reports about itself.
+func (p *Peers) askPeer(ctx context.Context, name, addr string) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*link.Within)
 	defer cancel()
-	c := p.link.Dial(name, addr)
-	defer c.Close()
-	get := func(path string, query url.Values) ([]byte, error) { return c.Get(ctx, path, query) }
+	client := p.link.Dial(name, addr)
+	defer client.Close()
+	get := func(path string, query url.Values) ([]byte, error) { return client.Get(ctx, path, query) }
 	text, err := get("/digests", nil)
 	if err != nil {
 		return err
@@ -168,17 +169,17 @@
 	return nil
 }
 
-// Statement asks the box self, by its own settings, for the fleet's statement of a period.
+// Statement asks server self, at the address in its own settings, for the fleet's statement of a period.
 func Statement(ctx context.Context, opt Options, self, period string) (s ledger.Statement, err error) {
 	ctx, cancel := context.WithTimeout(ctx, link.Within)
 	defer cancel()
-	l, err := link.New(opt.Options, slog.New(slog.DiscardHandler))
+	peerLink, err := link.New(opt.Options, slog.New(slog.DiscardHandler))
 	if err != nil {
 		return s, fmt.Errorf("ledger.peers.%w", err)
 	}
-	c := l.Dial(self, opt.Listen)
-	defer c.Close()
-	text, err := c.Get(ctx, "/statement", url.Values{"period": {period}})
+	client := peerLink.Dial(self, opt.Listen)
+	defer client.Close()
+	text, err := client.Get(ctx, "/statement", url.Values{"period": {period}})
 	if err == nil {
 		err = json.Unmarshal(text, &s)
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -21,48 +21,48 @@
 	"larchscale/internal/scenario/certs"
 )
 
-var quiet = slog.New(slog.DiscardHandler)
+var discardLog = slog.New(slog.DiscardHandler)
 
-// box is one instance that may talk.
-type box struct {
-	name  string
-	books *keeper.Keeper
-	peers *Peers
-	addr  string
-	stop  context.CancelFunc
+// testServer is one server with its ledger and its exchange.
+type testServer struct {
+	name   string
+	ledger *keeper.Keeper
+	peers  *Peers
+	addr   string
+	stop   context.CancelFunc
 }
 
-// newBox starts the ledger of a box that has served n requests and sealed them.
-func newBox(t *testing.T, name string, n int) *box {
+// newTestServer starts the ledger of a server that has served n requests and sealed them.
+func newTestServer(t *testing.T, name string, n int) *testServer {
 	t.Helper()
 	o := keeper.Defaults()
 	o.Dir, o.Period, o.ExportMs, o.WriteMs = "-", "day", 10, 5
 	noon := time.Date(2026, 11, 15, 12, 0, 0, 0, time.UTC)
 	began := time.Now()
 	k, err := keeper.Open(faultfs.New(1), o, keeper.Site{Box: name, Stands: []string{"north"}, Classes: []string{"quote"},
-		Wall: func() time.Time { return noon.Add(time.Since(began)) }}, quiet)
+		Wall: func() time.Time { return noon.Add(time.Since(began)) }}, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	go k.Run()
 	t.Cleanup(func() { k.Close(context.Background()) })
-	b := &box{name: name, books: k}
-	b.use(t, n)
+	b := &testServer{name: name, ledger: k}
+	b.recordRequests(t, n)
 	return b
 }
 
-// use has requests booked and sealed.
-func (b *box) use(t *testing.T, n int) {
+// recordRequests records n requests and waits until they are sealed.
+func (b *testServer) recordRequests(t *testing.T, n int) {
 	t.Helper()
-	was, err := b.books.Totals(t.Context())
+	was, err := b.ledger.Totals(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for range n {
-		b.books.Book(core.Use{Figures: ledger.Figures{1, 5}})
+		b.ledger.Book(core.Use{Figures: ledger.Figures{1, 5}})
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(2 * time.Millisecond) {
-		s, err := b.books.Totals(t.Context())
+		s, err := b.ledger.Totals(t.Context())
 		if err != nil || time.Now().After(end) {
 			t.Fatal("not sealed", err)
 		}
@@ -72,29 +72,29 @@
 	}
 }
 
-// join opens a box's port with its certificates.
-func (b *box) join(t *testing.T, listen string, o Options) {
+// join opens a server's port with its certificates.
+func (b *testServer) join(t *testing.T, listen string, o Options) {
 	t.Helper()
 	o.Listen, o.EveryMs = listen, 1000
-	way, err := link.New(o.Options, quiet)
+	peerLink, err := link.New(o.Options, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.peers = New(o, b.name, b.books, way, quiet)
-	l, err := way.Listen()
+	b.peers = New(o, b.name, b.ledger, peerLink, discardLog)
+	l, err := peerLink.Listen()
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.addr = l.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	b.stop = stop
-	go way.Serve(ctx, l, b.peers)
+	go peerLink.Serve(ctx, l, b.peers)
 	t.Cleanup(stop)
 }
 
-func (b *box) total(t *testing.T) (int64, []string) {
+func (b *testServer) total(t *testing.T) (int64, []string) {
 	t.Helper()
-	own, states, err := b.books.PeriodStates(t.Context())
+	own, states, err := b.ledger.PeriodStates(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,70 +105,72 @@
 	return s.Total.Used[ledger.Requests], s.Why
 }
 
-// Three boxes with certificates hold the same statement after one round; one that is gone stops nobody; one that
-// shows another's name, or none of the authority's, is not believed.
+// Checks that three servers with certificates have the same statement after one round, that an unavailable server
+// does not affect the others, and that a server with another name's certificate or one of another authority is not
+// accepted.
 func TestPeersOverTLS(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	dir := t.TempDir()
 	caFile, _, ca := certs.New(t, dir, "ca", nil)
-	_, _, otherCA := certs.New(t, dir, "otherca", nil)
-	with := func(name string) Options {
+	_, _, foreignCA := certs.New(t, dir, "otherca", nil)
+	optionsFor := func(name string) Options {
 		signer := ca
 		if name == "stranger" {
-			signer = otherCA
+			signer = foreignCA
 		}
 		cert, key, _ := certs.New(t, dir, name, signer)
 		return Options{Options: link.Options{CA: caFile, Cert: cert, Key: key}}
 	}
-	list := []*box{newBox(t, "n1", 1), newBox(t, "n2", 20), newBox(t, "n3", 300), newBox(t, "n4", 4000)}
-	for _, b := range list {
-		shows := b.name
-		if b == list[3] {
-			shows = "n9"
+	servers := []*testServer{newTestServer(t, "n1", 1), newTestServer(t, "n2", 20), newTestServer(t, "n3", 300), newTestServer(t, "n4", 4000)}
+	for _, server := range servers {
+		certName := server.name
+		if server == servers[3] {
+			certName = "n9"
 		}
-		b.join(t, "127.0.0.1:0", with(shows))
+		server.join(t, "127.0.0.1:0", optionsFor(certName))
 	}
-	for _, b := range list[:3] {
-		for _, other := range list {
-			if other != b {
-				b.peers.opt.Boxes = append(b.peers.opt.Boxes, other.name+"="+other.addr)
+	for _, server := range servers[:3] {
+		for _, other := range servers {
+			if other != server {
+				server.peers.options.Boxes = append(server.peers.options.Boxes, other.name+"="+other.addr)
 			}
 		}
-		b.peers.Round(t.Context())
+		server.peers.Round(t.Context())
 	}
-	for _, b := range list[:3] {
-		if n, _ := b.total(t); n != 321 { // n4 shows a certificate of n9
-			t.Errorf("%s: %d requests", b.name, n)
+	for _, server := range servers[:3] {
+		if n, _ := server.total(t); n != 321 { // n4 presents a certificate of n9
+			t.Errorf("%s: %d requests", server.name, n)
 		}
-		if !b.peers.silent["n4"] || b.peers.silent["n2"] {
-			t.Errorf("%s: %v", b.name, b.peers.silent)
+		if !server.peers.unanswered["n4"] || server.peers.unanswered["n2"] {
+			t.Errorf("%s: %v", server.name, server.peers.unanswered)
 		}
 	}
-	list[2].stop()
-	list[1].use(t, 1000)
-	list[0].peers.Round(t.Context())
-	if n, _ := list[0].total(t); n != 1321 || !list[0].peers.silent["n3"] {
-		t.Errorf("with n3 gone: %d requests", n)
+	servers[2].stop()
+	servers[1].recordRequests(t, 1000)
+	servers[0].peers.Round(t.Context())
+	if n, _ := servers[0].total(t); n != 1321 || !servers[0].peers.unanswered["n3"] {
+		t.Errorf("with n3 unavailable: %d requests", n)
 	}
-	stranger := newBox(t, "n2", 7)
-	stranger.join(t, "127.0.0.1:0", with("stranger"))
-	list[0].peers.opt.Boxes = []string{"n2=" + stranger.addr}
-	list[0].peers.Round(t.Context())
-	if n, _ := list[0].total(t); n != 1321 {
-		t.Errorf("a stranger was believed: %d requests", n)
+	stranger := newTestServer(t, "n2", 7)
+	stranger.join(t, "127.0.0.1:0", optionsFor("stranger"))
+	servers[0].peers.options.Boxes = []string{"n2=" + stranger.addr}
+	servers[0].peers.Round(t.Context())
+	if n, _ := servers[0].total(t); n != 1321 {
+		t.Errorf("a server of another authority was accepted: %d requests", n)
 	}
-	for _, b := range list {
-		b.stop()
+	for _, server := range servers {
+		server.stop()
 	}
 	stranger.stop()
-	for _, b := range append(list, stranger) {
-		b.books.Close(t.Context())
+	for _, server := range append(servers, stranger) {
+		server.ledger.Close(t.Context())
 	}
 }
 
-// Answers that are no answers, without end or too large do no harm, and /statement tells what the box holds.
-func TestPeersThatAnswerBadly(t *testing.T) {
-	n1, n2 := newBox(t, "n1", 1), newBox(t, "n2", 20)
+// Checks that invalid, incomplete and oversized answers have no effect, and that /statement returns what the server
+// holds.
+func TestInvalidPeerAnswers(t *testing.T) {
+	n1, n2 := newTestServer(t, "n1", 1), newTestServer(t, "n2", 20)
 	n2.join(t, "127.0.0.1:0", Options{})
 	var mode atomic.Value
 	mode.Store("")
@@ -187,7 +189,7 @@
 		case "empty":
 		case "cut":
 			panic(http.ErrAbortHandler)
-		case "n2's": // n3 hands out what n2 said of itself
+		case "n2's": // n3 forwards what n2 reported about itself
 			res, err := http.Get("http://" + n2.addr + r.URL.String())
 			if err == nil {
 				io.Copy(w, res.Body)
@@ -198,11 +200,11 @@
 	go s.Serve(l)
 	defer s.Close()
 	n1.join(t, "127.0.0.1:0", Options{Options: link.Options{Boxes: []string{"n2=" + n2.addr, "n3=" + l.Addr().String()}}})
-	for _, how := range []string{"garbage", "redirect", "large", "empty", "cut", "n2's"} {
-		mode.Store(how)
+	for _, answer := range []string{"garbage", "redirect", "large", "empty", "cut", "n2's"} {
+		mode.Store(answer)
 		n1.peers.Round(t.Context())
-		if n, _ := n1.total(t); n != 21 || n1.peers.silent["n2"] {
-			t.Errorf("%s: %d requests", how, n)
+		if n, _ := n1.total(t); n != 21 || n1.peers.unanswered["n2"] {
+			t.Errorf("%s: %d requests", answer, n)
 		}
 	}
 	st, err := Statement(t.Context(), Options{Options: link.Options{Listen: n1.addr}}, "n1", "2026-11-15")
