--- a/internal/fleet/session/client.go
+++ b/internal/fleet/session/client.go
@@ -15,28 +15,28 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// Times of an app server's side of a session.
+// Timeouts and delays of an app server's side of a session.
 const (
-	Silence        = 2 * time.Second         // nothing heard for so long: the session is given up
-	GrantPatience  = 2500 * time.Millisecond // no lease granted for so long: another node may be better
-	ConnectTimeout = time.Second             // for a connection
-	OpenTimeout    = time.Second             // from the connection to Welcome
+	Silence        = 2 * time.Second         // a session is given up when nothing is received for this long
+	GrantPatience  = 2500 * time.Millisecond // without a lease grant for this long, the client tries another node
+	ConnectTimeout = time.Second             // to establish a connection
+	OpenTimeout    = time.Second             // from the connection to the Welcome message
 	FirstBackoff   = 500 * time.Millisecond  // the first wait is a random part of it; each failure doubles it
 	MaxBackoff     = 8 * time.Second
-	ReturnWithin   = 10 * time.Minute // a session away from the first choice returns after a random part of it
+	ReturnWithin   = 10 * time.Minute // a session at another node than the preferred one returns after a random part of it
 
-	firstStay = 2 * time.Second // at a node without grants while no other seems better; each time doubles it, to MaxBackoff
+	initialStay = 2 * time.Second // at a node without grants once all nodes were tried; doubles up to MaxBackoff
 )
 
-// ClientOptions configure a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
 	Server      string
 	Zone        string
-	Pool        string   // address of its worker pool; "" = it offers none
-	Incarnation uint64   // of this process, at least 1
+	Pool        string   // address of the server's worker pool; "" = the server has none
+	Incarnation uint64   // number of this process, at least 1
 	Nodes       []string // names of the control nodes, 1 to limits.MaxControlNodes
 	Terms       lease.Terms
-	Seed        uint64 // of the jitter
+	Seed        uint64 // seed of the random delays
 }
 
 func (o *ClientOptions) validate() error {
@@ -45,22 +45,22 @@
 		return err
 	}
 	if len(o.Nodes) == 0 || len(o.Nodes) > limits.MaxControlNodes {
-		return fmt.Errorf("%d control nodes, 1 to %d can be: %w", len(o.Nodes), limits.MaxControlNodes, ErrInvalid)
+		return fmt.Errorf("%d control nodes, want 1 to %d: %w", len(o.Nodes), limits.MaxControlNodes, ErrInvalid)
 	}
 	for i, name := range o.Nodes {
 		if !validName(name) || slices.Contains(o.Nodes[:i], name) {
-			return fmt.Errorf("control node %.70q: a name of 1 to %d bytes, once, is wanted: %w", name, limits.MaxName, ErrInvalid)
+			return fmt.Errorf("control node %.70q: want a unique name of 1 to %d bytes: %w", name, limits.MaxName, ErrInvalid)
 		}
 	}
 	if o.Terms.Every <= 0 || o.Terms.Length < o.Terms.Every {
-		return fmt.Errorf("a lease of %v that is renewed each %v: %w", o.Terms.Length, o.Terms.Every, ErrInvalid)
+		return fmt.Errorf("a lease of %v that is renewed every %v: %w", o.Terms.Length, o.Terms.Every, ErrInvalid)
 	}
 	return nil
 }
 
-// rank orders the nodes for a server by rendezvous hashing: the first choices of all servers spread evenly over the nodes, and those
-// of a lost node spread evenly over the rest.
-func rank(server string, nodes []string) []string {
+// rankNodes orders the nodes by a server's preference, using rendezvous hashing. The preferred nodes of all servers
+// are spread evenly over the nodes, and the servers of a failed node spread evenly over the rest.
+func rankNodes(server string, nodes []string) []string {
 	ranked := slices.Clone(nodes)
 	weight := func(node string) uint64 { return xxhash.Sum64String(server + "\x00" + node) }
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -72,10 +72,10 @@
 	return ranked
 }
 
-// State is where a session stands at its server.
+// State is the state of a session at its server.
 type State uint8
 
-// The states of a session.
+// States of a session.
 const (
 	Waiting State = iota
 	Connecting
@@ -84,59 +84,61 @@
 	Ended
 )
 
-// String returns the state as operators read it.
+// String returns the name of the state for operators.
 func (s State) String() string {
 	return [...]string{"waiting", "connecting", "opening", "open", "ended"}[s]
 }
 
-// Local is what a server knows of itself.
+// Local is the server's own state, which the client reports to the control node.
 type Local struct {
-	Report  takeout.Report // Heard and Incarnation are not looked at
+	Report  takeout.Report // Heard and Incarnation are ignored
 	Applied uint64         // revision of the configuration in force
 }
 
-// Action is what the driver of a Client has to do: one of its fields is set. Actions are carried out in order.
+// Action is a command to the driver of a Client. Exactly one field is set. Actions must be carried out in order.
 type Action struct {
 	Connect *Connect
 	Send    *Send
 	Close   *Close
 }
 
-// Connect asks for a connection. The driver calls Connected or Disconnected with the attempt.
+// Connect requests a connection to a node. The driver reports the outcome by Connected or Disconnected with the
+// attempt's number.
 type Connect struct {
-	Attempt uint64 // grows
+	Attempt uint64 // increases with each attempt
 	Node    string
 }
 
-// Send asks to send a message over the connection of an attempt. If it cannot be written the driver closes the connection
-// and calls Disconnected.
+// Send requests that a message is sent over the connection of an attempt. If the write fails, the driver closes the
+// connection and calls Disconnected.
 type Send struct {
 	Attempt uint64
 	Message FromServer
 }
 
-// Close asks to close the connection of an attempt, or to give up making it. What the driver tells of the attempt
-// afterwards changes nothing.
+// Close requests that the connection of an attempt is closed, or that connecting is given up. Later calls for the
+// attempt have no effect.
 type Close struct {
 	Attempt uint64
 }
 
-// Received is what became of a message.
+// Received is the result of handling a message.
 type Received struct {
 	Actions []Action
-	Changed []watch.Update // of the view, in order
+	Changed []watch.Update // changes to the view, in order
 }
 
-// timeouts end an open session.
+// timeouts are the timeouts after which an open session is given up.
 type timeouts struct {
-	silence time.Duration // Silence
-	grant   time.Duration // GrantPatience
+	silence time.Duration // since the last message; Silence by default
+	grant   time.Duration // since the last lease grant; GrantPatience by default
 }
 
-// Client is an app server's side of its session to the control tier.
+// Client is an app server's side of its session with the control tier. It chooses a control node, opens the session
+// and keeps it alive, renews the server's lease and maintains the server's copy of the watch.
 type Client struct {
 	options     ClientOptions
-	nodes       []string // by rank
+	nodes       []string // most preferred first
 	random      *rand.Rand
 	timeouts    timeouts
 	holder      *lease.Holder
@@ -146,63 +148,63 @@
 	local       Local
 	events      []Event
 
-	state    State
-	position int    // in nodes, of the session or the next attempt
-	attempt  uint64 // newest; the number of its session too
-	due      time.Duration
-
-	everOpen     bool
-	reincarnated bool
-	failures     int // in a row: each doubles the range of the wait
-	busy         bool
-	lastRefusal  RefusalCode
-	held         bool // the lease, when it was last looked at
-
-	// Of the search for a node that has leases granted.
-	fruitless int           // nodes in a row that brought no grant
-	stay      time.Duration // at a node without grants once all were tried
-	lastGrant time.Duration
-
-	standing      Standing
-	hasStanding   bool
-	step          *takeout.Entry // proposed
-	open          openSession
-	returnAt      time.Duration // when it tries the first choice again
-	grantedBefore bool          // a lease was granted to this process
+	state     State
+	nodeIndex int           // index in nodes of the current session's node, or of the next attempt's
+	attempt   uint64        // number of the newest attempt, also sent as the session number
+	deadline  time.Duration // of the states Waiting, Connecting and Opening
+
+	everOpen            bool // whether a session was ever open
+	reincarnated        bool // whether the process took a newer incarnation
+	consecutiveFailures int  // each one doubles the range of the wait
+	busyRetry           bool // whether the next attempt repeats a busy node
+	lastRefusal         RefusalCode
+	heldLease           bool // whether the lease was held at the last check
+
+	// State of the search for a node that grants leases.
+	nodesWithoutGrant int           // consecutive nodes that brought no grant
+	searchStay        time.Duration // time at a node without grants once all nodes were tried
+	lastGrant         time.Duration
+
+	serverState    Standing
+	hasServerState bool
+	proposedStep   *takeout.Entry // sent with each heartbeat; nil = none
+	session        openSession
+	returnAt       time.Duration // when to return to the preferred node
+	everGranted    bool          // whether this process was ever granted a lease
 }
 
-// NewClient returns a client that connects at its first Tick. now is read after the process began.
+// NewClient returns a client that connects at its first Tick. now must be read after the process started.
 func NewClient(o ClientOptions, now time.Duration) (*Client, error) {
 	if err := o.validate(); err != nil {
 		return nil, fmt.Errorf("session of server %.70q: %w", o.Server, err)
 	}
 	return &Client{
 		options:     o,
-		nodes:       rank(o.Server, o.Nodes),
+		nodes:       rankNodes(o.Server, o.Nodes),
 		random:      rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(o.Server))),
 		timeouts:    timeouts{silence: Silence, grant: GrantPatience},
 		holder:      lease.NewHolder(o.Server, o.Terms),
 		view:        watch.NewView(),
 		incarnation: o.Incarnation,
-		stay:        firstStay,
-		due:         now,
+		searchStay:  initialStay,
+		deadline:    now,
 	}, nil
 }
 
-// Tick is called every 100 ms. now is read before anything that it returns is sent.
+// Tick advances the timers; the driver calls it every 100 ms. now must be read before any returned message is sent.
 func (c *Client) Tick(now time.Duration, l Local) []Action {
 	c.local = l
 	c.local.Report.Heard = 0
 	c.local.Report.Incarnation = c.incarnation
-	c.noteLease(now)
+	c.recordLeaseChange(now)
 	switch c.state {
 	case Waiting:
-		if now >= c.due {
+		if now >= c.deadline {
 			return c.connect(now)
 		}
 	case Connecting, Opening:
-		if now >= c.due {
-			return c.lose("no answer while "+c.state.String(), now)
+		if now >= c.deadline {
+			return c.abandon("timed out while "+c.state.String(), now)
 		}
 	case Open:
 		return c.tickOpen(now)
@@ -212,29 +214,29 @@
 
 func (c *Client) tickOpen(now time.Duration) []Action {
 	switch {
-	case now-c.open.heard >= c.timeouts.silence:
-		return c.lose(fmt.Sprintf("nothing heard for %v", c.timeouts.silence), now)
-	case c.shouldMove(now):
-		return c.move(now)
-	case c.position != 0 && now >= c.returnAt && c.holder.Holds(now):
-		return c.goTo(0, now)
+	case now-c.session.heardAt >= c.timeouts.silence:
+		return c.abandon(fmt.Sprintf("nothing received for %v", c.timeouts.silence), now)
+	case c.shouldLeaveNode(now):
+		return c.leaveNode(now)
+	case c.nodeIndex != 0 && now >= c.returnAt && c.holder.Holds(now):
+		return c.switchTo(0, now)
 	}
 	return c.heartbeat(now)
 }
 
-// connect begins the next attempt.
+// connect starts the next attempt.
 func (c *Client) connect(now time.Duration) []Action {
 	c.attempt++
-	c.state, c.due = Connecting, now+ConnectTimeout
-	return []Action{{Connect: &Connect{c.attempt, c.nodes[c.position]}}}
+	c.state, c.deadline = Connecting, now+ConnectTimeout
+	return []Action{{Connect: &Connect{c.attempt, c.nodes[c.nodeIndex]}}}
 }
 
-// Connected tells that the connection of an attempt is made. Attempts that are over change nothing.
+// Connected reports that the connection of an attempt is established. Calls for ended attempts have no effect.
 func (c *Client) Connected(attempt uint64, now time.Duration) []Action {
 	if attempt != c.attempt || c.state != Connecting {
 		return nil
 	}
-	c.state, c.due = Opening, now+OpenTimeout
+	c.state, c.deadline = Opening, now+OpenTimeout
 	return []Action{c.send(FromServer{Hello: &Hello{
 		Fleet:       c.fleet,
 		Server:      c.options.Server,
@@ -246,169 +248,171 @@
 	}})}
 }
 
-// Disconnected tells that the connection of an attempt could not be made, or is lost; reason is for people.
+// Disconnected reports that the connection of an attempt failed or was lost. reason is free text for the log.
 func (c *Client) Disconnected(attempt uint64, reason string, now time.Duration) []Action {
 	if attempt != c.attempt || !c.connected() && c.state != Connecting {
 		return nil
 	}
-	return c.lose(reason, now)
+	return c.abandon(reason, now)
 }
 
-// connected reports whether messages may come.
+// connected reports whether messages may arrive.
 func (c *Client) connected() bool { return c.state == Opening || c.state == Open }
 
 func (c *Client) send(m FromServer) Action { return Action{Send: &Send{c.attempt, m}} }
 
-// lose gives up a session or an attempt, and goes to the next node.
-func (c *Client) lose(reason string, now time.Duration) []Action {
-	c.event(Event{Kind: Lost, Reason: reason})
-	c.failures++
-	c.fruitless++
-	return c.next(c.backoff(), now)
+// abandon gives up the current session or attempt and goes to the next node after a backoff.
+func (c *Client) abandon(reason string, now time.Duration) []Action {
+	c.addEvent(Event{Kind: Lost, Reason: reason})
+	c.consecutiveFailures++
+	c.nodesWithoutGrant++
+	return c.reconnectToNext(c.backoff(), now)
 }
 
-// next closes the present attempt and waits before one at the next node.
-func (c *Client) next(wait time.Duration, now time.Duration) []Action {
-	return c.again((c.position+1)%len(c.nodes), wait, now)
+// reconnectToNext closes the current attempt and waits before connecting to the next node.
+func (c *Client) reconnectToNext(wait time.Duration, now time.Duration) []Action {
+	return c.reconnect((c.nodeIndex+1)%len(c.nodes), wait, now)
 }
 
-// again closes the present attempt and waits before one at a node.
-func (c *Client) again(position int, wait time.Duration, now time.Duration) []Action {
-	c.position, c.busy = position, false
-	c.state, c.due = Waiting, now+wait
+// reconnect closes the current attempt and waits before connecting to the node with the given index.
+func (c *Client) reconnect(nodeIndex int, wait time.Duration, now time.Duration) []Action {
+	c.nodeIndex, c.busyRetry = nodeIndex, false
+	c.state, c.deadline = Waiting, now+wait
 	return []Action{{Close: &Close{c.attempt}}}
 }
 
-// goTo closes the present session and connects to another node with the next Tick.
-func (c *Client) goTo(position int, now time.Duration) []Action {
-	c.event(Event{Kind: Lost, Reason: "it goes back to its first choice"})
-	return c.again(position, 0, now)
+// switchTo closes the current session and connects to another node at the next Tick.
+func (c *Client) switchTo(nodeIndex int, now time.Duration) []Action {
+	c.addEvent(Event{Kind: Lost, Reason: "returning to the preferred node"})
+	return c.reconnect(nodeIndex, 0, now)
 }
 
-// backoff returns the wait after so many failures in a row.
+// backoff returns the wait after the present number of consecutive failures.
 func (c *Client) backoff() time.Duration {
-	limit := FirstBackoff << min(max(c.failures-1, 0), 10)
-	return c.part(min(limit, MaxBackoff))
+	limit := FirstBackoff << min(max(c.consecutiveFailures-1, 0), 10)
+	return c.randomPart(min(limit, MaxBackoff))
 }
 
-// part returns a random part of a duration.
-func (c *Client) part(of time.Duration) time.Duration {
-	return time.Duration(c.random.Float64() * float64(of))
+// randomPart returns a random duration below a limit.
+func (c *Client) randomPart(limit time.Duration) time.Duration {
+	return time.Duration(c.random.Float64() * float64(limit))
 }
 
-// Receive takes a message of a node. An error tells that the message cannot be; the session is over then, and the actions
-// close it.
+// Receive handles a message of the control node. An error means that the message is invalid; the session is then
+// over, and the returned actions close it.
 func (c *Client) Receive(attempt uint64, m FromNode, now time.Duration) (Received, error) {
 	if attempt != c.attempt || !c.connected() {
 		return Received{}, nil
 	}
-	c.open.heard = now
-	received, err := c.take(m, now)
+	c.session.heardAt = now
+	received, err := c.dispatch(m, now)
 	if err != nil {
 		err = fmt.Errorf("control node %s: %w", c.Node(), err)
-		received = Received{Actions: c.reject(err, now)}
+		received = Received{Actions: c.rejectMessage(err, now)}
 	}
-	c.noteLease(now)
+	c.recordLeaseChange(now)
 	return received, err
 }
 
-// reject ends the session after a message that cannot be. After a gap in the watch the same node will do.
-func (c *Client) reject(err error, now time.Duration) []Action {
-	c.event(Event{Kind: Lost, Reason: err.Error()})
-	c.failures++
+// rejectMessage ends the session after an invalid message. After a gap in the watch the client reconnects to the
+// same node.
+func (c *Client) rejectMessage(err error, now time.Duration) []Action {
+	c.addEvent(Event{Kind: Lost, Reason: err.Error()})
+	c.consecutiveFailures++
 	if errors.Is(err, watch.ErrGap) {
-		return c.again(c.position, c.backoff(), now)
+		return c.reconnect(c.nodeIndex, c.backoff(), now)
 	}
-	return c.next(c.backoff(), now)
+	return c.reconnectToNext(c.backoff(), now)
 }
 
-func (c *Client) take(m FromNode, now time.Duration) (Received, error) {
-	if !m.only() {
-		return Received{}, fmt.Errorf("a message of not just one thing: %w", ErrInvalid)
+func (c *Client) dispatch(m FromNode, now time.Duration) (Received, error) {
+	if !m.hasOneField() {
+		return Received{}, fmt.Errorf("message must have exactly one field: %w", ErrInvalid)
 	}
 	switch {
 	case m.Refusal != nil:
-		return Received{Actions: c.refused(m.Refusal, now)}, nil
+		return Received{Actions: c.handleRefusal(m.Refusal, now)}, nil
 	case (m.Welcome != nil) != (c.state == Opening):
-		return Received{}, fmt.Errorf("a message out of turn while %s: %w", c.state, ErrInvalid)
+		return Received{}, fmt.Errorf("unexpected message while %s: %w", c.state, ErrInvalid)
 	case m.Welcome != nil:
-		actions, err := c.welcomed(m.Welcome, now)
+		actions, err := c.handleWelcome(m.Welcome, now)
 		return Received{Actions: actions}, err
 	case m.Ack != nil:
-		c.acknowledged(m.Ack, now)
+		c.handleAck(m.Ack, now)
 		return Received{}, nil
 	}
-	return c.batch(m.Batch, now)
+	return c.handleBatch(m.Batch, now)
 }
 
-func (c *Client) welcomed(w *Welcome, now time.Duration) ([]Action, error) {
+func (c *Client) handleWelcome(w *Welcome, now time.Duration) ([]Action, error) {
 	if w.Fleet == 0 {
-		return nil, fmt.Errorf("a welcome to no fleet: %w", ErrInvalid)
+		return nil, fmt.Errorf("welcome without a fleet id: %w", ErrInvalid)
 	}
 	if c.fleet != 0 && w.Fleet != c.fleet {
-		r := Refusal{Code: OtherFleet, Reason: fmt.Sprintf("the node is of fleet %x, this server's state is of %x", w.Fleet, c.fleet)}
-		return c.refused(&r, now), nil
+		r := Refusal{Code: OtherFleet, Reason: fmt.Sprintf("the node belongs to fleet %x, this server's state to fleet %x", w.Fleet, c.fleet)}
+		return c.handleRefusal(&r, now), nil
 	}
-	c.fleet, c.state, c.everOpen, c.busy, c.lastRefusal = w.Fleet, Open, true, false, 0
-	c.open = openSession{since: now, heard: now}
-	if c.position != 0 {
-		c.returnAt = now + c.part(ReturnWithin)
+	c.fleet, c.state, c.everOpen, c.busyRetry, c.lastRefusal = w.Fleet, Open, true, false, 0
+	c.session = openSession{openedAt: now, heardAt: now}
+	if c.nodeIndex != 0 {
+		c.returnAt = now + c.randomPart(ReturnWithin)
 	}
-	c.event(Event{Kind: Opened})
+	c.addEvent(Event{Kind: Opened})
 	return c.heartbeat(now), nil
 }
 
-func (c *Client) acknowledged(a *Ack, now time.Duration) {
-	c.open.leaderless = a.Leaderless
+func (c *Client) handleAck(a *Ack, now time.Duration) {
+	c.session.leaderless = a.Leaderless
 	before := c.holder.Until()
 	c.holder.Granted(lease.Grant{Box: c.options.Server, Life: a.FencingToken, Seq: a.Sequence, For: c.options.Terms.Length})
 	if c.holder.Until() > before {
-		c.lastGrant, c.grantedBefore, c.open.granted = now, true, true
-		c.fruitless, c.stay = 0, firstStay
+		c.lastGrant, c.everGranted, c.session.granted = now, true, true
+		c.nodesWithoutGrant, c.searchStay = 0, initialStay
 	}
-	if c.open.granted || now-c.open.since >= Silence {
-		c.failures = 0
+	if c.session.granted || now-c.session.openedAt >= Silence {
+		c.consecutiveFailures = 0
 	}
 }
 
-func (c *Client) batch(b *watch.Batch, now time.Duration) (Received, error) {
+func (c *Client) handleBatch(b *watch.Batch, now time.Duration) (Received, error) {
 	changed, err := c.view.Apply(*b)
 	if err != nil {
 		return Received{}, err
 	}
-	mine := ServerPrefix + c.options.Server
-	if slices.ContainsFunc(changed, func(u watch.Update) bool { return u.Key == mine }) {
-		if err := c.readStanding(now); err != nil {
+	ownKey := ServerPrefix + c.options.Server
+	if slices.ContainsFunc(changed, func(u watch.Update) bool { return u.Key == ownKey }) {
+		if err := c.readServerState(now); err != nil {
 			return Received{}, err
 		}
 	}
 	return Received{Changed: changed}, nil
 }
 
-// Holds reports whether the server holds its lease at a time.
+// Holds reports whether the server holds its lease at the given time.
 func (c *Client) Holds(now time.Duration) bool { return c.holder.Holds(now) }
 
-// Until returns when the lease ends; 0 = there has been none under this token.
+// Until returns when the lease ends; 0 = no lease was granted under the current fencing token.
 func (c *Client) Until() time.Duration { return c.holder.Until() }
 
-// FencingToken returns the token of the lease; 0 = none is agreed for this process.
+// FencingToken returns the fencing token of the lease; 0 = none is agreed for this process.
 func (c *Client) FencingToken() uint64 { return c.holder.Life() }
 
-// Incarnation returns that of the process: the options', or a newer one that it had to take.
+// Incarnation returns the incarnation of the process: that of the options, or a newer one that the client had to
+// take.
 func (c *Client) Incarnation() uint64 { return c.incarnation }
 
-// Fleet returns the fleet that the view is of; 0 = no node was reached yet.
+// Fleet returns the id of the fleet that the view belongs to; 0 = no node has been reached yet.
 func (c *Client) Fleet() uint64 { return c.fleet }
 
-// State returns where the session stands.
+// State returns the state of the session.
 func (c *Client) State() State { return c.state }
 
-// Node returns the control node of the session or attempt; "" while there is none.
+// Node returns the control node of the current session or attempt; "" = there is none.
 func (c *Client) Node() string {
 	if c.state == Waiting || c.state == Ended {
 		return ""
 	}
-	return c.nodes[c.position]
+	return c.nodes[c.nodeIndex]
 }
 
 // View returns the server's copy of the watch.
--- a/internal/fleet/session/collector.go
+++ b/internal/fleet/session/collector.go
@@ -11,59 +11,59 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Absent is how long a server may not be heard of before the leader takes it to have no session. Servers with a session are
-// heard of at least every statusEvery, or with each renewal.
+// Absent is how long the leader may receive nothing about a server before it assumes that the server has no
+// session. The leader receives a status or a renewal of a server with a session at least every statusInterval.
 const Absent = 10 * time.Second
 
-// collected is what a leader knows of one server.
-type collected struct {
-	node    string // that its newest renewal or status came from
+// trackedServer is the leader's record of one server.
+type trackedServer struct {
+	node    string // source of the newest renewal or session
 	renewal lease.Renewal
-	status  ServerStatus // newest; Session 0 = none
-	closed  bool         // the session of status
-	heard   time.Duration
+	status  ServerStatus // newest; Session 0 = none yet
+	closed  bool         // whether the session of status has ended
+	heardAt time.Duration
 }
 
-// Collector is the leader's sum of what the control nodes told of their sessions. A leader begins with a new one in each
-// term.
+// Collector merges the digests that the control nodes send to the leader into one state of all servers. A leader
+// must start each term with a new Collector.
 type Collector struct {
-	servers map[string]*collected
+	servers map[string]*trackedServer
 }
 
-// NewCollector returns a collector that knows of no server.
-func NewCollector() *Collector { return &Collector{servers: map[string]*collected{}} }
+// NewCollector returns an empty collector.
+func NewCollector() *Collector { return &Collector{servers: map[string]*trackedServer{}} }
 
-// Take adds a node's digest. Digests may come late, twice and out of order. Their renewals go to lease.Granter too, by the driver. An
-// error tells that the digest cannot be: nothing of it counts.
+// Take adds a node's digest. Digests may arrive late, repeatedly and out of order. The driver must pass their
+// renewals to lease.Granter too. An error means that the digest is invalid; then nothing of it is applied.
 func (c *Collector) Take(node string, d Digest, now time.Duration) error {
 	if err := d.validate(); err != nil {
 		return fmt.Errorf("digest of %.70q: %w", node, err)
 	}
 	for _, r := range d.Renewals {
-		c.renewal(node, r, now)
+		c.takeRenewal(node, r, now)
 	}
 	for _, s := range d.Servers {
-		c.status(node, s, now)
+		c.takeStatus(node, s, now)
 	}
 	for _, closed := range d.Closed {
-		c.close(closed)
+		c.closeSession(closed)
 	}
 	return nil
 }
 
 func (d *Digest) validate() error {
 	if len(d.Renewals) > limits.MaxServers || len(d.Servers) > limits.MaxServers || len(d.Closed) > limits.MaxServers {
-		return fmt.Errorf("%d renewals, %d servers, %d closed sessions: %w", len(d.Renewals), len(d.Servers), len(d.Closed), ErrInvalid)
+		return fmt.Errorf("too many entries: %d renewals, %d servers, %d closed sessions: %w", len(d.Renewals), len(d.Servers), len(d.Closed), ErrInvalid)
 	}
 	for _, r := range d.Renewals {
 		if !validName(r.Box) || r.Life == 0 || r.Seq == 0 {
-			return fmt.Errorf("renewal %d of %.70q for %d: %w", r.Seq, r.Box, r.Life, ErrInvalid)
+			return fmt.Errorf("renewal %d of server %.70q under fencing token %d: %w", r.Seq, r.Box, r.Life, ErrInvalid)
 		}
 	}
 	for i := range d.Servers {
 		s := &d.Servers[i]
 		if !validName(s.Server) || s.Session == 0 {
-			return fmt.Errorf("session %d of %.70q: %w", s.Session, s.Server, ErrInvalid)
+			return fmt.Errorf("session %d of server %.70q: %w", s.Session, s.Server, ErrInvalid)
 		}
 		if err := validateReport(s.Server, s.Report.Incarnation, &s.Report); err != nil {
 			return err
@@ -71,124 +71,126 @@
 	}
 	for _, closed := range d.Closed {
 		if !validName(closed.Server) {
-			return fmt.Errorf("a session of %.70q ended: %w", closed.Server, ErrInvalid)
+			return fmt.Errorf("closed session of server %.70q: %w", closed.Server, ErrInvalid)
 		}
 	}
 	return nil
 }
 
-// of returns what is known of a server; nil = there is no room for another one.
-func (c *Collector) of(server string, now time.Duration) *collected {
-	known := c.servers[server]
-	if known != nil {
-		return known
+// track returns the record of a server, creating it if necessary; nil = the collector is full.
+func (c *Collector) track(server string, now time.Duration) *trackedServer {
+	tracked := c.servers[server]
+	if tracked != nil {
+		return tracked
 	}
 	if len(c.servers) >= limits.MaxServers {
-		c.forget(now)
+		c.dropAbsent(now)
 	}
 	if len(c.servers) >= limits.MaxServers {
 		return nil
 	}
-	known = &collected{}
-	c.servers[server] = known
-	return known
+	tracked = &trackedServer{}
+	c.servers[server] = tracked
+	return tracked
 }
 
-// forget drops the servers that are absent.
-func (c *Collector) forget(now time.Duration) {
-	for name, known := range c.servers {
-		if !known.present(now) {
+// dropAbsent removes the records of absent servers.
+func (c *Collector) dropAbsent(now time.Duration) {
+	for name, tracked := range c.servers {
+		if !tracked.present(now) {
 			delete(c.servers, name)
 		}
 	}
 }
 
-func (k *collected) present(now time.Duration) bool {
-	return !k.closed && now-k.heard < Absent
+func (s *trackedServer) present(now time.Duration) bool {
+	return !s.closed && now-s.heardAt < Absent
 }
 
-func (c *Collector) renewal(node string, r lease.Renewal, now time.Duration) {
-	known := c.of(r.Box, now)
-	if known == nil {
+func (c *Collector) takeRenewal(node string, r lease.Renewal, now time.Duration) {
+	tracked := c.track(r.Box, now)
+	if tracked == nil {
 		return
 	}
-	newer := cmp.Or(cmp.Compare(r.Life, known.renewal.Life), cmp.Compare(r.Seq, known.renewal.Seq))
+	newer := cmp.Or(cmp.Compare(r.Life, tracked.renewal.Life), cmp.Compare(r.Seq, tracked.renewal.Seq))
 	if newer > 0 {
-		known.node, known.renewal, known.heard = node, r, now
+		tracked.node, tracked.renewal, tracked.heardAt = node, r, now
 	}
 }
 
-func (c *Collector) status(node string, s ServerStatus, now time.Duration) {
-	known := c.of(s.Server, now)
-	if known == nil {
+func (c *Collector) takeStatus(node string, s ServerStatus, now time.Duration) {
+	tracked := c.track(s.Server, now)
+	if tracked == nil {
 		return
 	}
-	session := cmp.Or(cmp.Compare(s.Report.Incarnation, known.status.Report.Incarnation), cmp.Compare(s.Session, known.status.Session))
-	newer := cmp.Or(session, cmp.Compare(s.Heartbeat, known.status.Heartbeat))
+	sessionOrder := cmp.Or(cmp.Compare(s.Report.Incarnation, tracked.status.Report.Incarnation), cmp.Compare(s.Session, tracked.status.Session))
+	newer := cmp.Or(sessionOrder, cmp.Compare(s.Heartbeat, tracked.status.Heartbeat))
 	if newer <= 0 {
 		return
 	}
-	if session > 0 {
-		known.node, known.closed = node, false
+	if sessionOrder > 0 {
+		tracked.node, tracked.closed = node, false
 	}
-	known.status, known.heard = s, now
+	tracked.status, tracked.heardAt = s, now
 }
 
-func (c *Collector) close(closed ClosedSession) {
-	known := c.servers[closed.Server]
-	if known == nil {
+func (c *Collector) closeSession(closed ClosedSession) {
+	tracked := c.servers[closed.Server]
+	if tracked == nil {
 		return
 	}
-	s := &known.status
+	s := &tracked.status
 	if closed.Incarnation == s.Report.Incarnation && closed.Session == s.Session {
-		known.closed = true
+		tracked.closed = true
 	}
 }
 
-// Node returns the node that a server's newest renewal or session came from: grants go there; "" = unknown.
+// Node returns the node that a server's newest renewal or session came from, to which grants must be sent; "" =
+// unknown.
 func (c *Collector) Node(server string) string {
-	known := c.servers[server]
-	if known == nil {
+	tracked := c.servers[server]
+	if tracked == nil {
 		return ""
 	}
-	return known.node
+	return tracked.node
 }
 
-// Reports returns the newest report of each server that told one, by name. Heard is wall, the present time in Unix milliseconds,
-// less the age of what was last heard of the server.
+// Reports returns the newest report of each server that sent one, by server name. Heard is set to wall, the present
+// time in Unix milliseconds, less the age of the newest information about the server.
 func (c *Collector) Reports(now time.Duration, wall int64) map[string]takeout.Report {
 	reports := make(map[string]takeout.Report, len(c.servers))
-	for name, known := range c.servers {
-		if known.status.Session == 0 || !known.present(now) {
+	for name, tracked := range c.servers {
+		if tracked.status.Session == 0 || !tracked.present(now) {
 			continue
 		}
-		r := known.status.Report
-		r.Heard = wall - (now - known.heard).Milliseconds()
+		r := tracked.status.Report
+		r.Heard = wall - (now - tracked.heardAt).Milliseconds()
 		reports[name] = r
 	}
 	return reports
 }
 
-// Applied returns the revision of the configuration in force at a server; false = it has no session.
+// Applied returns the revision of the configuration in force at a server; false = the server has no session.
 func (c *Collector) Applied(server string, now time.Duration) (uint64, bool) {
-	known := c.servers[server]
-	if known == nil || known.status.Session == 0 || !known.present(now) {
+	tracked := c.servers[server]
+	if tracked == nil || tracked.status.Session == 0 || !tracked.present(now) {
 		return 0, false
 	}
-	return known.status.Applied, true
+	return tracked.status.Applied, true
 }
 
-// Behind returns the servers with a session that have not applied a revision, by name, and how many servers have a session.
-func (c *Collector) Behind(revision uint64, now time.Duration) (servers []string, of int) {
-	for name, known := range c.servers {
-		if known.status.Session == 0 || !known.present(now) {
+// Behind returns the sorted names of the servers with a session that have not applied a revision, and the number of
+// servers with a session.
+func (c *Collector) Behind(revision uint64, now time.Duration) (servers []string, total int) {
+	for name, tracked := range c.servers {
+		if tracked.status.Session == 0 || !tracked.present(now) {
 			continue
 		}
-		of++
-		if known.status.Applied < revision {
+		total++
+		if tracked.status.Applied < revision {
 			servers = append(servers, name)
 		}
 	}
 	slices.Sort(servers)
-	return servers, of
+	return servers, total
 }
--- a/internal/fleet/session/collector_test.go
+++ b/internal/fleet/session/collector_test.go
@@ -18,13 +18,13 @@
 	return ServerStatus{Server: server, Applied: applied, Report: *report(incarnation), Session: session, Heartbeat: heartbeat}
 }
 
-// The sum is the same in whichever order digests come, and however often.
+// The collected state does not depend on the order and the repetition of digests.
 func TestCollectorInAnyOrder(t *testing.T) {
-	type told struct {
+	type nodeDigest struct {
 		node string
 		d    Digest
 	}
-	digests := []told{
+	digests := []nodeDigest{
 		{"n1", Digest{Servers: []ServerStatus{status("s1", 3, 1, 1, 5)}, Renewals: []lease.Renewal{{Box: "s1", Life: 4, Seq: 1}}}},
 		{"n1", Digest{Servers: []ServerStatus{status("s1", 3, 1, 2, 6)}, Renewals: []lease.Renewal{{Box: "s1", Life: 4, Seq: 2}}}},
 		{"n1", Digest{Closed: []ClosedSession{{"s1", 3, 1}}}},
@@ -76,29 +76,29 @@
 		t.Error(behind, of)
 	}
 	if _, ok := c.Applied("s1", 3*time.Second); ok {
-		t.Error("a closed session counts")
+		t.Error("a closed session is counted")
 	}
 	if behind, of := c.Behind(8, time.Second+Absent); len(behind) != 0 || of != 1 {
-		t.Error("absent servers count", behind, of)
+		t.Error("absent servers are counted", behind, of)
 	}
 	if c.Node("s4") != "n1" || c.Node("s9") != "" {
 		t.Error(c.Node("s4"), c.Node("s9"))
 	}
 }
 
-func TestDigestsThatCannotBe(t *testing.T) {
+func TestInvalidDigests(t *testing.T) {
 	bad := status("s1", 3, 1, 1, 5)
 	bad.Report.Load = math.NaN()
 	for name, d := range map[string]Digest{
-		"too many renewals": {Renewals: make([]lease.Renewal, limits.MaxServers+1)},
-		"too many servers":  {Servers: make([]ServerStatus, limits.MaxServers+1)},
-		"too many closed":   {Closed: make([]ClosedSession, limits.MaxServers+1)},
-		"no name":           {Renewals: []lease.Renewal{{Life: 1, Seq: 1}}},
-		"no life":           {Renewals: []lease.Renewal{{Box: "s", Seq: 1}}},
-		"a long name":       {Servers: []ServerStatus{status(strings.Repeat("x", 65), 1, 1, 1, 1)}},
-		"no session":        {Servers: []ServerStatus{status("s", 1, 0, 1, 1)}},
-		"a load of NaN":     {Servers: []ServerStatus{bad}},
-		"closed, no name":   {Closed: []ClosedSession{{}}},
+		"too many renewals":   {Renewals: make([]lease.Renewal, limits.MaxServers+1)},
+		"too many servers":    {Servers: make([]ServerStatus, limits.MaxServers+1)},
+		"too many closed":     {Closed: make([]ClosedSession, limits.MaxServers+1)},
+		"no name":             {Renewals: []lease.Renewal{{Life: 1, Seq: 1}}},
+		"no token":            {Renewals: []lease.Renewal{{Box: "s", Seq: 1}}},
+		"long name":           {Servers: []ServerStatus{status(strings.Repeat("x", 65), 1, 1, 1, 1)}},
+		"no session":          {Servers: []ServerStatus{status("s", 1, 0, 1, 1)}},
+		"NaN load":            {Servers: []ServerStatus{bad}},
+		"closed without name": {Closed: []ClosedSession{{}}},
 	} {
 		c := NewCollector()
 		d.Renewals = append(d.Renewals, lease.Renewal{Box: "good", Life: 1, Seq: 1})
@@ -108,7 +108,7 @@
 	}
 }
 
-// There are never more than MaxServers; those that are absent make room.
+// The collector keeps at most MaxServers; absent servers make room for new ones.
 func TestCollectorIsBounded(t *testing.T) {
 	c := NewCollector()
 	add := func(from, n int, now time.Duration) {
@@ -125,6 +125,6 @@
 	}
 	add(10_000, 10, Absent)
 	if _, ok := c.Applied(serverName(10_009), Absent); !ok || len(c.servers) != 10 {
-		t.Error("absent servers make no room", len(c.servers))
+		t.Error("absent servers are not dropped", len(c.servers))
 	}
 }
--- a/internal/fleet/session/defects_test.go
+++ b/internal/fleet/session/defects_test.go
@@ -8,50 +8,50 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// start740 is the start of a large fleet, and the death of one node.
-func start740(t *testing.T, seed uint64, d defects) *world {
+// startLargeFleet starts a fleet of 740 servers and kills one node.
+func startLargeFleet(t *testing.T, seed uint64, d defects) *world {
 	w := newWorld(t, seed, 740, 5, watch.Limits{Bytes: 1 << 20, Updates: 2000}, d)
-	w.runUntil("the start of all", 15*time.Second, w.settled)
+	w.runUntil("the start of all servers", 15*time.Second, w.settled)
 	w.run(3 * time.Second)
-	w.dies((w.leader+1)%controlNodes, "a follower")
+	w.killAndRecover((w.leader+1)%controlNodes, "a follower")
 	w.checkOpens()
 	return w
 }
 
-// Each defect breaks a rule in some history: what the simulation looks at would tell.
-func TestEachDefectIsFound(t *testing.T) {
-	of := func(h history) func(*testing.T, uint64, defects) *world {
-		return func(t *testing.T, seed uint64, d defects) *world { return play(t, seed, h, d) }
+// Each injected defect must violate a rule in some history. This shows that the simulation's checks detect it.
+func TestInjectedDefectsAreFound(t *testing.T) {
+	withFaults := func(plan faultPlan) func(*testing.T, uint64, defects) *world {
+		return func(t *testing.T, seed uint64, d defects) *world { return runFaultPlan(t, seed, plan, d) }
 	}
-	for _, k := range []struct {
-		name string
-		bad  defects
-		play func(*testing.T, uint64, defects) *world
-		from uint64 // a seed that is known to find it
-		says string
+	for _, test := range []struct {
+		name      string
+		injected  defects
+		run       func(*testing.T, uint64, defects) *world
+		firstSeed uint64 // a seed that is known to find the defect
+		want      string
 	}{
-		{"a lease from the receipt of its acknowledgement", defects{receipt: true}, lateAcknowledgement, 1, "declared lost"},
-		{"a node that grants by itself", defects{selfGrant: true}, of(singleFaults), 2, "declared lost"},
-		{"no end of a silent session", defects{noSilence: true}, stoppedAtStart, 1, "servers of a node that stopped took longer"},
-		{"no end of a session without grants", defects{noGrantPatience: true}, of(singleFaults), 7, "is alive and connected and is declared lost"},
-		{"no jitter", defects{noJitter: true}, start740, 1, "attempts came within 100 ms"},
-		{"no bound on opens", defects{noAdmission: true}, start740, 1, "sessions in a second"},
-		{"a view that accepts gaps", defects{acceptGaps: true}, of(singleFaults), 2, "another configuration than the log"},
-		{"sessions of old processes opened", defects{oldIncarnation: true}, oldProcessReturns, 1, "has a session of process"},
-		{"sessions of old processes kept", defects{keepsOld: true}, of(singleFaults), 2, "has a session of process"},
-		{"a new leader that is not told anew", defects{noResync: true}, of(singleFaults), 1, "what a new leader has to know took longer"},
+		{"a lease counted from the receipt of its acknowledgement", defects{leaseFromReceipt: true}, lateAcknowledgement, 1, "declared expired"},
+		{"a node that grants without the leader", defects{nodeGrants: true}, withFaults(singleFaults), 2, "declared expired"},
+		{"no timeout of a silent session", defects{noSilenceTimeout: true}, nodeStopsAtStart, 1, "the move of servers from a stopped node took longer"},
+		{"no timeout of a session without grants", defects{noGrantTimeout: true}, withFaults(singleFaults), 7, "is alive and connected and is declared expired"},
+		{"no jitter", defects{noJitter: true}, startLargeFleet, 1, "attempts came within 100 ms"},
+		{"no limit on the rate of opens", defects{noAdmission: true}, startLargeFleet, 1, "sessions in a second"},
+		{"a view that accepts gaps", defects{acceptGaps: true}, withFaults(singleFaults), 2, "a configuration that differs from the log's"},
+		{"superseded processes may open sessions", defects{opensSuperseded: true}, supersededProcessResumes, 1, "has a session of process"},
+		{"sessions of superseded processes kept", defects{keepsSuperseded: true}, withFaults(singleFaults), 2, "has a session of process"},
+		{"no resync with a new leader", defects{noResync: true}, withFaults(singleFaults), 1, "collecting the state at a new leader took longer"},
 	} {
-		t.Run(k.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			for seed := k.from; seed < k.from+40; seed++ {
-				if w := k.play(t, seed, k.bad); strings.Contains(w.broken, k.says) {
-					t.Logf("seed %d: %s", seed, w.broken)
+			for seed := test.firstSeed; seed < test.firstSeed+40; seed++ {
+				if w := test.run(t, seed, test.injected); strings.Contains(w.violation, test.want) {
+					t.Logf("seed %d: %s", seed, w.violation)
 					return
-				} else if w.broken != "" {
-					t.Logf("seed %d says otherwise: %s", seed, w.broken)
+				} else if w.violation != "" {
+					t.Logf("seed %d has another violation: %s", seed, w.violation)
 				}
 			}
-			t.Error("not found")
+			t.Error("defect not found")
 		})
 	}
 }
--- a/internal/fleet/session/event.go
+++ b/internal/fleet/session/event.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// maxEvents bounds the events that wait to be read.
+// maxEvents bounds the events that wait to be read by Events.
 const maxEvents = 16
 
-// EventKind tells what happened to a session.
+// EventKind identifies what happened to a session.
 type EventKind uint8
 
-// The kinds of event.
+// Kinds of events.
 const (
 	Opened      EventKind = iota + 1 // a session is open at Node
-	Lost                             // the session at Node is over, or an attempt at one failed; Reason says why
-	Refused                          // Node refused, by Code; told again only after a session or another code
-	Incarnated                       // the process took a newer incarnation; Client.Incarnation has it
+	Lost                             // the session at Node ended, or an attempt to open one failed; Reason says why
+	Refused                          // Node refused with Code; repeated only after a session or another code
+	Incarnated                       // the process took a newer incarnation, which Client.Incarnation returns
 	LeaseBegan                       // the server holds a lease
-	LeaseEnded                       // the server holds a lease no longer
-	SessionOver                      // there will be no session: a newer process has taken this server's place
+	LeaseEnded                       // the server no longer holds a lease
+	SessionOver                      // the client has stopped for good: a newer process of this server is running
 )
 
-// Event is worth a log line.
+// Event is a change in a session that is worth a log line.
 type Event struct {
 	Kind   EventKind
 	Node   string
@@ -27,29 +27,29 @@
 	Reason string
 }
 
-// Events returns what happened since the last call, at most 16, the oldest dropped first.
+// Events returns the events since the last call, at most 16; the oldest are dropped first.
 func (c *Client) Events() []Event {
 	events := c.events
 	c.events = nil
 	return events
 }
 
-func (c *Client) event(e Event) {
-	e.Node = c.nodes[c.position]
+func (c *Client) addEvent(e Event) {
+	e.Node = c.nodes[c.nodeIndex]
 	if len(c.events) == maxEvents {
 		c.events = c.events[1:]
 	}
 	c.events = append(c.events, e)
 }
 
-// noteLease tells when the lease begins or ends.
-func (c *Client) noteLease(now time.Duration) {
+// recordLeaseChange records an event when the lease began or ended since the last call.
+func (c *Client) recordLeaseChange(now time.Duration) {
 	holds := c.holder.Holds(now)
 	switch {
-	case holds && !c.held:
-		c.event(Event{Kind: LeaseBegan})
-	case !holds && c.held:
-		c.event(Event{Kind: LeaseEnded})
+	case holds && !c.heldLease:
+		c.addEvent(Event{Kind: LeaseBegan})
+	case !holds && c.heldLease:
+		c.addEvent(Event{Kind: LeaseEnded})
 	}
-	c.held = holds
+	c.heldLease = holds
 }
--- a/internal/fleet/session/heartbeat.go
+++ b/internal/fleet/session/heartbeat.go
@@ -7,72 +7,74 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// When heartbeats and reports are sent beside those of lease.Terms.Every.
+// Timing of heartbeats and reports in addition to lease.Terms.RenewInterval.
 const (
-	ReportEvery     = 2 * time.Second        // at most, where nothing but noise and counts of requests changed
-	PromptHeartbeat = 200 * time.Millisecond // least time between heartbeats that do not wait for Terms.Every
-	// ReportTolerance is the relative change of Load or Capacity that counts as noise, and ReportFloor the absolute one, in
-	// requests a second. A change has to be beyond both for a report before ReportEvery.
+	ReportEvery     = 2 * time.Second        // minimum interval of reports in which only noise and request counts changed
+	PromptHeartbeat = 200 * time.Millisecond // minimum time between heartbeats sent before the renewal interval is over
+	// ReportTolerance is the relative change of Load or Capacity that counts as noise, and ReportFloor the absolute
+	// change, in requests per second. Only a change beyond both is reported before ReportEvery.
 	ReportTolerance = 0.05
 	ReportFloor     = 1.0
 )
 
-// openSession is what a client keeps of an open session.
+// openSession is a client's state of an open session.
 type openSession struct {
-	since      time.Duration
-	heard      time.Duration // anything of the node
-	leaderless bool          // as the last Ack had it
-	granted    bool          // a lease, in this session
-
-	begun    bool // the first heartbeat is sent
-	sentAt   time.Duration
-	renewAt  time.Duration // when the next regular heartbeat is due
-	token    uint64        // as of the last heartbeat
-	applied  uint64
-	proposed proposals
-	report   takeout.Report
-	reportAt time.Duration
+	openedAt   time.Duration
+	heardAt    time.Duration // when the last message arrived
+	leaderless bool          // whether the node knew no leader at the last Ack
+	granted    bool          // whether a lease was granted in this session
+
+	sentFirst     bool // whether the first heartbeat was sent
+	sentAt        time.Duration
+	renewAt       time.Duration // when the next regular heartbeat is due
+	sentToken     uint64        // this and the following values were last sent
+	sentApplied   uint64
+	sentProposals pendingProposals
+	sentReport    takeout.Report
+	reportSentAt  time.Duration
 }
 
-// proposals are what a server has to propose.
-type proposals struct {
-	step *takeout.Entry
-	live bool
+// pendingProposals are the proposals that the next heartbeat has to carry.
+type pendingProposals struct {
+	step      *takeout.Entry
+	registers bool
 }
 
-// Propose keeps the next phase of this server (takeout.Step) as proposed: it goes with each heartbeat until the watch shows that it took
-// hold or cannot any longer, or it is replaced or withdrawn. That the process lives is proposed by the client itself.
+// Propose sets the next phase of this server (takeout.Step) as its proposal. Each heartbeat carries the proposal
+// until the watch shows that it was applied or can no longer apply, or until it is replaced or canceled. The client
+// proposes the registration of the process by itself.
 func (c *Client) Propose(step takeout.Entry) {
-	if c.step != nil && c.step.Phase == step.Phase && c.step.Incarnation == step.Incarnation {
+	if c.proposedStep != nil && c.proposedStep.Phase == step.Phase && c.proposedStep.Incarnation == step.Incarnation {
 		return
 	}
-	c.step = &step
-	c.settleStep()
+	c.proposedStep = &step
+	c.dropObsoleteStep()
 }
 
-// Withdraw drops the proposal that is kept.
-func (c *Client) Withdraw() { c.step = nil }
+// Withdraw cancels the current proposal.
+func (c *Client) Withdraw() { c.proposedStep = nil }
 
-// settleStep drops a step that took hold, or that cannot any longer.
-func (c *Client) settleStep() {
-	if c.step == nil {
+// dropObsoleteStep drops the proposed step if it was applied or can no longer apply.
+func (c *Client) dropObsoleteStep() {
+	if c.proposedStep == nil {
 		return
 	}
-	box := &c.standing.Box
-	took := c.hasStanding && box.Incarnation == c.step.Incarnation && box.Phase == c.step.Phase
-	if took || c.step.Incarnation != c.incarnation || box.Incarnation > c.step.Incarnation {
-		c.step = nil
+	server := &c.serverState.Box
+	applied := c.hasServerState && server.Incarnation == c.proposedStep.Incarnation && server.Phase == c.proposedStep.Phase
+	if applied || c.proposedStep.Incarnation != c.incarnation || server.Incarnation > c.proposedStep.Incarnation {
+		c.proposedStep = nil
 	}
 }
 
-// proposals returns what is to be proposed now. A process whose lease's token is not agreed proposes that it lives.
-func (c *Client) proposals() proposals {
-	return proposals{step: c.step, live: c.holder.Life() == 0}
+// pendingProposals returns the proposals to send now. A process without an agreed fencing token proposes its
+// registration.
+func (c *Client) pendingProposals() pendingProposals {
+	return pendingProposals{step: c.proposedStep, registers: c.holder.Life() == 0}
 }
 
-func (c *Client) encodeProposals(p proposals) (list []Proposal) {
-	if p.live {
-		e := liveEntry(&Hello{Server: c.options.Server, Zone: c.options.Zone, Incarnation: c.incarnation, Pool: c.options.Pool})
+func (c *Client) listProposals(p pendingProposals) (list []Proposal) {
+	if p.registers {
+		e := registrationEntry(&Hello{Server: c.options.Server, Zone: c.options.Zone, Incarnation: c.incarnation, Pool: c.options.Pool})
 		list = append(list, Proposal{Live: &e})
 	}
 	if p.step != nil {
@@ -82,16 +84,16 @@
 	return list
 }
 
-// heartbeat sends one if it is due, or if something has changed that others wait for.
+// heartbeat sends a heartbeat if one is due, or if a change has to be sent early.
 func (c *Client) heartbeat(now time.Duration) []Action {
-	s := &c.open
-	regular := !s.begun || now >= s.renewAt
-	p := c.proposals()
-	if !regular && (now-s.sentAt < PromptHeartbeat || !c.prompts(p)) {
+	s := &c.session
+	regular := !s.sentFirst || now >= s.renewAt
+	p := c.pendingProposals()
+	if !regular && (now-s.sentAt < PromptHeartbeat || !c.needsPromptHeartbeat(p)) {
 		return nil
 	}
-	hb := Heartbeat{Applied: c.local.Applied, Proposals: c.encodeProposals(p)}
-	if regular || s.token != c.holder.Life() {
+	hb := Heartbeat{Applied: c.local.Applied, Proposals: c.listProposals(p)}
+	if regular || s.sentToken != c.holder.Life() {
 		s.renewAt = now + c.options.Terms.Every
 		if r, ok := c.holder.AskNow(now); ok {
 			hb.Sequence, hb.FencingToken = r.Seq, r.Life
@@ -100,80 +102,80 @@
 	if c.reportDue(now) {
 		report := c.local.Report
 		hb.Report = &report
-		s.report, s.reportAt = report, now
+		s.sentReport, s.reportSentAt = report, now
 	}
-	s.begun, s.sentAt = true, now
-	s.token, s.applied, s.proposed = c.holder.Life(), hb.Applied, p
+	s.sentFirst, s.sentAt = true, now
+	s.sentToken, s.sentApplied, s.sentProposals = c.holder.Life(), hb.Applied, p
 	return []Action{c.send(FromServer{Heartbeat: &hb})}
 }
 
-// prompts reports whether there is something to tell that does not wait.
-func (c *Client) prompts(p proposals) bool {
-	s := &c.open
+// needsPromptHeartbeat reports whether there is a change that must not wait for the next regular heartbeat.
+func (c *Client) needsPromptHeartbeat(p pendingProposals) bool {
+	s := &c.session
 	report := &c.local.Report
-	return s.token != c.holder.Life() || s.applied != c.local.Applied || p != s.proposed && p != (proposals{}) ||
-		report.Warm != s.report.Warm || report.Failing != s.report.Failing
+	return s.sentToken != c.holder.Life() || s.sentApplied != c.local.Applied || p != s.sentProposals && p != (pendingProposals{}) ||
+		report.Warm != s.sentReport.Warm || report.Failing != s.sentReport.Failing
 }
 
 func (c *Client) reportDue(now time.Duration) bool {
-	s := &c.open
-	is, was := &c.local.Report, &s.report
+	s := &c.session
+	current, sent := &c.local.Report, &s.sentReport
 	switch {
-	case !s.begun:
+	case !s.sentFirst:
 		return true
-	case is.Warm != was.Warm, is.Failing != was.Failing, beyondNoise(is.Load, was.Load), beyondNoise(is.Capacity, was.Capacity):
+	case current.Warm != sent.Warm, current.Failing != sent.Failing, beyondNoise(current.Load, sent.Load), beyondNoise(current.Capacity, sent.Capacity):
 		return true
 	}
-	return now-s.reportAt >= ReportEvery && *is != *was
+	return now-s.reportSentAt >= ReportEvery && *current != *sent
 }
 
-func beyondNoise(is, was float64) bool {
-	change := math.Abs(is - was)
-	return change > ReportFloor && change > ReportTolerance*max(math.Abs(is), math.Abs(was))
+func beyondNoise(current, sent float64) bool {
+	change := math.Abs(current - sent)
+	return change > ReportFloor && change > ReportTolerance*max(math.Abs(current), math.Abs(sent))
 }
 
-// shouldMove reports whether another node may bring the grants that this one does not.
-func (c *Client) shouldMove(now time.Duration) bool {
-	s := &c.open
-	withoutGrant := now - max(s.since, c.lastGrant)
+// shouldLeaveNode reports whether another node is more likely to bring lease grants than the current one.
+func (c *Client) shouldLeaveNode(now time.Duration) bool {
+	s := &c.session
+	withoutGrant := now - max(s.openedAt, c.lastGrant)
 	patience := c.timeouts.grant
 	switch {
-	case c.fruitless >= len(c.nodes)-1: // all were tried
-		return len(c.nodes) > 1 && withoutGrant >= c.stay
-	case c.holder.Life() == 0: // what is to be agreed first takes its time
+	case c.nodesWithoutGrant >= len(c.nodes)-1: // all nodes were tried
+		return len(c.nodes) > 1 && withoutGrant >= c.searchStay
+	case c.holder.Life() == 0: // registration needs the agreement of the control tier first, which takes longer
 		return withoutGrant >= 2*patience
-	case s.leaderless && c.fruitless > 0 && c.grantedBefore && now-c.lastGrant >= patience+FirstBackoff:
-		return true // it says itself that it is no better than the last one
+	case s.leaderless && c.nodesWithoutGrant > 0 && c.everGranted && now-c.lastGrant >= patience+FirstBackoff:
+		return true // the node knows no leader, so it is no better than the previous one
 	}
 	return withoutGrant >= patience
 }
 
-// move goes to the next node after a session without grants.
-func (c *Client) move(now time.Duration) []Action {
-	c.event(Event{Kind: Lost, Reason: "no lease is granted"})
-	if c.fruitless >= len(c.nodes)-1 {
-		limit := min(2*c.stay, MaxBackoff)
-		c.stay = limit/2 + c.part(limit/2)
+// leaveNode goes to the next node after a session without grants.
+func (c *Client) leaveNode(now time.Duration) []Action {
+	c.addEvent(Event{Kind: Lost, Reason: "no lease grant received"})
+	if c.nodesWithoutGrant >= len(c.nodes)-1 {
+		limit := min(2*c.searchStay, MaxBackoff)
+		c.searchStay = limit/2 + c.randomPart(limit/2)
 	}
-	c.fruitless++
-	return c.next(c.part(FirstBackoff), now)
+	c.nodesWithoutGrant++
+	return c.reconnectToNext(c.randomPart(FirstBackoff), now)
 }
 
-// readStanding takes what the view has of this server.
-func (c *Client) readStanding(now time.Duration) error {
-	standing, ok, err := decodeStanding(c.view, c.options.Server)
+// readServerState updates the agreed state of this server from the view.
+func (c *Client) readServerState(now time.Duration) error {
+	state, ok, err := decodeServerState(c.view, c.options.Server)
 	if err != nil {
 		return err
 	}
-	c.standing, c.hasStanding = standing, ok
-	if ok && standing.FencingToken != 0 && standing.LeaseProcess == c.incarnation {
-		c.holder.Live(standing.FencingToken, now)
+	c.serverState, c.hasServerState = state, ok
+	if ok && state.FencingToken != 0 && state.LeaseProcess == c.incarnation {
+		c.holder.Live(state.FencingToken, now)
 	} else {
 		c.holder.Lost()
 	}
-	c.settleStep()
+	c.dropObsoleteStep()
 	return nil
 }
 
-// Standing returns what is agreed of this server, as of the view.
-func (c *Client) Standing() (Standing, bool) { return c.standing, c.hasStanding }
+// Standing returns the agreed state of this server as of the view's revision; false = there is none.
+func (c *Client) Standing() (Standing, bool) { return c.serverState, c.hasServerState }
--- a/internal/fleet/session/refused.go
+++ b/internal/fleet/session/refused.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-// refused carries out what a refusal asks for.
-func (c *Client) refused(r *Refusal, now time.Duration) []Action {
+// handleRefusal ends the session or attempt and schedules the next one as the refusal's code requires.
+func (c *Client) handleRefusal(r *Refusal, now time.Duration) []Action {
 	if r.Code != c.lastRefusal {
-		c.event(Event{Kind: Refused, Code: r.Code, Reason: r.Reason})
+		c.addEvent(Event{Kind: Refused, Code: r.Code, Reason: r.Reason})
 		c.lastRefusal = r.Code
 	}
-	least := min(max(r.RetryAfter, 0), maxRetryAfter)
+	minWait := min(max(r.RetryAfter, 0), maxRetryAfter)
 	switch r.Code {
 	case Superseded:
-		return c.superseded(r, now)
+		return c.handleSuperseded(r, now)
 	case Busy:
-		return c.busyNode(least, now)
+		return c.handleBusy(minWait, now)
 	case Moving:
-		c.failures++
-		return c.next(max(least, c.backoff()), now)
+		c.consecutiveFailures++
+		return c.reconnectToNext(max(minWait, c.backoff()), now)
 	}
-	c.failures++
-	return c.next(max(least, MaxBackoff/2+c.part(MaxBackoff/2)), now)
+	c.consecutiveFailures++
+	return c.reconnectToNext(max(minWait, MaxBackoff/2+c.randomPart(MaxBackoff/2)), now)
 }
 
-// busyNode stays with a node that is busy for one more attempt, as the node has counted it among those that come
-// back, and goes to the next after that.
-func (c *Client) busyNode(least time.Duration, now time.Duration) []Action {
-	c.failures++
-	wait := max(least, c.backoff())
-	if c.busy {
-		return c.next(wait, now)
+// handleBusy retries a busy node once, because the node has included this server in its retry delays, and then goes
+// to the next node.
+func (c *Client) handleBusy(minWait time.Duration, now time.Duration) []Action {
+	c.consecutiveFailures++
+	wait := max(minWait, c.backoff())
+	if c.busyRetry {
+		return c.reconnectToNext(wait, now)
 	}
-	actions := c.again(c.position, wait, now)
-	c.busy = true
+	actions := c.reconnect(c.nodeIndex, wait, now)
+	c.busyRetry = true
 	return actions
 }
 
-// superseded ends the session for good, but for a process that had none yet: its clock may have gone back since an earlier process
-// took its incarnation, and it takes a newer one, once.
-func (c *Client) superseded(r *Refusal, now time.Duration) []Action {
+// handleSuperseded ends the client for good. Exception: a process that never had a session takes a newer
+// incarnation, once, because its clock may have been set back since an earlier process chose its incarnation.
+func (c *Client) handleSuperseded(r *Refusal, now time.Duration) []Action {
 	closing := Action{Close: &Close{c.attempt}}
 	if c.everOpen || c.reincarnated || r.Incarnation < c.incarnation || r.Incarnation == math.MaxUint64 {
 		c.state = Ended
 		c.holder.Lost()
-		c.noteLease(now)
-		c.event(Event{Kind: SessionOver, Reason: r.Reason})
+		c.recordLeaseChange(now)
+		c.addEvent(Event{Kind: SessionOver, Reason: r.Reason})
 		return []Action{closing}
 	}
 	c.reincarnated = true
 	c.incarnation = r.Incarnation + 1
-	c.event(Event{Kind: Incarnated})
+	c.addEvent(Event{Kind: Incarnated})
 	c.local.Report.Incarnation = c.incarnation
-	return c.again(c.position, c.part(FirstBackoff), now)
+	return c.reconnect(c.nodeIndex, c.randomPart(FirstBackoff), now)
 }
--- a/internal/fleet/session/scenarios_test.go
+++ b/internal/fleet/session/scenarios_test.go
@@ -7,37 +7,38 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// Histories of one thing each, with moments that differ by seed.
+// Each scenario exercises one situation, with timing that varies by seed.
 
-func smallWorld(t *testing.T, seed uint64, d defects) *world {
+func newSmallWorld(t *testing.T, seed uint64, d defects) *world {
 	return newWorld(t, seed, 30, 5, watch.Limits{Bytes: 1 << 20, Updates: 60}, d)
 }
 
-// settledWorld is a small fleet that has begun.
-func settledWorld(t *testing.T, seed uint64, d defects) *world {
-	w := smallWorld(t, seed, d)
+// newSettledWorld returns a small fleet after its start.
+func newSettledWorld(t *testing.T, seed uint64, d defects) *world {
+	w := newSmallWorld(t, seed, d)
 	w.runUntil("the start", 20*time.Second, w.settled)
-	w.run(time.Second + w.part(time.Second))
+	w.run(time.Second + w.randomPart(time.Second))
 	return w
 }
 
-// separateNodes cuts every two nodes off from each other, or heals that.
-func (w *world) separateNodes(cut bool) {
+// setNodesIsolated cuts all connections between nodes, or restores them.
+func (w *world) setNodesIsolated(cut bool) {
 	for i := range w.nodes {
 		for j := range w.nodes {
-			w.cut[i][j] = cut && i != j
+			w.blocked[i][j] = cut && i != j
 		}
 	}
 }
 
-// stoppedAtStart has servers that have no lease yet at a node that stops: they do not wait for grants, but for an answer.
-func stoppedAtStart(t *testing.T, seed uint64, d defects) *world {
-	w := smallWorld(t, seed, d)
-	w.separateNodes(true)
-	w.run(time.Second) // all have a session, and nobody a token
+// nodeStopsAtStart stops a node whose servers have no lease yet. They have to notice that nothing is received,
+// since they do not wait for grants.
+func nodeStopsAtStart(t *testing.T, seed uint64, d defects) *world {
+	w := newSmallWorld(t, seed, d)
+	w.setNodesIsolated(true)
+	w.run(time.Second) // all servers have a session and none has a fencing token
 	w.nodes[1].stop()
-	w.separateNodes(false)
-	w.runUntil("servers of a node that stopped", Silence+2*FirstBackoff+500*time.Millisecond, func() bool {
+	w.setNodesIsolated(false)
+	w.runUntil("the move of servers from a stopped node", Silence+2*FirstBackoff+500*time.Millisecond, func() bool {
 		for _, c := range w.clients {
 			if c.client.Node() == w.nodes[1].name && c.client.State() == Open {
 				return false
@@ -48,92 +49,93 @@
 	return w
 }
 
-// lateAcknowledgement has the last acknowledgement of a server come nearly as late as it can, and no renewal after it.
+// lateAcknowledgement delays the last acknowledgement of a server almost as long as possible, with no renewal after
+// it.
 func lateAcknowledgement(t *testing.T, seed uint64, d defects) *world {
-	w := settledWorld(t, seed, d)
-	w.mustHold = nobody
+	w := newSettledWorld(t, seed, d)
+	w.mustHoldLease = noServer
 	for _, c := range w.clients[:10] {
-		w.after(w.part(time.Second), func() {
+		w.after(w.randomPart(time.Second), func() {
 			nodes := []int{0, 1, 2, 3, 4}
 			for _, n := range nodes {
-				w.cut[n][c.endpoint] = true
+				w.blocked[n][c.endpoint] = true
 			}
-			w.after(500*time.Millisecond+w.part(200*time.Millisecond), func() { w.separate([]int{c.endpoint}, nodes, true) })
+			w.after(500*time.Millisecond+w.randomPart(200*time.Millisecond), func() { w.setIsolated([]int{c.endpoint}, nodes, true) })
 			w.after(1500*time.Millisecond, func() {
 				for _, n := range nodes {
-					w.cut[n][c.endpoint] = false
+					w.blocked[n][c.endpoint] = false
 				}
 			})
 		})
 	}
 	w.run(12 * time.Second)
 	w.heal()
-	w.runUntil("calm after late acknowledgements", 15*time.Second, w.settled)
+	w.runUntil("recovery after late acknowledgements", 15*time.Second, w.settled)
 	return w
 }
 
-// oldProcessReturns has a process sleep while another one of its server starts and dies.
-func oldProcessReturns(t *testing.T, seed uint64, d defects) *world {
-	w := settledWorld(t, seed, d)
+// supersededProcessResumes stops a process while another process of the same server starts and dies.
+func supersededProcessResumes(t *testing.T, seed uint64, d defects) *world {
+	w := newSettledWorld(t, seed, d)
 	old := w.clients[3]
 	old.stop()
-	w.run(w.part(3 * time.Second))
+	w.run(w.randomPart(3 * time.Second))
 	w.restartClient(3, true)
 	w.run(8 * time.Second)
 	w.clients[3].kill()
 	w.run(time.Second)
-	old.goOn()
+	old.resume()
 	w.run(5 * time.Second)
 	if old.client.State() != Ended {
-		w.fail("an old process is %s", old.client.State())
+		w.fail("a superseded process is in state %s", old.client.State())
 	}
 	w.restartClient(3, false)
-	w.runUntil("calm after an old process", 15*time.Second, w.settled)
+	w.runUntil("recovery after a superseded process", 15*time.Second, w.settled)
 	return w
 }
 
-// clockWentBack has a first process begin with an incarnation that is older than the log's.
+// clockWentBack starts a process with an incarnation that is older than the one in the log.
 func clockWentBack(t *testing.T, seed uint64, d defects) *world {
-	w := settledWorld(t, seed, d)
+	w := newSettledWorld(t, seed, d)
 	w.restartClient(5, false)
 	w.run(5 * time.Second)
 	w.clients[5].kill()
 	w.clients[5] = w.startClient(5, 1)
-	w.runUntil("a process with an old incarnation", 15*time.Second, w.settled)
+	w.runUntil("the start of a process with an old incarnation", 15*time.Second, w.settled)
 	if got := w.clients[5].client.Incarnation(); got != 3 {
 		w.fail("the process took incarnation %d", got)
 	}
 	return w
 }
 
-// minority has a region without a majority for long: its servers go on without leases, try the other nodes at a bounded pace, and are
-// served soon after the return.
-func minority(t *testing.T, seed uint64, d defects) *world {
-	w := settledWorld(t, seed, d)
-	inside := append(endpoints(w.clients, func(c *simClient) bool { return w.zone(c.server) < 2 }), 0, 1)
-	outside := append(endpoints(w.clients, func(c *simClient) bool { return w.zone(c.server) >= 2 }), 2, 3, 4)
-	w.separate(inside, outside, true)
+// regionWithoutMajority isolates a region without a majority for a long time. Its servers continue without leases
+// and try the other nodes at a limited rate, and are served soon after the region returns.
+func regionWithoutMajority(t *testing.T, seed uint64, d defects) *world {
+	w := newSettledWorld(t, seed, d)
+	inside := append(endpointsOf(w.clients, func(c *simClient) bool { return w.zone(c.server) < 2 }), 0, 1)
+	outside := append(endpointsOf(w.clients, func(c *simClient) bool { return w.zone(c.server) >= 2 }), 2, 3, 4)
+	w.setIsolated(inside, outside, true)
 	w.run(30 * time.Second)
 	began := w.now
-	w.mustHold = func(c *simClient) bool { return w.zone(c.server) >= 2 }
+	w.mustHoldLease = func(c *simClient) bool { return w.zone(c.server) >= 2 }
 	w.run(2 * time.Minute)
 	inTwoMinutes := len(w.attemptsAfter(began, w.now))
-	if limit := 12 * 60; inTwoMinutes > limit { // 12 servers, one attempt in 2 s
-		w.fail("%d attempts of 12 servers in two minutes, %d at most", inTwoMinutes, limit)
+	if limit := 12 * 60; inTwoMinutes > limit { // 12 servers, one attempt every 2 s each
+		w.fail("%d attempts of 12 servers in two minutes, want at most %d", inTwoMinutes, limit)
 	}
-	w.separate(inside, outside, false)
+	w.setIsolated(inside, outside, false)
 	took := w.runUntil("the return of a region", 11*time.Second, w.settled)
-	w.note("a region without a majority for 150 s: %d attempts of 12 servers in 2 minutes; settled after %v", inTwoMinutes, took)
+	w.logf("a region without a majority for 150 s: %d attempts of 12 servers in 2 minutes; settled after %v", inTwoMinutes, took)
 	return w
 }
 
 func TestScenarios(t *testing.T) {
 	for name, scenario := range map[string]func(*testing.T, uint64, defects) *world{
-		"stopped before the first lease": stoppedAtStart,
+		"stopped before the first lease": nodeStopsAtStart,
 		"late acknowledgement":           lateAcknowledgement,
-		"an old process returns":         oldProcessReturns,
-		"a clock went back":              clockWentBack,
-		"a region without a majority":    minority,
+		"a superseded process resumes":   supersededProcessResumes,
+		"a clock was set back":           clockWentBack,
+		"a region without a majority":    regionWithoutMajority,
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := *first; seed < *first+*seeds; seed++ {
--- a/internal/fleet/session/sim_client_test.go
+++ b/internal/fleet/session/sim_client_test.go
@@ -10,31 +10,31 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// simClient is the process of an app server, with the driver of its session.
+// simClient is a simulated process of an app server, including the driver of its session.
 type simClient struct {
 	process
-	world       *world
-	server      int
-	endpoint    int
-	incarnation uint64
-	client      *Client
-	stream      *stream
-	attempting  uint64
-	local       Local
-	slow        bool // it reads for some seconds late
-	troubledAt  time.Duration
-	receiptEnd  time.Duration // of its lease, if it ran from the receipt of the acknowledgement
-	connectedAt []time.Duration
+	world               *world
+	server              int
+	endpoint            int
+	incarnation         uint64
+	client              *Client
+	stream              *stream
+	currentAttempt      uint64
+	local               Local
+	slowReader          bool // messages are read several seconds late
+	disturbedAt         time.Duration
+	leaseEndFromReceipt time.Duration // end of the lease if it ran from the receipt of the acknowledgement (a defect)
+	attemptTimes        []time.Duration
 }
 
 func (w *world) startClient(server int, incarnation uint64) *simClient {
 	c := &simClient{
-		process:     process{world: &w.scheduler, rate: w.rate(), started: w.now},
+		process:     process{world: &w.scheduler, clockRate: w.randomClockRate(), started: w.now},
 		world:       w,
 		server:      server,
 		endpoint:    len(w.nodes) + server,
 		incarnation: incarnation,
-		troubledAt:  w.now,
+		disturbedAt: w.now,
 	}
 	names := []string{}
 	for _, n := range w.nodes {
@@ -47,10 +47,10 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	if w.defects.noSilence {
+	if w.defects.noSilenceTimeout {
 		client.timeouts.silence = time.Hour
 	}
-	if w.defects.noGrantPatience {
+	if w.defects.noGrantTimeout {
 		client.timeouts.grant = time.Hour
 	}
 	if w.defects.noJitter {
@@ -58,37 +58,37 @@
 	}
 	c.client = client
 	c.local.Report = takeout.Report{Capacity: 100, Warm: true}
-	w.after(w.part(100*time.Millisecond), func() { c.do(c.tick) })
+	w.after(w.randomPart(100*time.Millisecond), func() { c.exec(c.tick) })
 	w.processes = append(w.processes, c)
-	w.ofServer[server] = append(w.ofServer[server], c)
+	w.processesByServer[server] = append(w.processesByServer[server], c)
 	return c
 }
 
 func serverName(i int) string { return fmt.Sprintf("s%03d", i) }
 
 func (c *simClient) tick() {
-	if c.server%2 == 0 { // the others are idle, and have nothing to report
+	if c.server%2 == 0 { // the other servers are idle and have nothing to report
 		c.local.Report.Open = c.world.random.IntN(50)
 		c.local.Report.Load = 40 + c.world.random.Float64()
 	}
-	c.act(c.client.Tick(c.clock(), c.local))
-	c.check()
-	c.world.after(time.Duration(float64(100*time.Millisecond)/c.rate), func() { c.do(c.tick) })
+	c.perform(c.client.Tick(c.clock(), c.local))
+	c.checkLease()
+	c.world.after(time.Duration(float64(100*time.Millisecond)/c.clockRate), func() { c.exec(c.tick) })
 }
 
-func (c *simClient) act(actions []Action) {
+func (c *simClient) perform(actions []Action) {
 	for _, a := range actions {
 		switch {
 		case a.Connect != nil:
-			c.attempting = a.Connect.Attempt
-			c.connectedAt = append(c.connectedAt, c.world.now)
+			c.currentAttempt = a.Connect.Attempt
+			c.attemptTimes = append(c.attemptTimes, c.world.now)
 			c.world.connect(c, a.Connect.Attempt, slices.IndexFunc(c.world.nodes, func(n *simNode) bool { return n.name == a.Connect.Node }))
 		case a.Send != nil:
 			if c.stream != nil && c.stream.attempt == a.Send.Attempt {
 				c.stream.toNode(a.Send.Message)
 			}
 		case a.Close != nil:
-			c.attempting = 0
+			c.currentAttempt = 0
 			if c.stream != nil && c.stream.attempt == a.Close.Attempt {
 				c.stream.closedByClient()
 				c.stream = nil
@@ -108,17 +108,17 @@
 		m.Batch = &b
 	}
 	if m.Ack != nil && m.Ack.Sequence != 0 {
-		c.receiptEnd = c.clock() + c.world.terms.Length
+		c.leaseEndFromReceipt = c.clock() + c.world.terms.Length
 	}
 	r, err := c.client.Receive(s.attempt, m, c.clock())
 	if err != nil && !strings.Contains(err.Error(), watch.ErrGap.Error()) {
 		c.world.fail("server %d: %v", c.server, err)
 	}
-	c.act(r.Actions)
+	c.perform(r.Actions)
 	if m.Batch != nil && err == nil {
 		c.checkBatch(m.Batch, before, r.Changed)
 	}
-	c.check()
+	c.checkLease()
 }
 
 // holds reports whether the server acts on its lease.
@@ -126,31 +126,31 @@
 	if c.dead {
 		return false
 	}
-	if c.world.defects.receipt {
-		return c.client.FencingToken() != 0 && c.clock() < c.receiptEnd
+	if c.world.defects.leaseFromReceipt {
+		return c.client.FencingToken() != 0 && c.clock() < c.leaseEndFromReceipt
 	}
 	return c.client.Holds(c.clock())
 }
 
-// check looks for what must never be of a lease.
-func (c *simClient) check() {
+// checkLease checks the rules that must always hold for a lease.
+func (c *simClient) checkLease() {
 	if !c.holds() {
-		if c.world.mustHold(c) && !c.dead && c.world.clients[c.server] == c {
+		if c.world.mustHoldLease(c) && !c.dead && c.world.clients[c.server] == c {
 			c.world.fail("server %d holds no lease", c.server)
 		}
 		return
 	}
-	for _, o := range c.world.ofServer[c.server] {
+	for _, o := range c.world.processesByServer[c.server] {
 		if o != c && o.holds() && o.client.FencingToken() == c.client.FencingToken() {
-			c.world.fail("processes %d and %d of server %d hold as %d", c.incarnation, o.incarnation, c.server, c.client.FencingToken())
+			c.world.fail("processes %d and %d of server %d both hold the lease of token %d", c.incarnation, o.incarnation, c.server, c.client.FencingToken())
 		}
 	}
-	if at, lost := c.world.lost[c.client.FencingToken()]; lost {
-		c.world.fail("server %d holds as %d, and was lost at %v", c.server, c.client.FencingToken(), at)
+	if at, lost := c.world.expiredTokens[c.client.FencingToken()]; lost {
+		c.world.fail("server %d holds the lease of token %d, which expired at %v", c.server, c.client.FencingToken(), at)
 	}
 }
 
-// checkBatch holds what a batch changed against the log.
+// checkBatch compares the view after a batch, and the changes that were reported for it, with the log.
 func (c *simClient) checkBatch(b *watch.Batch, before uint64, changed []watch.Update) {
 	view := c.client.View()
 	if c.world.defects.acceptGaps && view.Revision() > uint64(len(c.world.log)) {
@@ -164,12 +164,12 @@
 		return
 	}
 	if got, want := view.Digest(ConfigurationPrefix), c.world.digestAt(view.Revision()); got != want {
-		c.world.fail("server %d at revision %d has another configuration than the log", c.server, view.Revision())
+		c.world.fail("server %d at revision %d has a configuration that differs from the log's", c.server, view.Revision())
 	}
 	if b.Snapshot {
 		return
 	}
-	want := c.world.configuredBetween(before, view.Revision())
+	want := c.world.configurationRevisions(before, view.Revision())
 	got := []uint64{}
 	for _, u := range changed {
 		if strings.HasPrefix(u.Key, ConfigurationPrefix) {
@@ -181,7 +181,7 @@
 	}
 }
 
-// kill ends the process; its connection breaks.
+// kill ends the process and breaks its connection.
 func (c *simClient) kill() {
 	if c.stream != nil {
 		c.stream.closedByClient()
--- a/internal/fleet/session/sim_clock_test.go
+++ b/internal/fleet/session/sim_clock_test.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// event is something that happens at a moment of true time.
-type event struct {
+// simEvent is a function to run at a moment of simulated time.
+type simEvent struct {
 	at    time.Duration
-	order uint64 // among events of one moment
+	order uint64 // order among events at the same time
 	run   func()
 }
 
-type eventQueue []event
+type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = event{}
+	old[len(old)-1] = simEvent{}
 	*q = old[:len(old)-1]
 	return last
 }
 
-// scheduler runs events in the order of true time.
+// scheduler runs events in the order of simulated time.
 type scheduler struct {
-	now    time.Duration
-	queue  eventQueue
-	orders uint64
+	now       time.Duration
+	queue     eventQueue
+	nextOrder uint64
 }
 
 func (s *scheduler) after(d time.Duration, run func()) {
-	s.orders++
-	heap.Push(&s.queue, event{s.now + d, s.orders, run})
+	s.nextOrder++
+	heap.Push(&s.queue, simEvent{s.now + d, s.nextOrder, run})
 }
 
-// until runs what happens up to a moment, or until stop reports true.
-func (s *scheduler) until(end time.Duration, stop func() bool) {
+// runTo runs the events up to a time, or until stop returns true.
+func (s *scheduler) runTo(end time.Duration, stop func() bool) {
 	for len(s.queue) > 0 && s.queue[0].at <= end && !stop() {
-		next := heap.Pop(&s.queue).(event)
+		next := heap.Pop(&s.queue).(simEvent)
 		s.now = next.at
 		next.run()
 	}
@@ -52,25 +52,26 @@
 	}
 }
 
-// process is an operating system's process: it has a clock of its own rate, may be stopped and go on, and dies once.
+// process is a simulated operating system process. It has a clock with its own rate, can be stopped and resumed,
+// and dies at most once.
 type process struct {
-	world   *scheduler
-	rate    float64
-	started time.Duration
-	dead    bool
-	stopped bool
-	backlog []func() // what came while it was stopped
+	world     *scheduler
+	clockRate float64
+	started   time.Duration
+	dead      bool
+	stopped   bool
+	backlog   []func() // functions to run when the process resumes
 }
 
 func (p *process) running() bool { return !p.dead && !p.stopped }
 
-// clock is what the process reads.
+// clock returns the time on the process's own clock.
 func (p *process) clock() time.Duration {
-	return time.Duration(float64(p.world.now-p.started) * p.rate)
+	return time.Duration(float64(p.world.now-p.started) * p.clockRate)
 }
 
-// do runs something in the process, now or once it goes on.
-func (p *process) do(run func()) {
+// exec runs a function in the process: now, or when it resumes. A dead process ignores it.
+func (p *process) exec(run func()) {
 	switch {
 	case p.dead:
 	case p.stopped:
@@ -80,10 +81,10 @@
 	}
 }
 
-// every runs something in the process again and again, each time a duration of its clock after the last.
+// every runs a function in the process periodically, measured on the process's clock.
 func (p *process) every(d time.Duration, run func()) {
-	p.world.after(time.Duration(float64(d)/p.rate), func() {
-		p.do(func() {
+	p.world.after(time.Duration(float64(d)/p.clockRate), func() {
+		p.exec(func() {
 			run()
 			p.every(d, run)
 		})
@@ -92,11 +93,11 @@
 
 func (p *process) stop() { p.stopped = true }
 
-func (p *process) goOn() {
+func (p *process) resume() {
 	p.stopped = false
 	backlog := p.backlog
 	p.backlog = nil
 	for _, run := range backlog {
-		p.do(run)
+		p.exec(run)
 	}
 }
--- a/internal/fleet/session/sim_node_test.go
+++ b/internal/fleet/session/sim_node_test.go
@@ -10,7 +10,7 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// simNode is the process of a control node, with the driver of its table, and its part as the leader.
+// simNode is a simulated process of a control node, including the driver of its table and its role as the leader.
 type simNode struct {
 	process
 	world    *world
@@ -23,22 +23,22 @@
 	applied  uint64
 	streams  map[uint64]*stream
 
-	leader      int // it knows; -1 = none
-	leaderTerm  uint64
-	leaderHeard time.Duration // true time
+	leader        int // known leader; -1 = none
+	leaderTerm    uint64
+	leaderHeardAt time.Duration // simulated time
 
-	leads     uint64 // the term in which it takes itself for the leader; 0 = it does not
+	leadsTerm uint64 // term in which the node believes to be the leader; 0 = it does not
 	granter   *lease.Granter
 	collector *Collector
 
-	opened       []time.Duration // true times of sessions that were opened
-	hellos       []time.Duration
+	openedAt     []time.Duration // simulated times at which sessions opened
+	helloTimes   []time.Duration
 	sessionKnown map[uint64]bool
 }
 
 func (w *world) startNode(index int) *simNode {
 	n := &simNode{
-		process:      process{world: &w.scheduler, rate: w.rate(), started: w.now},
+		process:      process{world: &w.scheduler, clockRate: w.randomClockRate(), started: w.now},
 		world:        w,
 		index:        index,
 		endpoint:     index,
@@ -54,17 +54,17 @@
 	options.Node, options.Seed = n.name, w.random.Uint64()
 	n.table = NewTable(options, n.history)
 	if len(w.log) > 0 {
-		n.load()
+		n.restoreSnapshot()
 	}
-	n.every(20*time.Millisecond, n.follow)
-	n.every(20*time.Millisecond, n.round)
-	n.every(20*time.Millisecond, n.write)
+	n.every(20*time.Millisecond, n.followLeader)
+	n.every(20*time.Millisecond, n.confirmRound)
+	n.every(20*time.Millisecond, n.writePending)
 	n.every(100*time.Millisecond, n.tick)
 	return n
 }
 
-// load begins with the state as of the log's end, as from a snapshot of raft.
-func (n *simNode) load() {
+// restoreSnapshot starts with the state at the end of the log, as from a raft snapshot.
+func (n *simNode) restoreSnapshot() {
 	w := n.world
 	n.state = w.state.Clone()
 	n.applied = uint64(len(w.log))
@@ -75,13 +75,13 @@
 	}
 	for i := range n.state.Boxes {
 		b := &n.state.Boxes[i]
-		n.history.Put(b.Index, ServerPrefix+b.Name, standing(b))
+		n.history.Put(b.Index, ServerPrefix+b.Name, encodedServerState(b))
 	}
 	n.history.Advance(n.applied)
 }
 
-// standing is the value of a server's key.
-func standing(b *lease.Box) []byte {
+// encodedServerState returns the value of a server's key.
+func encodedServerState(b *lease.Box) []byte {
 	s := Standing{Box: takeout.Box{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
 	if !b.Lost {
 		s.FencingToken = b.Life
@@ -89,25 +89,25 @@
 	return s.Encode()
 }
 
-// follow hears of the leader and applies what is committed.
-func (n *simNode) follow() {
+// followLeader learns the current leader and applies committed entries.
+func (n *simNode) followLeader() {
 	w := n.world
 	if l := w.leaderNode(); l != nil && (l == n || l.running() && w.linked(l.index, n.index)) {
 		n.hearLeader(l.index, w.term)
 		n.apply(uint64(len(w.log)))
-	} else if n.leader >= 0 && w.now-n.leaderHeard > time.Second {
+	} else if n.leader >= 0 && w.now-n.leaderHeardAt > time.Second {
 		n.leader = -1
 	}
 	n.table.Leaderless(n.leader < 0)
 }
 
 func (n *simNode) hearLeader(leader int, term uint64) {
-	n.leaderHeard = n.world.now
+	n.leaderHeardAt = n.world.now
 	if n.leader == leader && n.leaderTerm == term {
 		return
 	}
 	n.leader, n.leaderTerm = leader, term
-	if n.leads != 0 && n.leads != term {
+	if n.leadsTerm != 0 && n.leadsTerm != term {
 		n.stepDown()
 	}
 	if !n.world.defects.noResync {
@@ -116,11 +116,12 @@
 }
 
 func (n *simNode) stepDown() {
-	n.leads = 0
+	n.leadsTerm = 0
 	n.granter.Follow()
 }
 
-// apply applies entries up to an index. Configuration goes to the watch entry by entry, standings as of the last.
+// apply applies the log up to an index. The watch gets each configuration change, but only the last state of each
+// server.
 func (n *simNode) apply(to uint64) {
 	if to == n.applied {
 		return
@@ -146,15 +147,15 @@
 	slices.Sort(names)
 	for _, name := range names {
 		b := n.state.Box(name)
-		n.history.Put(n.applied, ServerPrefix+name, standing(b))
-		if !n.world.defects.keepsOld {
-			n.end(n.table.Superseded(name, b.Incarnation))
+		n.history.Put(n.applied, ServerPrefix+name, encodedServerState(b))
+		if !n.world.defects.keepsSuperseded {
+			n.closeEnded(n.table.Superseded(name, b.Incarnation))
 		}
 	}
 	n.history.Advance(n.applied)
 }
 
-// receive takes a message of a session.
+// receive handles a message of a session.
 func (n *simNode) receive(s *stream, m FromServer) {
 	if m.Hello != nil {
 		n.hello(s, m.Hello)
@@ -171,40 +172,40 @@
 			n.propose(*p.Live)
 		}
 	}
-	if w.defects.selfGrant && m.Heartbeat.Sequence != 0 {
+	if w.defects.nodeGrants && m.Heartbeat.Sequence != 0 {
 		n.table.Granted([]lease.Grant{{Box: serverName(s.client.server), Life: m.Heartbeat.FencingToken, Seq: m.Heartbeat.Sequence, For: w.terms.Length}}, n.clock())
 	}
 }
 
 func (n *simNode) hello(s *stream, h *Hello) {
 	w := n.world
-	n.hellos = append(n.hellos, w.now)
+	n.helloTimes = append(n.helloTimes, w.now)
 	known := uint64(0)
-	if b := n.state.Box(h.Server); b != nil && !w.defects.oldIncarnation {
+	if b := n.state.Box(h.Server); b != nil && !w.defects.opensSuperseded {
 		known = b.Incarnation
 	}
 	ended, refusal := n.table.Open(s.id, *h, known, n.clock())
-	n.end(ended)
+	n.closeEnded(ended)
 	if refusal != nil {
 		s.toClient(FromNode{Refusal: refusal})
-		s.atNode = false
+		s.openAtNode = false
 		s.closedByNode("refused")
 		return
 	}
-	n.opened = append(n.opened, w.now)
+	n.openedAt = append(n.openedAt, w.now)
 	n.checkSession(h)
-	n.pump(s)
+	n.writeNext(s)
 }
 
-// checkSession looks whether a session is of a process that is older than the log's.
+// checkSession checks that a session is not of a process older than the one in the log.
 func (n *simNode) checkSession(h *Hello) {
 	if b := n.state.Box(h.Server); b != nil && b.Incarnation > h.Incarnation {
 		n.world.fail("node %d has a session of process %d of server %s, the log has %d", n.index, h.Incarnation, h.Server, b.Incarnation)
 	}
 }
 
-// end closes sessions that the table has ended.
-func (n *simNode) end(ended []EndedSession) {
+// closeEnded closes the streams of sessions that the table has ended.
+func (n *simNode) closeEnded(ended []EndedSession) {
 	for _, e := range ended {
 		s := n.streams[e.ID]
 		if s == nil {
@@ -212,71 +213,71 @@
 		}
 		s.toClient(FromNode{Refusal: &e.Refusal})
 		s.closedByNode("ended")
-		s.atNode = false
+		s.openAtNode = false
 		delete(n.streams, e.ID)
 	}
 }
 
 func (n *simNode) forget(s *stream) {
-	s.atNode = false
+	s.openAtNode = false
 	delete(n.streams, s.id)
 	n.table.Closed(s.id, n.clock())
 }
 
-// write has free writers send what waits.
-func (n *simNode) write() {
+// writePending lets all sessions that are not writing send their pending messages.
+func (n *simNode) writePending() {
 	for _, id := range n.table.Pending(n.clock()) {
 		if s := n.streams[id]; s != nil {
-			n.pump(s)
+			n.writeNext(s)
 		}
 	}
 }
 
-func (n *simNode) pump(s *stream) {
+func (n *simNode) writeNext(s *stream) {
 	w := n.world
 	m, ok := n.table.Next(s.id, n.clock())
 	if !ok {
 		return
 	}
-	if n.table.snapshots > w.table.MaxSnapshots {
-		w.fail("node %d sends %d snapshots at a time", n.index, n.table.snapshots)
+	if n.table.activeSnapshots > w.table.MaxSnapshots {
+		w.fail("node %d sends %d snapshots at a time", n.index, n.table.activeSnapshots)
 	}
-	lost := m.Batch != nil && w.random.IntN(1000) < w.lossBatches // by a fault of the node
+	lost := m.Batch != nil && w.random.IntN(1000) < w.batchLossPerMille // a defect of the node, not of the network
 	if !lost {
 		s.toClient(m)
 	}
-	busy := time.Millisecond
-	if s.client.slow {
-		busy = time.Second + w.part(6*time.Second)
+	writeTime := time.Millisecond
+	if s.client.slowReader {
+		writeTime = time.Second + w.randomPart(6*time.Second)
 	}
-	if busy > 5*time.Second { // past the deadline of a write
+	if writeTime > 5*time.Second { // longer than the write timeout
 		w.after(5*time.Second, func() {
-			n.do(func() {
+			n.exec(func() {
 				s.closedByNode("slow")
 				n.forget(s)
 			})
 		})
 		return
 	}
-	w.after(busy, func() {
-		n.do(func() {
+	w.after(writeTime, func() {
+		n.exec(func() {
 			n.table.Written(s.id)
-			if s.atNode {
-				n.pump(s)
+			if s.openAtNode {
+				n.writeNext(s)
 			}
 		})
 	})
 }
 
-// tick tells the leader, and ends sessions.
+// tick sends digests to the leader and ends sessions.
 func (n *simNode) tick() {
 	w := n.world
-	n.end(n.table.Tick(n.clock()))
-	for _, s := range n.table.order {
+	n.closeEnded(n.table.Tick(n.clock()))
+	for _, s := range n.table.openOrder {
 		n.checkSession(&s.hello)
 	}
-	if n.leads != 0 {
-		n.over()
+	if n.leadsTerm != 0 {
+		n.expireLeases()
 	}
 	if n.leader < 0 {
 		return
@@ -287,49 +288,50 @@
 			return
 		}
 		leader := w.nodes[n.leader]
-		if !w.sendBetween(n, leader, func() { leader.digest(n.name, d) }) {
-			w.after(300*time.Millisecond, func() { n.do(n.table.Resync) })
+		if !w.sendBetween(n, leader, func() { leader.receiveDigest(n.name, d) }) {
+			w.after(300*time.Millisecond, func() { n.exec(n.table.Resync) })
 		}
 	}
 }
 
-// Below: the leader.
+// Methods of the leader.
 
-func (n *simNode) digest(node string, d Digest) {
-	if n.leads == 0 {
+func (n *simNode) receiveDigest(node string, d Digest) {
+	if n.leadsTerm == 0 {
 		return
 	}
 	if err := n.collector.Take(node, d, n.clock()); err != nil {
 		n.world.fail("digest: %v", err)
 	}
 	for _, r := range d.Renewals {
-		_ = n.granter.Asked(&n.state, r, n.clock()) // what is refused is asked for again
+		_ = n.granter.Asked(&n.state, r, n.clock()) // a refused renewal is requested again
 	}
 }
 
-// lead begins a term.
-func (n *simNode) lead(term uint64) {
-	n.leads = term
+// beginTerm makes the node the leader of a term.
+func (n *simNode) beginTerm(term uint64) {
+	n.leadsTerm = term
 	n.hearLeader(n.index, term)
 	n.apply(uint64(len(n.world.log)))
 	n.collector = NewCollector()
 	n.granter.Lead(term, n.clock())
 }
 
-// round asks a majority for the renewals that wait. It is confirmed only if the node leads then, in the same term.
-func (n *simNode) round() {
+// confirmRound requests confirmation by a majority for the pending renewals. They are confirmed only if the node is
+// then still the leader in the same term.
+func (n *simNode) confirmRound() {
 	w := n.world
-	if n.leads == 0 {
+	if n.leadsTerm == 0 {
 		return
 	}
 	id, ok := n.granter.Round(n.clock())
 	if !ok {
 		return
 	}
-	term := n.leads
-	w.after(w.delay(), func() {
-		n.do(func() {
-			if n.leads == term && w.term == term && w.leader == n.index && w.majority(n.index) {
+	term := n.leadsTerm
+	w.after(w.randomDelay(), func() {
+		n.exec(func() {
+			if n.leadsTerm == term && w.term == term && w.leader == n.index && w.hasMajority(n.index) {
 				n.apply(uint64(len(w.log)))
 				n.grant(n.granter.Confirmed(&n.state, id))
 			}
@@ -350,18 +352,18 @@
 		}
 		n.world.sendBetween(n, to, func() {
 			to.table.Granted(list, to.clock())
-			to.write()
+			to.writePending()
 		})
 	}
 }
 
-func (n *simNode) over() {
+func (n *simNode) expireLeases() {
 	for _, e := range n.granter.Over(&n.state, n.clock()) {
-		n.world.proposeIn(n, n.leads, logEntry{lease: e})
+		n.world.proposeIn(n, n.leadsTerm, logEntry{lease: e})
 	}
 }
 
-// propose brings an entry to the leader.
+// propose sends an entry to the leader.
 func (n *simNode) propose(e lease.Entry) {
 	w := n.world
 	if n.leader < 0 {
@@ -370,9 +372,9 @@
 	leader := w.nodes[n.leader]
 	w.sendBetween(n, leader, func() {
 		known := leader.state.Box(e.Box)
-		if leader.leads == 0 || known != nil && known.Incarnation == e.Incarnation && !known.Lost {
+		if leader.leadsTerm == 0 || known != nil && known.Incarnation == e.Incarnation && !known.Lost {
 			return
 		}
-		w.proposeIn(leader, leader.leads, logEntry{lease: e})
+		w.proposeIn(leader, leader.leadsTerm, logEntry{lease: e})
 	})
 }
--- a/internal/fleet/session/sim_stream_test.go
+++ b/internal/fleet/session/sim_stream_test.go
@@ -2,50 +2,50 @@
 
 import "time"
 
-// stream carries the messages of one session, in order in each direction, as a connection of TCP: what is sent into a cut waits until
-// the cut is healed.
+// stream carries the messages of one session, in order in each direction, like a TCP connection: data sent while
+// the path is blocked waits until it is restored.
 type stream struct {
-	world   *world
-	id      uint64
-	attempt uint64
-	client  *simClient
-	node    *simNode
-	up      pipe // to the node
-	down    pipe
-	atNode  bool // the node has it open
-	over    bool // one end has closed it, and the other was told or will be
+	world        *world
+	id           uint64
+	attempt      uint64
+	client       *simClient
+	node         *simNode
+	toNodePipe   pipe
+	toClientPipe pipe
+	openAtNode   bool
+	closed       bool // one end has closed the stream; the other end is notified in time
 }
 
 // pipe is one direction of a stream.
 type pipe struct {
-	world    *world
-	from, to int // endpoints
-	receiver *process
-	queue    []packet
-	waiting  bool // for the moment at which to look at the queue again
+	world         *world
+	from, to      int // indexes of endpoints
+	receiver      *process
+	queue         []packet
+	pumpScheduled bool // a call of pump is scheduled
 }
 
 type packet struct {
-	ready   time.Duration
+	readyAt time.Duration
 	deliver func()
 }
 
 func (p *pipe) send(delay time.Duration, deliver func()) {
 	ready := p.world.now + delay
 	if n := len(p.queue); n > 0 {
-		ready = max(ready, p.queue[n-1].ready)
+		ready = max(ready, p.queue[n-1].readyAt)
 	}
 	p.queue = append(p.queue, packet{ready, deliver})
-	p.wait(ready)
+	p.schedulePump(ready)
 }
 
-func (p *pipe) wait(until time.Duration) {
-	if p.waiting {
+func (p *pipe) schedulePump(until time.Duration) {
+	if p.pumpScheduled {
 		return
 	}
-	p.waiting = true
+	p.pumpScheduled = true
 	p.world.after(max(0, until-p.world.now), func() {
-		p.waiting = false
+		p.pumpScheduled = false
 		p.pump()
 	})
 }
@@ -54,49 +54,49 @@
 	for len(p.queue) > 0 {
 		head := p.queue[0]
 		switch {
-		case head.ready > p.world.now:
-			p.wait(head.ready)
+		case head.readyAt > p.world.now:
+			p.schedulePump(head.readyAt)
 			return
-		case p.world.cut[p.from][p.to]:
-			p.wait(p.world.now + 100*time.Millisecond) // sent again
+		case p.world.blocked[p.from][p.to]:
+			p.schedulePump(p.world.now + 100*time.Millisecond) // retransmission
 			return
 		}
 		p.queue = p.queue[1:]
-		p.receiver.do(head.deliver)
+		p.receiver.exec(head.deliver)
 	}
 }
 
-// connect makes a stream of a client's attempt, if the node answers.
+// connect opens a stream for a client's attempt if the node responds.
 func (w *world) connect(c *simClient, attempt uint64, node int) {
 	n := w.nodes[node]
 	refused := func() {
-		w.after(w.delay(), func() {
-			if !w.cut[n.endpoint][c.endpoint] {
-				c.do(func() { c.act(c.client.Disconnected(attempt, "refused", c.clock())) })
+		w.after(w.randomDelay(), func() {
+			if !w.blocked[n.endpoint][c.endpoint] {
+				c.exec(func() { c.perform(c.client.Disconnected(attempt, "refused", c.clock())) })
 			}
 		})
 	}
-	w.after(w.delay(), func() {
-		if w.cut[c.endpoint][n.endpoint] {
+	w.after(w.randomDelay(), func() {
+		if w.blocked[c.endpoint][n.endpoint] {
 			return
 		}
 		if n.dead {
 			refused()
 			return
 		}
-		w.streams++
-		s := &stream{world: w, id: w.streams, attempt: attempt, client: c, node: n, atNode: true}
-		s.up = pipe{world: w, from: c.endpoint, to: n.endpoint, receiver: &n.process}
-		s.down = pipe{world: w, from: n.endpoint, to: c.endpoint, receiver: &c.process}
-		n.do(func() { // a stopped process's handshake waits
+		w.lastStreamID++
+		s := &stream{world: w, id: w.lastStreamID, attempt: attempt, client: c, node: n, openAtNode: true}
+		s.toNodePipe = pipe{world: w, from: c.endpoint, to: n.endpoint, receiver: &n.process}
+		s.toClientPipe = pipe{world: w, from: n.endpoint, to: c.endpoint, receiver: &c.process}
+		n.exec(func() { // the handshake waits while the process is stopped
 			n.streams[s.id] = s
-			s.down.send(w.delay(), func() {
-				if c.attempting != attempt {
+			s.toClientPipe.send(w.randomDelay(), func() {
+				if c.currentAttempt != attempt {
 					s.closedByClient()
 					return
 				}
 				c.stream = s
-				c.act(c.client.Connected(attempt, c.clock()))
+				c.perform(c.client.Connected(attempt, c.clock()))
 			})
 		})
 	})
@@ -104,8 +104,8 @@
 
 // toNode sends a client's message.
 func (s *stream) toNode(m FromServer) {
-	s.up.send(s.world.delay(), func() {
-		if s.atNode {
+	s.toNodePipe.send(s.world.randomDelay(), func() {
+		if s.openAtNode {
 			s.node.receive(s, m)
 		}
 	})
@@ -113,29 +113,29 @@
 
 // toClient sends a node's message.
 func (s *stream) toClient(m FromNode) {
-	s.down.send(s.world.delay(), func() { s.client.receive(s, m) })
+	s.toClientPipe.send(s.world.randomDelay(), func() { s.client.receive(s, m) })
 }
 
-// closedByClient tells the node.
+// closedByClient closes the stream and notifies the node.
 func (s *stream) closedByClient() {
-	if s.over {
+	if s.closed {
 		return
 	}
-	s.over = true
-	s.up.send(s.world.delay(), func() { s.node.forget(s) })
+	s.closed = true
+	s.toNodePipe.send(s.world.randomDelay(), func() { s.node.forget(s) })
 }
 
-// closedByNode tells the client.
+// closedByNode closes the stream and notifies the client.
 func (s *stream) closedByNode(reason string) {
-	if s.over {
+	if s.closed {
 		return
 	}
-	s.over = true
+	s.closed = true
 	c := s.client
-	s.down.send(s.world.delay(), func() {
+	s.toClientPipe.send(s.world.randomDelay(), func() {
 		if c.stream == s {
 			c.stream = nil
-			c.act(c.client.Disconnected(s.attempt, reason, c.clock()))
+			c.perform(c.client.Disconnected(s.attempt, reason, c.clock()))
 		}
 	})
 }
--- a/internal/fleet/session/sim_world_test.go
+++ b/internal/fleet/session/sim_world_test.go
@@ -14,21 +14,21 @@
 
 const controlNodes = 5
 
-// defects are what is wrong on purpose in the processes of a simulation.
+// defects are deliberate faults in the simulated processes, injected to check that the simulation detects them.
 type defects struct {
-	receipt         bool // a lease runs from the receipt of its acknowledgement
-	selfGrant       bool // a node grants by itself what it knows nothing against
-	noSilence       bool // a session of which nothing is heard is not given up for it
-	noGrantPatience bool // nor one without grants
-	noJitter        bool // everybody takes the same random part
-	acceptGaps      bool // a view takes a batch that does not begin where it stands
-	oldIncarnation  bool // a node opens sessions of processes that are older than the log's
-	keepsOld        bool // a node keeps sessions of processes that have become older than the log's
-	noResync        bool // a new leader is not told anew
-	noAdmission     bool // sessions open at any rate
-}
-
-// logEntry is a document of configuration, or an entry of the leases.
+	leaseFromReceipt bool // a lease runs from the receipt of its acknowledgement
+	nodeGrants       bool // a node grants renewals itself, without the leader
+	noSilenceTimeout bool // a client keeps a silent session
+	noGrantTimeout   bool // a client keeps a session without grants
+	noJitter         bool // all clients draw the same random numbers
+	acceptGaps       bool // a view accepts a batch that does not begin at its revision
+	opensSuperseded  bool // a node opens sessions of processes older than the one in the log
+	keepsSuperseded  bool // a node keeps sessions of processes that the log has superseded
+	noResync         bool // nodes do not repeat their state for a new leader
+	noAdmission      bool // sessions open at any rate
+}
+
+// logEntry is a configuration document or a lease entry.
 type logEntry struct {
 	key   string
 	value []byte
@@ -45,57 +45,57 @@
 	value    []byte
 }
 
-// world is five control nodes and some app servers. Raft is a model: one log, a leader that commits and confirms while a majority of
-// nodes hears it both ways, and an election where that has not been so for a while. A leader that was replaced does not know it
-// until it hears so.
+// world simulates a fleet of five control nodes and some app servers. Raft is replaced by a model: one log, and a
+// leader that commits and confirms while it can exchange messages with a majority of the nodes. When that fails for
+// a while, an election takes place. A replaced leader learns of it only from a message.
 type world struct {
 	scheduler
-	t         *testing.T
-	random    *rand.Rand
-	defects   defects
-	terms     lease.Terms
-	table     TableOptions
-	limits    watch.Limits
-	nodes     []*simNode
-	clients   []*simClient // the newest process of each server
-	processes []*simClient // all
-	ofServer  [][]*simClient
-	zones     int
-	cut       [][]bool // by endpoints, from and to
-	maxDelay  time.Duration
-	loss      int // in a hundred, between nodes
-	streams   uint64
-
-	lossBatches int // in a thousand: the node that loses them is at fault
-
-	term        uint64
-	leader      int
-	lastHealthy time.Duration
-	patience    time.Duration // without a leader, until the next election
-	log         []logEntry
-	state       lease.State
-	pending     []*pendingEntry
-	documents   map[string]document
-	keys        []string
-	configured  []uint64 // revisions
-	digests     []uint64 // by configured
-	lost        map[uint64]time.Duration
-	// liveness has a server that is alive and connected and is declared lost count as a fault of the program.
-	liveness bool
-	// mustHold tells for which servers it counts as a fault of the program if they hold no lease.
-	mustHold func(*simClient) bool
-	notes    []string
-	broken   string
-}
-
-// constantRandom draws the middle of every range.
+	t                 *testing.T
+	random            *rand.Rand
+	defects           defects
+	terms             lease.Terms
+	table             TableOptions
+	limits            watch.Limits
+	nodes             []*simNode
+	clients           []*simClient // newest process of each server
+	processes         []*simClient // all processes
+	processesByServer [][]*simClient
+	zones             int
+	blocked           [][]bool // whether the path is blocked, by sending and receiving endpoint
+	maxDelay          time.Duration
+	lossPercent       int // percentage of lost messages between nodes
+	lastStreamID      uint64
+
+	batchLossPerMille int // batches that a faulty node loses
+
+	term                uint64
+	leader              int
+	lastHealthyAt       time.Duration
+	electionTimeout     time.Duration // time without a leader until the next election
+	log                 []logEntry
+	state               lease.State
+	pending             []*pendingEntry
+	documents           map[string]document
+	keys                []string
+	configuredRevisions []uint64
+	digests             []uint64 // by index of configuredRevisions
+	expiredTokens       map[uint64]time.Duration
+	// failOnExpiry makes it a violation that the lease of a live and connected server is declared expired.
+	failOnExpiry bool
+	// mustHoldLease reports whether it is a violation that a server holds no lease.
+	mustHoldLease func(*simClient) bool
+	logLines      []string
+	violation     string
+}
+
+// constantRandom returns a source whose random numbers are all equal.
 func constantRandom() *rand.Rand { return rand.New(constantSource{}) }
 
 type constantSource struct{}
 
 func (constantSource) Uint64() uint64 { return 1 << 52 }
 
-// The pace at which nodes let sessions open.
+// Rate at which nodes let sessions open.
 const (
 	opensPerSecond = 60
 	opensBurst     = 40
@@ -105,35 +105,35 @@
 	w := &world{
 		t: t, random: rand.New(rand.NewPCG(seed, 77)), defects: d, terms: lease.ControlTierTerms, zones: zones, maxDelay: 10 * time.Millisecond,
 		table:  TableOptions{Fleet: 9, MaxSessions: 1000, OpensPerSecond: opensPerSecond, OpensBurst: opensBurst, MaxSnapshots: 8, DrainPerSecond: 50},
-		limits: limits, leader: -1, documents: map[string]document{}, lost: map[uint64]time.Duration{},
+		limits: limits, leader: -1, documents: map[string]document{}, expiredTokens: map[uint64]time.Duration{},
 	}
-	w.mustHold = nobody
+	w.mustHoldLease = noServer
 	if d.noAdmission {
 		w.table.OpensPerSecond, w.table.OpensBurst = 1<<20, 1<<20
 	}
-	w.ofServer = make([][]*simClient, servers)
-	w.cut = make([][]bool, controlNodes+servers)
-	for i := range w.cut {
-		w.cut[i] = make([]bool, controlNodes+servers)
+	w.processesByServer = make([][]*simClient, servers)
+	w.blocked = make([][]bool, controlNodes+servers)
+	for i := range w.blocked {
+		w.blocked[i] = make([]bool, controlNodes+servers)
 	}
 	w.nodes = make([]*simNode, controlNodes)
-	w.digests, w.configured = []uint64{watch.NewHash().Sum()}, []uint64{0}
+	w.digests, w.configuredRevisions = []uint64{watch.NewHash().Sum()}, []uint64{0}
 	for i := range w.nodes {
 		w.nodes[i] = w.startNode(i)
 	}
 	w.elect()
-	w.configure(8)
+	w.changeConfiguration(8)
 	for i := range servers {
 		w.clients = append(w.clients, w.startClient(i, 1))
 	}
-	w.after(50*time.Millisecond, w.consensus)
+	w.after(50*time.Millisecond, w.runElections)
 	return w
 }
 
-func nobody(*simClient) bool    { return false }
-func everybody(*simClient) bool { return true }
+func noServer(*simClient) bool    { return false }
+func everyServer(*simClient) bool { return true }
 
-func (w *world) rate() float64 {
+func (w *world) randomClockRate() float64 {
 	switch w.random.IntN(4) {
 	case 0:
 		return 0.99
@@ -145,32 +145,33 @@
 
 func (w *world) zone(server int) int { return server % w.zones }
 
-func (w *world) part(of time.Duration) time.Duration {
+func (w *world) randomPart(of time.Duration) time.Duration {
 	return time.Duration(w.random.Float64() * float64(of))
 }
 
-func (w *world) delay() time.Duration { return time.Millisecond + w.part(w.maxDelay) }
+func (w *world) randomDelay() time.Duration { return time.Millisecond + w.randomPart(w.maxDelay) }
 
-func (w *world) note(format string, a ...any) {
-	w.notes = append(w.notes, fmt.Sprintf("%8v ", w.now.Round(time.Millisecond))+fmt.Sprintf(format, a...))
+func (w *world) logf(format string, a ...any) {
+	w.logLines = append(w.logLines, fmt.Sprintf("%8v ", w.now.Round(time.Millisecond))+fmt.Sprintf(format, a...))
 }
 
-// fail keeps the first thing that must never be.
+// fail records the first violation of a rule.
 func (w *world) fail(format string, a ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf("at %v: ", w.now) + fmt.Sprintf(format, a...)
 	}
 }
 
-// run goes on for a duration, or until something is broken.
+// run advances the simulation for a duration, or until a rule is violated.
 func (w *world) run(d time.Duration) {
-	w.until(w.now+d, func() bool { return w.broken != "" })
+	w.runTo(w.now+d, func() bool { return w.violation != "" })
 }
 
-// runUntil goes on until something is so, and returns how long it took; it fails after a limit.
-func (w *world) runUntil(what string, limit time.Duration, so func() bool) time.Duration {
+// runUntil advances the simulation until a condition holds, and returns the time that it took. Exceeding the limit
+// is a violation.
+func (w *world) runUntil(what string, limit time.Duration, condition func() bool) time.Duration {
 	began := w.now
-	for w.broken == "" && !so() {
+	for w.violation == "" && !condition() {
 		if w.now-began > limit {
 			w.fail("%s took longer than %v", what, limit)
 			break
@@ -180,10 +181,10 @@
 	return w.now - began
 }
 
-func (w *world) linked(from, to int) bool { return !w.cut[from][to] }
+func (w *world) linked(from, to int) bool { return !w.blocked[from][to] }
 
-// majority reports whether a node and enough others hear each other.
-func (w *world) majority(index int) bool {
+// hasMajority reports whether a node can exchange messages with a majority of the nodes.
+func (w *world) hasMajority(index int) bool {
 	heard := 0
 	for _, n := range w.nodes {
 		if n.running() && w.nodes[index].running() && w.linked(index, n.index) && w.linked(n.index, index) {
@@ -193,24 +194,24 @@
 	return heard > len(w.nodes)/2
 }
 
-// leaderNode returns the leader of the newest term, as long as its process lives; nil = there is none.
+// leaderNode returns the leader of the newest term while that node has not stepped down; nil = there is none.
 func (w *world) leaderNode() *simNode {
-	if w.leader < 0 || w.nodes[w.leader].leads != w.term {
+	if w.leader < 0 || w.nodes[w.leader].leadsTerm != w.term {
 		return nil
 	}
 	return w.nodes[w.leader]
 }
 
-func (w *world) healthy() bool { return w.leaderNode() != nil && w.majority(w.leader) }
+func (w *world) healthy() bool { return w.leaderNode() != nil && w.hasMajority(w.leader) }
 
-// consensus looks for elections that are due, and has leaders without a majority notice.
-func (w *world) consensus() {
-	w.after(50*time.Millisecond, w.consensus)
+// runElections starts the elections that are due.
+func (w *world) runElections() {
+	w.after(50*time.Millisecond, w.runElections)
 	if w.healthy() {
-		w.lastHealthy = w.now
+		w.lastHealthyAt = w.now
 		return
 	}
-	if w.now-w.lastHealthy < w.patience {
+	if w.now-w.lastHealthyAt < w.electionTimeout {
 		return
 	}
 	w.elect()
@@ -221,10 +222,10 @@
 		l.stepDown()
 		l.leader = -1
 	}
-	w.lastHealthy, w.patience = w.now, 800*time.Millisecond+w.part(800*time.Millisecond)
+	w.lastHealthyAt, w.electionTimeout = w.now, 800*time.Millisecond+w.randomPart(800*time.Millisecond)
 	candidates := []*simNode{}
 	for _, n := range w.nodes {
-		if w.majority(n.index) {
+		if w.hasMajority(n.index) {
 			candidates = append(candidates, n)
 		}
 	}
@@ -234,26 +235,27 @@
 	pending := w.pending
 	w.pending = nil
 	for _, p := range pending {
-		if w.random.IntN(2) == 0 { // it had reached the log of the next leader
+		if w.random.IntN(2) == 0 { // the entry had reached the log of the next leader
 			w.commit(p.entry)
 		}
 	}
 	w.term++
 	l := candidates[w.random.IntN(len(candidates))]
 	w.leader = l.index
-	w.note("node %d leads in term %d", l.index, w.term)
-	l.lead(w.term)
+	w.logf("node %d leads in term %d", l.index, w.term)
+	l.beginTerm(w.term)
 }
 
-// proposeIn has a leader append an entry in its term. It is committed once a majority hears the leader, or the next one has it.
+// proposeIn makes a leader append an entry in its term. The entry is committed once the leader has a majority, or
+// if the next leader already has it.
 func (w *world) proposeIn(n *simNode, term uint64, e logEntry) {
 	if w.term != term || w.leader != n.index {
 		return
 	}
 	p := &pendingEntry{term, e}
 	w.pending = append(w.pending, p)
-	var try func()
-	try = func() {
+	var retry func()
+	retry = func() {
 		i := slices.Index(w.pending, p)
 		switch {
 		case i < 0:
@@ -262,10 +264,10 @@
 			w.commit(p.entry)
 			w.nodes[w.leader].apply(uint64(len(w.log)))
 		default:
-			w.after(50*time.Millisecond, try)
+			w.after(50*time.Millisecond, retry)
 		}
 	}
-	w.after(w.delay(), try)
+	w.after(w.randomDelay(), retry)
 }
 
 func (w *world) commit(e logEntry) {
@@ -278,17 +280,17 @@
 	if err := w.state.Apply(index, &e.lease); err != nil || e.lease.Kind != lease.Lost {
 		return
 	}
-	w.lost[e.lease.Life] = w.now
+	w.expiredTokens[e.lease.Life] = w.now
 	server := 0
 	fmt.Sscanf(e.lease.Box, "s%d", &server)
-	w.note("server %d is lost as %d", server, e.lease.Life)
+	w.logf("server %d has expired with token %d", server, e.lease.Life)
 	for _, c := range w.processes {
 		if c.server == server && c.holds() && c.client.FencingToken() == e.lease.Life {
-			w.fail("server %d holds as %d when it is declared lost", server, e.lease.Life)
+			w.fail("server %d holds the lease of token %d when it is declared expired", server, e.lease.Life)
 		}
 	}
-	if c := w.clients[server]; w.liveness && c.running() && w.now-c.troubledAt > 10*time.Second {
-		w.fail("server %d is alive and connected and is declared lost as %d", server, e.lease.Life)
+	if c := w.clients[server]; w.failOnExpiry && c.running() && w.now-c.disturbedAt > 10*time.Second {
+		w.fail("server %d is alive and connected and is declared expired with token %d", server, e.lease.Life)
 	}
 }
 
@@ -302,12 +304,12 @@
 	for _, key := range w.keys {
 		hash.Add(key, w.documents[key].revision, w.documents[key].value)
 	}
-	w.configured = append(w.configured, index)
+	w.configuredRevisions = append(w.configuredRevisions, index)
 	w.digests = append(w.digests, hash.Sum())
 }
 
-// configure changes documents, if there is a leader.
-func (w *world) configure(changes int) {
+// changeConfiguration changes random documents, if there is a leader.
+func (w *world) changeConfiguration(changes int) {
 	if !w.healthy() {
 		return
 	}
@@ -319,27 +321,28 @@
 }
 
 func (w *world) digestAt(revision uint64) uint64 {
-	i, found := slices.BinarySearch(w.configured, revision)
+	i, found := slices.BinarySearch(w.configuredRevisions, revision)
 	if !found {
 		i--
 	}
 	return w.digests[i]
 }
 
-// configuredBetween returns the revisions of configuration after one and up to another.
-func (w *world) configuredBetween(after, to uint64) []uint64 {
-	i, _ := slices.BinarySearch(w.configured, after+1)
-	j, _ := slices.BinarySearch(w.configured, to+1)
-	return append([]uint64{}, w.configured[i:max(i, j)]...)
+// configurationRevisions returns the revisions of configuration changes after one revision and up to another.
+func (w *world) configurationRevisions(after, to uint64) []uint64 {
+	i, _ := slices.BinarySearch(w.configuredRevisions, after+1)
+	j, _ := slices.BinarySearch(w.configuredRevisions, to+1)
+	return append([]uint64{}, w.configuredRevisions[i:max(i, j)]...)
 }
 
-// sendBetween brings something from a node to another, late, twice or not at all; it reports whether it will be delivered.
+// sendBetween sends a message from a node to another. It may arrive late or twice, or be lost; the result tells
+// whether it will arrive.
 func (w *world) sendBetween(from, to *simNode, deliver func()) bool {
 	if from == to {
 		deliver()
 		return true
 	}
-	if w.cut[from.index][to.index] || w.random.IntN(100) < w.loss {
+	if w.blocked[from.index][to.index] || w.random.IntN(100) < w.lossPercent {
 		return false
 	}
 	copies := 1
@@ -347,7 +350,7 @@
 		copies = 2
 	}
 	for range copies {
-		w.after(w.delay(), func() { to.do(deliver) })
+		w.after(w.randomDelay(), func() { to.exec(deliver) })
 	}
 	return true
 }
@@ -357,8 +360,8 @@
 	return c.running() && c.client.State() == Open && c.holds()
 }
 
-// serving counts the servers that are served.
-func (w *world) serving() int {
+// servedCount returns the number of served servers.
+func (w *world) servedCount() int {
 	n := 0
 	for _, c := range w.clients {
 		if c.served() {
@@ -368,27 +371,28 @@
 	return n
 }
 
-// settled reports whether all servers are served and have the newest configuration in force, and the leader knows it.
+// settled reports whether all servers are served and have the newest configuration in force, and the leader knows
+// it.
 func (w *world) settled() bool {
 	l := w.leaderNode()
-	if l == nil || w.serving() < len(w.clients) {
+	if l == nil || w.servedCount() < len(w.clients) {
 		return false
 	}
-	newest := w.configured[len(w.configured)-1]
+	newest := w.configuredRevisions[len(w.configuredRevisions)-1]
 	for _, c := range w.clients {
 		if c.client.View().Digest(ConfigurationPrefix) != w.digests[len(w.digests)-1] {
 			return false
 		}
 	}
-	behind, of := l.collector.Behind(newest, l.clock())
-	return len(behind) == 0 && of == len(w.clients)
+	behind, total := l.collector.Behind(newest, l.clock())
+	return len(behind) == 0 && total == len(w.clients)
 }
 
-// Faults.
+// Fault injection.
 
 func (w *world) killNode(i int) {
 	n := w.nodes[i]
-	w.note("node %d is killed", i)
+	w.logf("node %d is killed", i)
 	n.dead = true
 	for _, s := range sortedStreams(n.streams) {
 		s.closedByNode("reset")
@@ -408,52 +412,52 @@
 	if !w.nodes[i].dead {
 		return
 	}
-	w.note("node %d is back", i)
+	w.logf("node %d restarts", i)
 	w.nodes[i] = w.startNode(i)
 }
 
-// restartClient starts the next process of a server. The one before is killed, or goes on beside it.
-func (w *world) restartClient(i int, twin bool) {
+// restartClient starts the next process of a server. The previous one is killed, or keeps running alongside it.
+func (w *world) restartClient(i int, keepOld bool) {
 	old := w.clients[i]
-	w.note("server %d starts anew, twin %v", i, twin)
-	if !twin {
+	w.logf("server %d restarts, old process keeps running: %v", i, keepOld)
+	if !keepOld {
 		old.kill()
 	}
 	w.clients[i] = w.startClient(i, old.incarnation+1)
 }
 
-// separate cuts endpoints off from others, or heals that.
-func (w *world) separate(some, others []int, cut bool) {
+// setIsolated cuts the connections between two sets of endpoints, or restores them.
+func (w *world) setIsolated(some, others []int, cut bool) {
 	for _, a := range some {
 		for _, b := range others {
 			if a != b {
-				w.cut[a][b], w.cut[b][a] = cut, cut
+				w.blocked[a][b], w.blocked[b][a] = cut, cut
 			}
 		}
 		if a >= len(w.nodes) {
-			w.clients[a-len(w.nodes)].troubledAt = w.now
+			w.clients[a-len(w.nodes)].disturbedAt = w.now
 		}
 	}
 }
 
 // heal ends all faults.
 func (w *world) heal() {
-	for i := range w.cut {
-		clear(w.cut[i])
+	for i := range w.blocked {
+		clear(w.blocked[i])
 	}
-	w.maxDelay, w.loss, w.lossBatches = 10*time.Millisecond, 0, 0
+	w.maxDelay, w.lossPercent, w.batchLossPerMille = 10*time.Millisecond, 0, 0
 	for i, n := range w.nodes {
 		if n.dead {
 			w.restartNode(i)
 		} else if n.stopped {
-			n.goOn()
+			n.resume()
 		}
 	}
 	for _, c := range w.clients {
 		if c.stopped {
-			c.goOn()
+			c.resume()
 		}
-		c.slow = false
+		c.slowReader = false
 	}
-	w.note("healed")
+	w.logf("all faults are ended")
 }
--- a/internal/fleet/session/table.go
+++ b/internal/fleet/session/table.go
@@ -11,79 +11,81 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// Times of a control node's side of sessions.
+// Timing of a control node's side of sessions.
 const (
-	// AckWithin is how long a heartbeat waits for a grant before it is acknowledged without one.
+	// AckWithin is how long a heartbeat waits for a lease grant before it is acknowledged without one.
 	AckWithin = 500 * time.Millisecond
-	// Expiry is how long a session may be silent.
+	// Expiry is how long a session may be silent before it is ended.
 	Expiry = 4 * time.Second
 
-	statusEvery   = 2 * time.Second // at most, that the leader is told of a server that renews nothing
-	proposalEvery = 100 * time.Millisecond
-	fullRetry     = 2 * time.Second // RetryAfter of a node that has too many sessions, or ends
+	statusInterval        = 2 * time.Second // longest time between reports to the leader of a server that renews no lease
+	minProposalInterval   = 100 * time.Millisecond
+	unavailableRetryAfter = 2 * time.Second // RetryAfter of a node that is stopping or has too many sessions
 )
 
-// TableOptions configure a Table.
+// TableOptions configures a Table.
 type TableOptions struct {
 	Node           string
-	Fleet          uint64 // not 0
+	Fleet          uint64 // id of the fleet, not 0
 	MaxSessions    int    // at most limits.MaxServers
-	OpensPerSecond int    // sessions opened, on average
-	OpensBurst     int    // and at once after a rest
-	MaxSnapshots   int    // being sent at a time
-	DrainPerSecond int    // sessions that are ended a second while the node drains
-	Seed           uint64 // of the jitter
+	OpensPerSecond int    // average rate at which sessions may open
+	OpensBurst     int    // sessions that may open at once after an idle period
+	MaxSnapshots   int    // snapshots sent at the same time
+	DrainPerSecond int    // sessions ended per second while the node drains
+	Seed           uint64 // seed of the random delays
 }
 
-// EndedSession is a session that its node ends. The driver writes the refusal if it can at once, and closes the connection.
-// The table has forgotten the session: Closed need not be called.
+// EndedSession is a session that the table has ended. The driver sends the refusal if the connection can be written
+// at once, and closes the connection. The table has already removed the session, so the driver need not call
+// Closed.
 type EndedSession struct {
 	ID      uint64
 	Refusal Refusal
 }
 
-// serverSession is what a node keeps of one session. Nothing in it grows.
+// serverSession is a node's state of one session. Its size is bounded.
 type serverSession struct {
-	id     uint64
-	hello  Hello
-	reader *watch.Reader
-	heard  time.Duration
-
-	writing   bool   // the driver writes a message that Next returned
-	welcome   bool   // to be sent
-	snapshots bool   // it has one of the places for snapshots
-	idleAt    uint64 // revision at which its reader had nothing to send
-
-	ackWanted   bool
-	ackSince    time.Duration // of the oldest heartbeat that was not acknowledged
-	granted     bool          // grant was not sent yet
-	grant       lease.Grant
-	renewal     lease.Renewal // newest
-	renewalOwed bool          // the leader was not told of renewal
-
-	status     ServerStatus
-	statusOwed bool
-	statusAt   time.Duration // when it last became owed
-	proposedAt time.Duration
+	id      uint64
+	hello   Hello
+	reader  *watch.Reader
+	heardAt time.Duration
+
+	writing         bool   // the driver is writing a message that Next returned
+	welcomePending  bool   // the Welcome message has not been sent
+	hasSnapshotSlot bool   // the session counts in Table.activeSnapshots
+	idleRevision    uint64 // revision at which the reader had nothing to send
+
+	ackPending     bool
+	ackSince       time.Duration // when the oldest unacknowledged heartbeat arrived
+	grantPending   bool          // grant has not been sent yet
+	grant          lease.Grant
+	renewal        lease.Renewal // newest
+	renewalPending bool          // renewal has not been reported to the leader
+
+	status         ServerStatus
+	statusPending  bool
+	statusMarkedAt time.Duration // when status was last marked for the leader
+	proposedAt     time.Duration
 }
 
-// Table is a control node's side of its sessions. A session's id is of the driver's choice and never used again.
+// Table is a control node's side of all its sessions. The driver chooses the id of each session and must never
+// reuse one.
 type Table struct {
-	options    TableOptions
-	history    *watch.History
-	random     *rand.Rand
-	admission  *admission
-	sessions   map[uint64]*serverSession
-	byServer   map[string]*serverSession
-	order      []*serverSession // by opening
-	snapshots  int              // sessions that have a place for one
-	closed     []ClosedSession  // not told yet, one a server
-	leaderless bool
-	draining   bool
-	drained    time.Duration // when a session was last ended by draining
+	options          TableOptions
+	history          *watch.History
+	random           *rand.Rand
+	admission        *admission
+	sessions         map[uint64]*serverSession
+	byServer         map[string]*serverSession
+	openOrder        []*serverSession // oldest first
+	activeSnapshots  int              // sessions that are sending a snapshot
+	unreportedClosed []ClosedSession  // not reported to the leader yet, one per server
+	leaderless       bool
+	draining         bool
+	lastDrainedAt    time.Duration // when draining last ended a session
 }
 
-// NewTable returns a table whose sessions watch a history.
+// NewTable returns a table whose sessions watch the given history.
 func NewTable(o TableOptions, h *watch.History) *Table {
 	random := rand.New(rand.NewPCG(o.Seed, 1))
 	return &Table{
@@ -96,47 +98,48 @@
 	}
 }
 
-// Open takes the first message of a connection. known is the newest incarnation of the server that the log has; 0 = none.
-// A refusal says that there is no session. The sessions in ended are replaced by this one.
-func (t *Table) Open(id uint64, h Hello, known uint64, now time.Duration) (ended []EndedSession, refusal *Refusal) {
-	if refusal := t.refuse(&h, known, now); refusal != nil {
+// Open handles the first message of a connection. knownIncarnation is the newest incarnation of the server in the
+// agreed log; 0 = none. A refusal means that no session was opened. Sessions that the new one replaces are returned
+// in ended.
+func (t *Table) Open(id uint64, h Hello, knownIncarnation uint64, now time.Duration) (ended []EndedSession, refusal *Refusal) {
+	if refusal := t.checkOpen(&h, knownIncarnation, now); refusal != nil {
 		return nil, refusal
 	}
 	if old := t.byServer[h.Server]; old != nil {
 		t.remove(old)
-		ended = append(ended, EndedSession{old.id, replaced(old, &h)})
+		ended = append(ended, EndedSession{old.id, replacementRefusal(old, &h)})
 	}
 	interest := watch.Interest{Keys: []string{ServerPrefix + h.Server}, Prefixes: []string{ConfigurationPrefix}}
-	s := &serverSession{id: id, hello: h, reader: t.history.NewReader(interest, h.Revision), heard: now, welcome: true}
+	s := &serverSession{id: id, hello: h, reader: t.history.NewReader(interest, h.Revision), heardAt: now, welcomePending: true}
 	t.sessions[id] = s
 	t.byServer[h.Server] = s
-	t.order = append(t.order, s)
+	t.openOrder = append(t.openOrder, s)
 	return ended, nil
 }
 
-// refuse checks whether a session may open; nil = it may.
-func (t *Table) refuse(h *Hello, known uint64, now time.Duration) *Refusal {
+// checkOpen checks whether a session may open; nil = it may.
+func (t *Table) checkOpen(h *Hello, knownIncarnation uint64, now time.Duration) *Refusal {
 	if err := h.validate(); err != nil {
-		return &Refusal{Code: Invalid, Reason: shorten(err.Error())}
+		return &Refusal{Code: Invalid, Reason: truncateReason(err.Error())}
 	}
 	if h.Fleet != 0 && h.Fleet != t.options.Fleet {
 		return &Refusal{Code: OtherFleet, Reason: fmt.Sprintf("this is fleet %x, the server's state is of %x", t.options.Fleet, h.Fleet)}
 	}
 	old := t.byServer[h.Server]
 	if old != nil {
-		known = max(known, old.hello.Incarnation)
+		knownIncarnation = max(knownIncarnation, old.hello.Incarnation)
 	}
-	if h.Incarnation < known {
-		return &Refusal{Code: Superseded, Incarnation: known, Reason: fmt.Sprintf("process %d of this server has spoken", known)}
+	if h.Incarnation < knownIncarnation {
+		return &Refusal{Code: Superseded, Incarnation: knownIncarnation, Reason: fmt.Sprintf("process %d of this server has spoken", knownIncarnation)}
 	}
 	if old != nil && old.hello.Incarnation == h.Incarnation && old.hello.Session >= h.Session {
 		return &Refusal{Code: Moving, Reason: "a newer session of this process is open"}
 	}
 	if t.draining {
-		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, fullRetry), Reason: "this node ends"}
+		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node ends"}
 	}
 	if old == nil && len(t.sessions) >= t.options.MaxSessions {
-		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, fullRetry), Reason: "this node has as many sessions as it may"}
+		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node has as many sessions as it may"}
 	}
 	if retryAfter, ok := t.admission.take(now); !ok {
 		return &Refusal{Code: Busy, RetryAfter: retryAfter, Reason: "too many sessions open at once"}
@@ -144,20 +147,20 @@
 	return nil
 }
 
-// replaced is what a session is told that a newer one of its server ends.
-func replaced(old *serverSession, by *Hello) Refusal {
+// replacementRefusal returns the refusal for a session that a newer one of the same server replaces.
+func replacementRefusal(old *serverSession, by *Hello) Refusal {
 	if by.Incarnation > old.hello.Incarnation {
 		return Refusal{Code: Superseded, Incarnation: by.Incarnation, Reason: "a newer process of this server has opened a session"}
 	}
 	return Refusal{Code: Moving, Reason: "this process has opened a newer session"}
 }
 
-func shorten(reason string) string {
+func truncateReason(reason string) string {
 	return strings.ToValidUTF8(reason[:min(len(reason), MaxReason)], "")
 }
 
-// Heartbeat takes a heartbeat and returns the proposals to send to the leader. An error tells that the message cannot be: the
-// driver ends the session with Refusal{Code: Invalid}, and calls Closed.
+// Heartbeat handles a heartbeat and returns the proposals to send to the leader. An error means that the message is
+// invalid; the driver must end the session with Refusal{Code: Invalid} and call Closed.
 func (t *Table) Heartbeat(id uint64, hb Heartbeat, now time.Duration) ([]Proposal, error) {
 	s := t.sessions[id]
 	if s == nil {
@@ -167,24 +170,24 @@
 	if err := hb.validate(&s.hello, s.renewal.Seq, first); err != nil {
 		return nil, err
 	}
-	s.heard = now
-	if !s.ackWanted {
-		s.ackWanted, s.ackSince = true, now
+	s.heardAt = now
+	if !s.ackPending {
+		s.ackPending, s.ackSince = true, now
 	}
 	if hb.Sequence != 0 {
 		s.renewal = lease.Renewal{Box: s.hello.Server, Life: hb.FencingToken, Seq: hb.Sequence}
-		s.renewalOwed = true
+		s.renewalPending = true
 	}
-	s.note(&hb, now)
-	if len(hb.Proposals) == 0 || !first && now-s.proposedAt < proposalEvery {
+	s.recordStatus(&hb, now)
+	if len(hb.Proposals) == 0 || !first && now-s.proposedAt < minProposalInterval {
 		return nil, nil
 	}
 	s.proposedAt = now
 	return hb.Proposals, nil
 }
 
-// note keeps what a heartbeat says for the leader, and owes it if it is new.
-func (s *serverSession) note(hb *Heartbeat, now time.Duration) {
+// recordStatus stores the status in a heartbeat, and marks it for the leader if it changed or is due.
+func (s *serverSession) recordStatus(hb *Heartbeat, now time.Duration) {
 	status := &s.status
 	changed := status.Heartbeat == 0 || hb.Report != nil || hb.Applied != status.Applied
 	status.Server, status.Session, status.Applied = s.hello.Server, s.hello.Session, hb.Applied
@@ -192,227 +195,229 @@
 	if hb.Report != nil {
 		status.Report = *hb.Report
 	}
-	if changed || hb.Sequence == 0 && now-s.statusAt >= statusEvery {
-		s.statusOwed, s.statusAt = true, now
+	if changed || hb.Sequence == 0 && now-s.statusMarkedAt >= statusInterval {
+		s.statusPending, s.statusMarkedAt = true, now
 	}
 }
 
-// Granted takes the leader's grants. Those for renewals that no session here sent are ignored.
+// Granted accepts the leader's grants. Grants for renewals that no session of this node sent are ignored.
 func (t *Table) Granted(grants []lease.Grant, now time.Duration) {
 	for _, g := range grants {
 		s := t.byServer[g.Box]
 		if s == nil || g.Life != s.renewal.Life || g.Seq > s.renewal.Seq || g.Seq <= s.grant.Seq && g.Life == s.grant.Life {
 			continue
 		}
-		s.grant, s.granted = g, true
+		s.grant, s.grantPending = g, true
 	}
 }
 
-// Leaderless tells whether this node knows no leader.
+// Leaderless sets whether this node knows no leader.
 func (t *Table) Leaderless(leaderless bool) { t.leaderless = leaderless }
 
-// Next returns the next message of a session whose writer is free; false = there is nothing to send now. The writer is
-// busy from then on, until the driver calls Written.
+// Next returns the next message of a session that is not writing; false = there is nothing to send now. The session
+// counts as writing until the driver calls Written.
 func (t *Table) Next(id uint64, now time.Duration) (FromNode, bool) {
 	s := t.sessions[id]
 	if s == nil || s.writing {
 		return FromNode{}, false
 	}
-	m, ok := t.next(s, now)
+	m, ok := t.nextMessage(s, now)
 	s.writing = ok
 	return m, ok
 }
 
-func (t *Table) next(s *serverSession, now time.Duration) (FromNode, bool) {
+func (t *Table) nextMessage(s *serverSession, now time.Duration) (FromNode, bool) {
 	switch {
-	case s.welcome:
-		s.welcome = false
+	case s.welcomePending:
+		s.welcomePending = false
 		return FromNode{Welcome: &Welcome{Fleet: t.options.Fleet, Node: t.options.Node}}, true
 	case s.ackDue(now):
-		return FromNode{Ack: t.ack(s)}, true
+		return FromNode{Ack: t.nextAck(s)}, true
 	case t.batchDue(s):
-		return t.batch(s)
+		return t.nextBatch(s)
 	}
 	return FromNode{}, false
 }
 
 func (s *serverSession) ackDue(now time.Duration) bool {
-	return s.granted || s.ackWanted && now-s.ackSince >= AckWithin
+	return s.grantPending || s.ackPending && now-s.ackSince >= AckWithin
 }
 
-// ack answers all heartbeats so far. A grant is sent once.
-func (t *Table) ack(s *serverSession) *Ack {
+// nextAck returns an acknowledgement of all heartbeats so far. A grant is sent once.
+func (t *Table) nextAck(s *serverSession) *Ack {
 	ack := &Ack{Revision: t.history.Revision(), Leaderless: t.leaderless}
-	if s.granted {
+	if s.grantPending {
 		ack.Sequence, ack.FencingToken = s.grant.Seq, s.grant.Life
 	}
-	s.granted, s.ackWanted = false, false
+	s.grantPending, s.ackPending = false, false
 	return ack
 }
 
-// batchDue reports whether the reader of a session may have something, and may send it.
+// batchDue reports whether a session's reader may have a batch and is allowed to send it.
 func (t *Table) batchDue(s *serverSession) bool {
 	if s.reader.Snapshotting() {
-		return s.snapshots || t.snapshots < t.options.MaxSnapshots
+		return s.hasSnapshotSlot || t.activeSnapshots < t.options.MaxSnapshots
 	}
-	return s.idleAt != t.history.Revision()
+	return s.idleRevision != t.history.Revision()
 }
 
-func (t *Table) batch(s *serverSession) (FromNode, bool) {
-	if s.reader.Snapshotting() && !s.snapshots {
-		s.snapshots = true
-		t.snapshots++
+func (t *Table) nextBatch(s *serverSession) (FromNode, bool) {
+	if s.reader.Snapshotting() && !s.hasSnapshotSlot {
+		s.hasSnapshotSlot = true
+		t.activeSnapshots++
 	}
 	b, ok := s.reader.Next(MaxBatch)
 	switch {
 	case !s.reader.Snapshotting():
-		t.releaseSnapshot(s)
-	case !s.snapshots: // it began one by itself, over an update too large to be sent: the others wait longer
-		s.snapshots = true
-		t.snapshots++
+		t.releaseSnapshotSlot(s)
+	case !s.hasSnapshotSlot: // the reader began a snapshot because an update was too large; it takes a slot beyond the limit
+		s.hasSnapshotSlot = true
+		t.activeSnapshots++
 	}
 	if !ok {
-		s.idleAt = t.history.Revision()
+		s.idleRevision = t.history.Revision()
 		return FromNode{}, false
 	}
 	return FromNode{Batch: &b}, true
 }
 
-func (t *Table) releaseSnapshot(s *serverSession) {
-	if s.snapshots {
-		s.snapshots = false
-		t.snapshots--
+func (t *Table) releaseSnapshotSlot(s *serverSession) {
+	if s.hasSnapshotSlot {
+		s.hasSnapshotSlot = false
+		t.activeSnapshots--
 	}
 }
 
-// Written tells that the message that Next returned was written: the writer is free.
+// Written reports that the message that Next returned was written.
 func (t *Table) Written(id uint64) {
 	if s := t.sessions[id]; s != nil {
 		s.writing = false
 	}
 }
 
-// Pending returns sessions whose writer is free and that may have something to send, by their opening. It looks once at each session.
+// Pending returns the sessions that are not writing and may have something to send, oldest first. It scans all
+// sessions.
 func (t *Table) Pending(now time.Duration) []uint64 {
 	var ids []uint64
-	for _, s := range t.order {
-		if !s.writing && (s.welcome || s.ackDue(now) || t.batchDue(s)) {
+	for _, s := range t.openOrder {
+		if !s.writing && (s.welcomePending || s.ackDue(now) || t.batchDue(s)) {
 			ids = append(ids, s.id)
 		}
 	}
 	return ids
 }
 
-// Closed tells that the connection of a session is gone.
+// Closed reports that the connection of a session is closed.
 func (t *Table) Closed(id uint64, now time.Duration) {
 	if s := t.sessions[id]; s != nil {
 		t.remove(s)
 	}
 }
 
-// remove forgets a session. The leader is told that it ended, if it was told of it.
+// remove deletes a session. The leader is told of the end if it may know of the session.
 func (t *Table) remove(s *serverSession) {
-	t.releaseSnapshot(s)
+	t.releaseSnapshotSlot(s)
 	delete(t.sessions, s.id)
 	delete(t.byServer, s.hello.Server)
-	t.order = slices.DeleteFunc(t.order, func(o *serverSession) bool { return o == s })
+	t.openOrder = slices.DeleteFunc(t.openOrder, func(o *serverSession) bool { return o == s })
 	if s.status.Heartbeat == 0 {
 		return
 	}
-	t.closed = slices.DeleteFunc(t.closed, func(c ClosedSession) bool { return c.Server == s.hello.Server })
-	if len(t.closed) < t.options.MaxSessions {
-		t.closed = append(t.closed, ClosedSession{s.hello.Server, s.hello.Incarnation, s.hello.Session})
+	t.unreportedClosed = slices.DeleteFunc(t.unreportedClosed, func(c ClosedSession) bool { return c.Server == s.hello.Server })
+	if len(t.unreportedClosed) < t.options.MaxSessions {
+		t.unreportedClosed = append(t.unreportedClosed, ClosedSession{s.hello.Server, s.hello.Incarnation, s.hello.Session})
 	}
 }
 
-// Tick is called every 100 ms. It returns the sessions that expired, or that a draining node ends.
+// Tick returns the sessions that expired or that a draining node ends. The driver must call it every 100 ms.
 func (t *Table) Tick(now time.Duration) []EndedSession {
 	var ended []EndedSession
-	for _, s := range slices.Clone(t.order) {
-		if now-s.heard > Expiry {
-			ended = append(ended, t.end(s, Refusal{Code: Moving, Reason: "nothing was heard of this server"}))
+	for _, s := range slices.Clone(t.openOrder) {
+		if now-s.heardAt > Expiry {
+			ended = append(ended, t.endSession(s, Refusal{Code: Moving, Reason: "nothing was heard of this server"}))
 		}
 	}
 	return append(ended, t.drain(now)...)
 }
 
-func (t *Table) end(s *serverSession, r Refusal) EndedSession {
+func (t *Table) endSession(s *serverSession, r Refusal) EndedSession {
 	t.remove(s)
 	return EndedSession{s.id, r}
 }
 
-// drain ends as many sessions as a draining node may have ended by now.
+// drain ends as many sessions as are due while the node drains.
 func (t *Table) drain(now time.Duration) (ended []EndedSession) {
 	pace := time.Second / time.Duration(max(1, t.options.DrainPerSecond))
 	if !t.draining {
-		t.drained = now
+		t.lastDrainedAt = now
 		return nil
 	}
-	for len(t.order) > 0 && now-t.drained >= pace {
-		t.drained += pace
-		ended = append(ended, t.end(t.order[0], Refusal{Code: Moving, Reason: "this node ends"}))
+	for len(t.openOrder) > 0 && now-t.lastDrainedAt >= pace {
+		t.lastDrainedAt += pace
+		ended = append(ended, t.endSession(t.openOrder[0], Refusal{Code: Moving, Reason: "this node ends"}))
 	}
 	return ended
 }
 
-// Superseded tells that the log has a process of a server; sessions of older ones end.
+// Superseded ends the session of a server if the agreed log has a newer process of that server.
 func (t *Table) Superseded(server string, incarnation uint64) []EndedSession {
 	s := t.byServer[server]
 	if s == nil || s.hello.Incarnation >= incarnation {
 		return nil
 	}
 	r := Refusal{Code: Superseded, Incarnation: incarnation, Reason: "a newer process of this server has spoken"}
-	return []EndedSession{t.end(s, r)}
+	return []EndedSession{t.endSession(s, r)}
 }
 
-// Drain has the node take no more sessions and end those it has, DrainPerSecond of them.
+// Drain makes the node refuse new sessions and end the existing ones at DrainPerSecond.
 func (t *Table) Drain() { t.draining = true }
 
-// Resume has a node that drained take sessions again.
+// Resume makes a drained node accept sessions again.
 func (t *Table) Resume() { t.draining = false }
 
-// Sessions returns the number of sessions.
+// Sessions returns the number of open sessions.
 func (t *Table) Sessions() int { return len(t.sessions) }
 
-// Sizes of the parts of an encoded digest beside the server's name, at most.
+// Upper bounds of the encoded size of a digest's items, not counting the server's name.
 const (
-	renewalBytes = 32
-	statusBytes  = 256
-	closedBytes  = 32
+	maxRenewalBytes = 32
+	maxStatusBytes  = 256
+	maxClosedBytes  = 32
 )
 
-// Digest returns what the leader has not been told, up to maxBytes encoded; false = nothing. What is returned counts as
-// told; after a loss, or with a new leader, the driver calls Resync. maxBytes is 1 KB at least.
+// Digest returns what has not been reported to the leader yet, in at most maxBytes encoded; false = nothing. The
+// returned items count as reported: when a digest is lost or the leader changes, the driver must call Resync.
+// maxBytes must be at least 1 KB.
 func (t *Table) Digest(maxBytes int) (Digest, bool) {
 	var d Digest
 	fits := func(server string, bytes int) bool {
 		maxBytes -= len(server) + bytes
 		return maxBytes >= 0
 	}
-	for _, s := range t.order {
-		if s.renewalOwed && fits(s.hello.Server, renewalBytes) {
-			s.renewalOwed = false
+	for _, s := range t.openOrder {
+		if s.renewalPending && fits(s.hello.Server, maxRenewalBytes) {
+			s.renewalPending = false
 			d.Renewals = append(d.Renewals, s.renewal)
 		}
 	}
-	for _, s := range t.order {
-		if s.statusOwed && fits(s.hello.Server, statusBytes) {
-			s.statusOwed = false
+	for _, s := range t.openOrder {
+		if s.statusPending && fits(s.hello.Server, maxStatusBytes) {
+			s.statusPending = false
 			d.Servers = append(d.Servers, s.status)
 		}
 	}
-	for len(t.closed) > 0 && fits(t.closed[0].Server, closedBytes) {
-		d.Closed = append(d.Closed, t.closed[0])
-		t.closed = t.closed[1:]
+	for len(t.unreportedClosed) > 0 && fits(t.unreportedClosed[0].Server, maxClosedBytes) {
+		d.Closed = append(d.Closed, t.unreportedClosed[0])
+		t.unreportedClosed = t.unreportedClosed[1:]
 	}
 	return d, len(d.Renewals)+len(d.Servers)+len(d.Closed) > 0
 }
 
-// Resync has the digests tell everything anew: there is a new leader, or a digest was lost. Renewals in hand and grants that
-// were not sent are dropped.
+// Resync marks the state of all sessions to be reported again, after a change of leader or the loss of a digest.
+// Unreported renewals and unsent grants are dropped.
 func (t *Table) Resync() {
-	for _, s := range t.order {
-		s.renewalOwed, s.granted = false, false
-		s.statusOwed = s.status.Heartbeat > 0
+	for _, s := range t.openOrder {
+		s.renewalPending, s.grantPending = false, false
+		s.statusPending = s.status.Heartbeat > 0
 	}
 }
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -18,7 +18,7 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// testTable has a history with a document of a size at each revision up to 10.
+// testTable returns a table whose history has a document of the given size at each revision from 1 to 10.
 func testTable(o TableOptions, size int) (*Table, *watch.History) {
 	h := watch.NewHistory(watch.Limits{Bytes: 1 << 20, Updates: 100})
 	for i := range 10 {
@@ -30,7 +30,7 @@
 	return NewTable(o, h), h
 }
 
-var roomy = TableOptions{MaxSessions: 100, OpensPerSecond: 100, OpensBurst: 100, MaxSnapshots: 2, DrainPerSecond: 10}
+var largeOptions = TableOptions{MaxSessions: 100, OpensPerSecond: 100, OpensBurst: 100, MaxSnapshots: 2, DrainPerSecond: 10}
 
 func hello(server string, incarnation, session uint64) Hello {
 	return Hello{Server: server, Zone: "z", Incarnation: incarnation, Session: session}
@@ -40,7 +40,7 @@
 	return &takeout.Report{Incarnation: incarnation, Capacity: 100, Load: 20}
 }
 
-// mustOpen opens a session and has its welcome written.
+// mustOpen opens a session and completes the writing of its Welcome message.
 func mustOpen(t *testing.T, table *Table, id uint64, h Hello, now time.Duration) {
 	t.Helper()
 	if _, refusal := table.Open(id, h, 0, now); refusal != nil {
@@ -52,8 +52,8 @@
 	table.Written(id)
 }
 
-// drainNext writes all that a session has to send.
-func drainNext(table *Table, id uint64, now time.Duration) (messages []FromNode) {
+// writeAll writes all messages that a session has to send.
+func writeAll(table *Table, id uint64, now time.Duration) (messages []FromNode) {
 	for {
 		m, ok := table.Next(id, now)
 		if !ok {
@@ -66,18 +66,18 @@
 
 func TestOpen(t *testing.T) {
 	long := strings.Repeat("x", limits.MaxName+1)
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name  string
 		hello Hello
 		known uint64
-		code  RefusalCode // 0 = it opens
-		ended RefusalCode // what the session of before is told; 0 = it stays
+		code  RefusalCode // 0 = the session opens
+		ended RefusalCode // code sent to the previous session; 0 = it stays open
 	}{
-		{"first", hello("s2", 1, 1), 0, 0, 0},
-		{"known", hello("s2", 5, 1), 5, 0, 0},
+		{"first session", hello("s2", 1, 1), 0, 0, 0},
+		{"the known incarnation", hello("s2", 5, 1), 5, 0, 0},
 		{"older than the log", hello("s2", 4, 1), 5, Superseded, 0},
 		{"older than the session here", hello("s1", 2, 9), 0, Superseded, 0},
-		{"again, late", hello("s1", 3, 2), 0, Moving, 0},
+		{"an earlier session of the process", hello("s1", 3, 2), 0, Moving, 0},
 		{"the same session again", hello("s1", 3, 3), 0, Moving, 0},
 		{"the process's next session", hello("s1", 3, 4), 0, 0, Moving},
 		{"the next process", hello("s1", 4, 1), 0, 0, Superseded},
@@ -91,68 +91,69 @@
 		{"no session", hello("s2", 1, 0), 0, Invalid, 0},
 		{"a long pool", Hello{Server: "s2", Zone: "z", Incarnation: 1, Session: 1, Pool: strings.Repeat("x", 257)}, 0, Invalid, 0},
 	} {
-		table, _ := testTable(roomy, 10)
+		table, _ := testTable(largeOptions, 10)
 		mustOpen(t, table, 1, hello("s1", 3, 3), 0)
-		ended, refusal := table.Open(2, k.hello, k.known, 0)
+		ended, refusal := table.Open(2, test.hello, test.known, 0)
 		switch {
-		case (refusal == nil) != (k.code == 0), refusal != nil && refusal.Code != k.code:
-			t.Errorf("%s: %+v", k.name, refusal)
-		case refusal != nil && (len(ended) > 0 || table.Sessions() != 1 || refusal.Code == Superseded && refusal.Incarnation <= k.hello.Incarnation):
-			t.Errorf("%s: %+v %+v", k.name, ended, refusal)
-		case k.ended != 0 && (len(ended) != 1 || ended[0].ID != 1 || ended[0].Refusal.Code != k.ended):
-			t.Errorf("%s: %+v", k.name, ended)
-		case k.ended == 0 && len(ended) > 0:
-			t.Errorf("%s: %+v", k.name, ended)
+		case (refusal == nil) != (test.code == 0), refusal != nil && refusal.Code != test.code:
+			t.Errorf("%s: %+v", test.name, refusal)
+		case refusal != nil && (len(ended) > 0 || table.Sessions() != 1 || refusal.Code == Superseded && refusal.Incarnation <= test.hello.Incarnation):
+			t.Errorf("%s: %+v %+v", test.name, ended, refusal)
+		case test.ended != 0 && (len(ended) != 1 || ended[0].ID != 1 || ended[0].Refusal.Code != test.ended):
+			t.Errorf("%s: %+v", test.name, ended)
+		case test.ended == 0 && len(ended) > 0:
+			t.Errorf("%s: %+v", test.name, ended)
 		case refusal != nil && len(refusal.Reason) > MaxReason:
-			t.Errorf("%s: a reason of %d bytes", k.name, len(refusal.Reason))
+			t.Errorf("%s: the reason has %d bytes", test.name, len(refusal.Reason))
 		}
 	}
 }
 
-// Any number that come at once, and come back when they are told to, are let in at the pace of the options, each with few attempts.
+// Many servers that connect at once, and retry when they are told to, are admitted at the configured rate with few
+// attempts each.
 func TestAdmissionPaces(t *testing.T) {
-	for _, all := range []int{148, 740} {
+	for _, servers := range []int{148, 740} {
 		a := newAdmission(100, 40, rand.New(rand.NewPCG(1, 1)))
-		back := make([]time.Duration, all)
+		retryAt := make([]time.Duration, servers)
 		admitted, attempts, perSecond := 0, 0, map[int]int{}
-		for now := time.Duration(0); admitted < all; now += time.Millisecond {
+		for now := time.Duration(0); admitted < servers; now += time.Millisecond {
 			if now > time.Minute {
 				t.Fatal(admitted)
 			}
-			for i := range back {
-				if back[i] < 0 || now < back[i] {
+			for i := range retryAt {
+				if retryAt[i] < 0 || now < retryAt[i] {
 					continue
 				}
 				attempts++
 				retryAfter, ok := a.take(now)
 				if !ok {
-					back[i] = now + retryAfter
+					retryAt[i] = now + retryAfter
 					continue
 				}
-				back[i] = -1
+				retryAt[i] = -1
 				admitted++
 				perSecond[int(now/time.Second)]++
 			}
-			if admitted == all {
-				t.Logf("%d: %d attempts, all in after %v", all, attempts, now)
-				if ideal := time.Duration(float64(all-40) / 100 * float64(time.Second)); now > 2*ideal+time.Second {
-					t.Errorf("%d in %v, %v would do", all, now, ideal)
+			if admitted == servers {
+				t.Logf("%d servers: %d attempts, all admitted after %v", servers, attempts, now)
+				if ideal := time.Duration(float64(servers-40) / 100 * float64(time.Second)); now > 2*ideal+time.Second {
+					t.Errorf("%d servers admitted in %v, the minimum is %v", servers, now, ideal)
 				}
 			}
 		}
 		for second, n := range perSecond {
 			if n > 140 {
-				t.Errorf("%d in second %d", n, second)
+				t.Errorf("%d admitted in second %d", n, second)
 			}
 		}
-		if attempts > 4*all {
-			t.Errorf("%d attempts for %d", attempts, all)
+		if attempts > 4*servers {
+			t.Errorf("%d attempts for %d servers", attempts, servers)
 		}
 	}
 }
 
 func TestFullTable(t *testing.T) {
-	o := roomy
+	o := largeOptions
 	o.MaxSessions = 2
 	table, _ := testTable(o, 10)
 	mustOpen(t, table, 1, hello("s1", 1, 1), 0)
@@ -165,20 +166,20 @@
 	}
 }
 
-func TestHeartbeatsThatCannotBe(t *testing.T) {
+func TestInvalidHeartbeats(t *testing.T) {
 	step := takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 3, Phase: takeout.Draining}
 	live := lease.Entry{Kind: lease.Live, Box: "s1", Zone: "z", Incarnation: 3}
-	with := func(change func(*takeout.Entry)) []Proposal {
+	steps := func(change func(*takeout.Entry)) []Proposal {
 		e := step
 		change(&e)
 		return []Proposal{{Step: &e}}
 	}
-	of := func(change func(*lease.Entry)) []Proposal {
+	registrations := func(change func(*lease.Entry)) []Proposal {
 		e := live
 		change(&e)
 		return []Proposal{{Live: &e}}
 	}
-	for _, k := range []struct {
+	for _, test := range []struct {
 		name string
 		hb   Heartbeat
 		ok   bool
@@ -190,46 +191,46 @@
 		{"a sequence without a token", Heartbeat{Sequence: 4, Report: report(3)}, false},
 		{"a report of another process", Heartbeat{Report: report(2)}, false},
 		{"a load of NaN", Heartbeat{Report: &takeout.Report{Incarnation: 3, Load: math.NaN()}}, false},
-		{"a capacity without end", Heartbeat{Report: &takeout.Report{Incarnation: 3, Capacity: math.Inf(1)}}, false},
-		{"fewer than no requests", Heartbeat{Report: &takeout.Report{Incarnation: 3, Open: -1}}, false},
+		{"an infinite capacity", Heartbeat{Report: &takeout.Report{Incarnation: 3, Capacity: math.Inf(1)}}, false},
+		{"a negative number of requests", Heartbeat{Report: &takeout.Report{Incarnation: 3, Open: -1}}, false},
 		{"two proposals", Heartbeat{Report: report(3), Proposals: []Proposal{{Step: &step}, {Live: &live}}}, true},
 		{"five proposals", Heartbeat{Report: report(3), Proposals: make([]Proposal, MaxProposals+1)}, false},
 		{"an empty proposal", Heartbeat{Report: report(3), Proposals: make([]Proposal, 1)}, false},
-		{"two things in one proposal", Heartbeat{Report: report(3), Proposals: []Proposal{{Step: &step, Live: &live}}}, false},
-		{"a step of another server", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Box = "s2" })}, false},
-		{"a step of another process", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Incarnation = 2 })}, false},
-		{"a grant", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Kind = takeout.Grant })}, false},
-		{"an unknown phase", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Phase = 9 })}, false},
-		{"a step with a list", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Missing = []string{"s2"} })}, false},
-		{"a step with a long reason", Heartbeat{Report: report(3), Proposals: with(func(e *takeout.Entry) { e.Why = strings.Repeat("x", 300) })}, false},
-		{"another server lives", Heartbeat{Report: report(3), Proposals: of(func(e *lease.Entry) { e.Box = "s2" })}, false},
-		{"another server is lost", Heartbeat{Report: report(3), Proposals: of(func(e *lease.Entry) { e.Kind = lease.Lost })}, false},
-		{"another process lives", Heartbeat{Report: report(3), Proposals: of(func(e *lease.Entry) { e.Incarnation = 4 })}, false},
-		{"in another zone", Heartbeat{Report: report(3), Proposals: of(func(e *lease.Entry) { e.Zone = "y" })}, false},
+		{"two fields in one proposal", Heartbeat{Report: report(3), Proposals: []Proposal{{Step: &step, Live: &live}}}, false},
+		{"a step of another server", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Box = "s2" })}, false},
+		{"a step of another process", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Incarnation = 2 })}, false},
+		{"a grant", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Kind = takeout.Grant })}, false},
+		{"an unknown phase", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Phase = 9 })}, false},
+		{"a step with a list", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Missing = []string{"s2"} })}, false},
+		{"a step with a long reason", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Why = strings.Repeat("x", 300) })}, false},
+		{"registration of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Box = "s2" })}, false},
+		{"expiry of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Kind = lease.Lost })}, false},
+		{"registration of another process", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Incarnation = 4 })}, false},
+		{"registration in another zone", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Zone = "y" })}, false},
 	} {
-		table, _ := testTable(roomy, 10)
+		table, _ := testTable(largeOptions, 10)
 		mustOpen(t, table, 1, hello("s1", 3, 3), 0)
-		_, err := table.Heartbeat(1, k.hb, 0)
-		if (err == nil) != k.ok || err != nil && !errors.Is(err, ErrInvalid) {
-			t.Errorf("%s: %v", k.name, err)
+		_, err := table.Heartbeat(1, test.hb, 0)
+		if (err == nil) != test.ok || err != nil && !errors.Is(err, ErrInvalid) {
+			t.Errorf("%s: %v", test.name, err)
 		}
 	}
-	table, _ := testTable(roomy, 10)
+	table, _ := testTable(largeOptions, 10)
 	mustOpen(t, table, 1, hello("s1", 3, 3), 0)
 	if _, err := table.Heartbeat(2, Heartbeat{Report: report(3)}, 0); !errors.Is(err, ErrUnknown) {
 		t.Error(err)
 	}
 	table.Heartbeat(1, Heartbeat{Sequence: 2, FencingToken: 4, Report: report(3)}, 0)
 	if _, err := table.Heartbeat(1, Heartbeat{Sequence: 2, FencingToken: 4}, 0); !errors.Is(err, ErrInvalid) {
-		t.Error("the same renewal twice", err)
+		t.Error("the same renewal was accepted twice", err)
 	}
 }
 
-// An acknowledgement comes at once with a grant, and otherwise after AckWithin, once.
+// An acknowledgement is sent once: at once with a grant, otherwise after AckWithin.
 func TestAcknowledgements(t *testing.T) {
-	table, h := testTable(roomy, 10)
+	table, h := testTable(largeOptions, 10)
 	mustOpen(t, table, 1, hello("s1", 3, 3), 0)
-	drainNext(table, 1, 0)
+	writeAll(table, 1, 0)
 	beat := func(sequence uint64, now time.Duration) {
 		t.Helper()
 		if _, err := table.Heartbeat(1, Heartbeat{Sequence: sequence, FencingToken: 4, Report: report(3)}, now); err != nil {
@@ -237,7 +238,7 @@
 		}
 	}
 	acks := func(now time.Duration) (list []Ack) {
-		for _, m := range drainNext(table, 1, now) {
+		for _, m := range writeAll(table, 1, now) {
 			list = append(list, *m.Ack)
 		}
 		return list
@@ -259,7 +260,7 @@
 	grant(4, 9)
 	grant(5, 3)
 	if got := acks(ms(800)); got != nil {
-		t.Errorf("for what was not asked: %+v", got)
+		t.Errorf("acknowledged grants that were not requested: %+v", got)
 	}
 	grant(4, 3)
 	grant(4, 2)
@@ -271,19 +272,19 @@
 	}
 	grant(4, 3)
 	if got := acks(10 * time.Second); got != nil {
-		t.Errorf("granted twice: %+v", got)
+		t.Errorf("a grant was acknowledged twice: %+v", got)
 	}
 	beat(4, ms(10_000))
 	grant(4, 4)
 	table.Resync()
 	if got := acks(ms(10_000)); got != nil {
-		t.Errorf("a grant of another term: %+v", got)
+		t.Errorf("a grant from before Resync was sent: %+v", got)
 	}
 }
 
-// One message at a time, and no more than MaxSnapshots in snapshots.
+// A session sends one message at a time, and at most MaxSnapshots sessions send a snapshot.
 func TestSnapshotsAreBounded(t *testing.T) {
-	o := roomy
+	o := largeOptions
 	table, h := testTable(o, 30<<10)
 	h.Reset(20)
 	for i := range 10 {
@@ -293,7 +294,7 @@
 	for id := range uint64(10) {
 		mustOpen(t, table, id+1, hello(serverName(int(id)), 1, 1), 0)
 	}
-	whole := map[uint64]bool{}
+	complete := map[uint64]bool{}
 	for range 100 {
 		pending := table.Pending(0)
 		sending := map[uint64]bool{}
@@ -303,31 +304,31 @@
 				continue
 			}
 			if _, again := table.Next(id, 0); again {
-				t.Fatal("a message while another is written")
+				t.Fatal("a message was returned while another is being written")
 			}
 			sending[id] = true
-			whole[id] = m.Batch.Last
+			complete[id] = m.Batch.Last
 		}
-		if table.snapshots > o.MaxSnapshots || len(sending) > 2*o.MaxSnapshots {
-			t.Fatal(table.snapshots, sending)
+		if table.activeSnapshots > o.MaxSnapshots || len(sending) > 2*o.MaxSnapshots {
+			t.Fatal(table.activeSnapshots, sending)
 		}
 		for id := range sending {
 			table.Written(id)
 		}
 	}
-	if len(whole) != 10 || table.snapshots != 0 {
-		t.Error(whole)
+	if len(complete) != 10 || table.activeSnapshots != 0 {
+		t.Error(complete)
 	}
-	for id, last := range whole {
+	for id, last := range complete {
 		if !last {
 			t.Error(id)
 		}
 	}
 }
 
-// A session that is closed in the middle of a snapshot gives its place back.
-func TestClosedInASnapshot(t *testing.T) {
-	o := roomy
+// A session that is closed in the middle of a snapshot releases its slot.
+func TestCloseDuringSnapshot(t *testing.T) {
+	o := largeOptions
 	o.MaxSnapshots = 1
 	table, h := testTable(o, 10)
 	h.Reset(20)
@@ -341,16 +342,16 @@
 		t.Fatalf("%+v", m)
 	}
 	if _, ok := table.Next(2, 0); ok {
-		t.Error("two snapshots")
+		t.Error("two snapshots are sent at a time")
 	}
 	table.Closed(1, 0)
 	if _, ok := table.Next(2, 0); !ok {
-		t.Error("its place is not given back")
+		t.Error("the slot is not released")
 	}
 }
 
-func TestEndOfSessions(t *testing.T) {
-	table, _ := testTable(roomy, 10)
+func TestSessionsEnd(t *testing.T) {
+	table, _ := testTable(largeOptions, 10)
 	for i := range uint64(30) {
 		mustOpen(t, table, i+1, hello(serverName(int(i)), 3, 1), 0)
 	}
@@ -379,7 +380,7 @@
 	for i := range 40 {
 		ended := table.Tick(Expiry + ms(100*i))
 		if total += len(ended); len(ended) > 2 {
-			t.Errorf("%d sessions at once", len(ended))
+			t.Errorf("%d sessions ended at once", len(ended))
 		}
 	}
 	if total != 28 || table.Sessions() != 0 {
@@ -392,9 +393,9 @@
 	}
 }
 
-// What the leader hears: what is new, once, within the bound; all of it anew after Resync.
+// A digest contains each change once, within the size limit, and everything again after Resync.
 func TestDigest(t *testing.T) {
-	table, _ := testTable(roomy, 10)
+	table, _ := testTable(largeOptions, 10)
 	const servers = 60
 	for i := range uint64(servers) {
 		mustOpen(t, table, i+1, hello(serverName(int(i)), 3, 1), 0)
@@ -403,7 +404,7 @@
 		}
 	}
 	const limit = 2048
-	all := func() (sum Digest) {
+	readAll := func() (sum Digest) {
 		for {
 			d, ok := table.Digest(limit)
 			if !ok {
@@ -418,43 +419,44 @@
 			sum.Closed = append(sum.Closed, d.Closed...)
 		}
 	}
-	if d := all(); len(d.Renewals) != servers || len(d.Servers) != servers || d.Servers[0].Applied != 7 || d.Servers[0].Report != *report(3) {
+	if d := readAll(); len(d.Renewals) != servers || len(d.Servers) != servers || d.Servers[0].Applied != 7 || d.Servers[0].Report != *report(3) {
 		t.Errorf("%d renewals, %d servers", len(d.Renewals), len(d.Servers))
 	}
 	table.Heartbeat(1, Heartbeat{Sequence: 2, FencingToken: 4, Applied: 7}, ms(500))
 	table.Heartbeat(1, Heartbeat{Sequence: 3, FencingToken: 4, Applied: 7}, ms(1000))
 	table.Heartbeat(2, Heartbeat{Sequence: 2, FencingToken: 4, Applied: 8}, ms(500))
-	if d := all(); len(d.Renewals) != 2 || d.Renewals[0].Seq != 3 || len(d.Servers) != 1 || d.Servers[0].Applied != 8 {
+	if d := readAll(); len(d.Renewals) != 2 || d.Renewals[0].Seq != 3 || len(d.Servers) != 1 || d.Servers[0].Applied != 8 {
 		t.Errorf("%+v", d)
 	}
 	table.Closed(3, 0)
 	table.Closed(3, 0)
-	if d := all(); !cmp.Equal(d, Digest{Closed: []ClosedSession{{serverName(2), 3, 1}}}) {
+	if d := readAll(); !cmp.Equal(d, Digest{Closed: []ClosedSession{{serverName(2), 3, 1}}}) {
 		t.Errorf("%+v", d)
 	}
 	table.Heartbeat(1, Heartbeat{Sequence: 4, FencingToken: 4, Applied: 7}, ms(1500))
 	table.Resync()
-	if d := all(); len(d.Renewals) != 0 || len(d.Servers) != servers-1 {
+	if d := readAll(); len(d.Renewals) != 0 || len(d.Servers) != servers-1 {
 		t.Errorf("%d renewals, %d servers", len(d.Renewals), len(d.Servers))
 	}
-	// A server without a lease is told of now and then, so that the leader knows that it is there.
+	// A server without a lease is reported from time to time, so that the leader knows that it is connected.
 	for now := ms(2000); now <= ms(12_000); now += ms(500) {
 		table.Heartbeat(1, Heartbeat{Applied: 7}, now)
 	}
-	if d := all(); len(d.Servers) != 1 {
+	if d := readAll(); len(d.Servers) != 1 {
 		t.Errorf("%+v", d)
 	}
 }
 
-// What a node keeps of a session whose writer is never free does not grow, whatever changes and whatever the server sends.
+// The state of a session whose writer never becomes free does not grow, whatever changes and whatever the server
+// sends.
 func TestStuckWriter(t *testing.T) {
-	table, h := testTable(roomy, 10)
+	table, h := testTable(largeOptions, 10)
 	mustOpen(t, table, 1, hello("s1", 3, 1), 0)
 	if _, ok := table.Next(1, 0); !ok {
 		t.Fatal("nothing to send")
 	}
 	now := time.Duration(0)
-	churn := func(n int) {
+	change := func(n int) {
 		for range n {
 			now += ms(10)
 			revision := h.Revision() + 1
@@ -466,20 +468,20 @@
 			}
 			table.Granted([]lease.Grant{{Box: "s1", Life: 4, Seq: uint64(now)}}, now)
 			if _, ok := table.Next(1, now); ok || len(table.Pending(now)) != 0 {
-				t.Fatal("a message while another is written")
+				t.Fatal("a message was returned while another is being written")
 			}
 		}
 	}
-	churn(200)
-	if allocated := testing.AllocsPerRun(5, func() { churn(1) }); allocated > 20 {
-		t.Errorf("%v allocations for each change", allocated)
+	change(200)
+	if allocated := testing.AllocsPerRun(5, func() { change(1) }); allocated > 20 {
+		t.Errorf("%v allocations per change", allocated)
 	}
-	churn(5000)
-	if len(table.order) != 1 || len(table.closed) != 0 {
-		t.Error(len(table.order), len(table.closed))
+	change(5000)
+	if len(table.openOrder) != 1 || len(table.unreportedClosed) != 0 {
+		t.Error(len(table.openOrder), len(table.unreportedClosed))
 	}
 	table.Written(1)
-	messages := drainNext(table, 1, now)
+	messages := writeAll(table, 1, now)
 	if len(messages) > 3 || messages[0].Ack == nil || messages[0].Ack.Sequence != uint64(now) {
 		t.Errorf("%d messages", len(messages))
 	}
--- a/internal/fleet/session/validate.go
+++ b/internal/fleet/session/validate.go
@@ -10,8 +10,8 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// maxPool bounds the address of a worker pool, in bytes.
-const maxPool = 256
+// maxPoolBytes bounds the address of a worker pool.
+const maxPoolBytes = 256
 
 // Errors of messages and options.
 var (
@@ -25,8 +25,8 @@
 	switch {
 	case !validName(h.Server) || !validName(h.Zone):
 		return fmt.Errorf("server %.70q in zone %.70q: names of 1 to %d bytes are wanted: %w", h.Server, h.Zone, limits.MaxName, ErrInvalid)
-	case len(h.Pool) > maxPool:
-		return fmt.Errorf("server %s: a pool of %d bytes, %d at most: %w", h.Server, len(h.Pool), maxPool, ErrInvalid)
+	case len(h.Pool) > maxPoolBytes:
+		return fmt.Errorf("server %s: a pool of %d bytes, %d at most: %w", h.Server, len(h.Pool), maxPoolBytes, ErrInvalid)
 	case h.Incarnation == 0 || h.Session == 0:
 		return fmt.Errorf("server %s: incarnation %d, session %d: %w", h.Server, h.Incarnation, h.Session, ErrInvalid)
 	case h.Fleet == 0 && h.Revision != 0:
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// validate checks a heartbeat of a session that has had one with a sequence already.
+// validate checks a heartbeat of a session. sequence is that of the session's last renewal.
 func (hb *Heartbeat) validate(h *Hello, sequence uint64, first bool) error {
 	switch {
 	case (hb.FencingToken == 0) != (hb.Sequence == 0):
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// validate takes nothing but what a server may propose of itself.
+// validate checks that a server proposes only entries about itself that it is allowed to propose.
 func (p *Proposal) validate(h *Hello) error {
 	switch {
 	case p.Step != nil && p.Live == nil:
@@ -83,7 +83,7 @@
 		}
 		return nil
 	case p.Live != nil && p.Step == nil:
-		want := liveEntry(h)
+		want := registrationEntry(h)
 		if *p.Live != want {
 			return fmt.Errorf("server %s proposes a lease's entry of kind %d for %.70q: %w", h.Server, p.Live.Kind, p.Live.Box, ErrInvalid)
 		}
@@ -92,13 +92,13 @@
 	return fmt.Errorf("server %s: a proposal of not just one thing: %w", h.Server, ErrInvalid)
 }
 
-// liveEntry is the one that says that the process of a session lives.
-func liveEntry(h *Hello) lease.Entry {
+// registrationEntry returns the entry that registers the process of a session.
+func registrationEntry(h *Hello) lease.Entry {
 	return lease.Entry{Kind: lease.Live, Box: h.Server, Zone: h.Zone, Incarnation: h.Incarnation, Pool: h.Pool}
 }
 
-// only reports whether just one field of a node's message is set.
-func (m *FromNode) only() bool {
+// hasOneField reports whether exactly one field of a node's message is set.
+func (m *FromNode) hasOneField() bool {
 	set := 0
 	for _, has := range []bool{m.Welcome != nil, m.Refusal != nil, m.Ack != nil, m.Batch != nil} {
 		if has {
