--- a/internal/fleet/watch/batch.go
+++ b/internal/fleet/watch/batch.go
@@ -1,55 +1,57 @@
-// Package watch carries the changes of a revisioned set of keys to its readers, in order and without gaps, as etcd's
-// watch does: a History holds the newest value of each key and the recent updates; a Reader is one watcher's position in
-// it; a View is the copy that a watcher builds from the batches it receives. A reader whose position has been compacted
-// away receives a snapshot of the keys it is interested in, and continues from the revision of that snapshot.
+// Package watch delivers the changes of a revisioned set of keys to watchers, in order and without gaps, like the
+// watch of etcd. A History holds the newest value of each key and the recent updates. A Reader is the position of
+// one watcher in a history. A View is the copy that a watcher builds from the batches it receives. A reader whose
+// position has been compacted receives a snapshot of the keys of its interest and continues from the revision of
+// that snapshot.
 //
-// The package does no I/O, reads no clock and starts no goroutine. Nothing in it is safe for concurrent use.
+// The package does no I/O, reads no clock and starts no goroutine. Its types are not safe for concurrent use.
 package watch
 
 import "strings"
 
-// Update is the value that a key has from a revision on.
+// Update sets or deletes the value of a key at a revision.
 type Update struct {
 	_        struct{} `cbor:",toarray"`
 	Revision uint64
 	Key      string
-	Value    []byte // not to be changed
-	Deleted  bool   // the key is gone; Value is empty
+	Value    []byte // must not be modified
+	Deleted  bool   // the key is deleted; Value is empty
 }
 
-// Batch takes a view from one revision to another.
+// Batch carries the updates that bring a view from one revision to another, or a part of a snapshot.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
-	// From is the revision that the view must be at. In a snapshot it is the number of updates in the batches of the
-	// snapshot before this one: a view finds by it that one of them is missing.
+	// From is the revision that the view must have. In a snapshot it is the number of updates in the snapshot's
+	// earlier batches, by which a view detects a missing batch.
 	From uint64
-	// To is the revision that the view is at once it has the batch: every update up to it that the reader is
-	// interested in has been sent. In a snapshot all batches have the revision as of which it was taken.
+	// To is the revision of the view after the batch: all updates of interest up to it have been sent. All batches
+	// of a snapshot have the revision of the snapshot.
 	To uint64
-	// Snapshot tells that the updates are part of a whole copy. It replaces what the view has, at once, when the batch
-	// with Last has come.
+	// Snapshot marks a batch of a full copy. The copy replaces the content of the view in one step, when the batch
+	// with Last arrives.
 	Snapshot bool
-	First    bool // the first batch of a snapshot
-	Last     bool // the last batch of a snapshot
-	// Updates ascend by revision; in a snapshot by key.
+	First    bool // first batch of a snapshot
+	Last     bool // last batch of a snapshot
+	// Updates ascend by revision; in a snapshot they ascend by key.
 	Updates []Update
 }
 
-// UpdateOverhead is what each update counts for on top of its key and value, against every bound in bytes here. It is no
-// less than what its encoding adds.
+// UpdateOverhead is added to the size of the key and value of each update wherever this package limits bytes. It is
+// at least the number of bytes that the encoding adds.
 const UpdateOverhead = 24
 
-// size is what an update counts for against a bound in bytes.
+// size returns the size of an update as counted against the limits in bytes.
 func (u *Update) size() int { return len(u.Key) + len(u.Value) + UpdateOverhead }
 
-// Interest tells which keys a reader receives. It is made by the reader's owner, and short.
+// Interest selects the keys that a reader receives. The owner of the reader creates it. It must be short,
+// because it is scanned on each read.
 type Interest struct {
 	_        struct{} `cbor:",toarray"`
-	Keys     []string // whole keys
+	Keys     []string // exact keys
 	Prefixes []string
 }
 
-// includes tells that a reader with this interest receives a key.
+// includes reports whether the interest includes a key.
 func (i *Interest) includes(key string) bool {
 	for _, wanted := range i.Keys {
 		if key == wanted {
--- a/internal/fleet/watch/bench_test.go
+++ b/internal/fleet/watch/bench_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// BenchmarkFanOut measures one update of configuration that all readers receive: Next of each, at the head before.
+// BenchmarkFanOut measures Next for one update of configuration that all readers receive, with each reader at the
+// head before.
 func BenchmarkFanOut(b *testing.B) {
 	for _, readers := range []int{148, 740, 1480} {
 		b.Run(fmt.Sprintf("readers=%d", readers), func(b *testing.B) {
@@ -16,7 +17,8 @@
 	}
 }
 
-// BenchmarkFanOutOthers measures one update of each server's own key: each reader passes over those of all others.
+// BenchmarkFanOutOthers measures Next for one update of each server's own key: each reader skips the keys of all
+// other servers.
 func BenchmarkFanOutOthers(b *testing.B) {
 	for _, readers := range []int{148, 740, 1480} {
 		b.Run(fmt.Sprintf("readers=%d", readers), func(b *testing.B) {
@@ -29,7 +31,7 @@
 	}
 }
 
-// BenchmarkHead measures Next of a reader for which there is nothing.
+// BenchmarkHead measures Next for a reader at the head of the history.
 func BenchmarkHead(b *testing.B) {
 	h := NewHistory(Limits{Bytes: 8 << 20, Updates: 1 << 16})
 	for i := range 1 << 16 {
@@ -51,7 +53,7 @@
 	return Interest{Keys: []string{serverKey(i)}, Prefixes: []string{"configuration/"}}
 }
 
-// benchmarkFanOut reports the cost of an update to one reader, without that of putting it into the history.
+// benchmarkFanOut reports the cost per reader of reading an update, without the cost of adding it to the history.
 func benchmarkFanOut(b *testing.B, readers int, update func(*History, uint64)) {
 	h := NewHistory(Limits{Bytes: 8 << 20, Updates: 1 << 14})
 	all := make([]*Reader, readers)
--- a/internal/fleet/watch/hash.go
+++ b/internal/fleet/watch/hash.go
@@ -6,16 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Hash sums keys with their revisions and values, so that a copy can be compared with what it was made from.
+// Hash computes a checksum of keys with their revisions and values, to compare a copy with its original.
 type Hash struct {
 	digest *xxhash.Digest
-	number [8]byte
+	buffer [8]byte
 }
 
-// NewHash makes a hash of nothing.
+// NewHash returns a hash of no keys.
 func NewHash() *Hash { return &Hash{digest: xxhash.New()} }
 
-// Add takes in one key. The sum depends on the order: keys ascend.
+// Add adds one key. The sum depends on the order, so keys must be added in ascending order.
 func (h *Hash) Add(key string, revision uint64, value []byte) {
 	h.addNumber(uint64(len(key)))
 	_, _ = h.digest.WriteString(key) // never fails
@@ -25,9 +25,9 @@
 }
 
 func (h *Hash) addNumber(n uint64) {
-	binary.LittleEndian.PutUint64(h.number[:], n)
-	_, _ = h.digest.Write(h.number[:]) // never fails
+	binary.LittleEndian.PutUint64(h.buffer[:], n)
+	_, _ = h.digest.Write(h.buffer[:]) // never fails
 }
 
-// Sum gives the sum of all that was added.
+// Sum returns the checksum of all keys added so far.
 func (h *Hash) Sum() uint64 { return h.digest.Sum64() }
--- a/internal/fleet/watch/property_test.go
+++ b/internal/fleet/watch/property_test.go
@@ -12,39 +12,39 @@
 	"pgregory.net/rapid"
 )
 
-// defect is a fault that is built into a world, to see that its checks find it.
+// defect is a fault that is injected into a world to check that the checks detect it.
 type defect int
 
 const (
 	noDefect           defect = iota
-	snapshotMixed             // a snapshot continues with newer values
-	snapshotRestamped         // a snapshot claims the revision at the time of each batch
+	mixedSnapshot             // a snapshot continues with newer values
+	restampedSnapshot         // each batch of a snapshot has the revision at the time it was read
 	compactionOffByOne        // a reader that misses one dropped update gets no snapshot
-	aheadIgnored              // a reader that is ahead begins where the history is
-	updateLost                // a batch comes without one of its updates
-	deletionsLost             // no batch has deletions
-	stepDivided               // a batch ends within what was given between two calls of Advance
-	advancedEarly             // Advance comes before all changes were given
-	limitsIgnored             // the history keeps more than its limits
-	gapsIgnored               // a view takes a batch wherever it stands
-	fromPosition              // batches begin at the reader's position, not where the last one ended
-	defects
+	aheadReaderReset          // a reader ahead of the history starts at the history's revision
+	updateLost                // a batch lacks one of its updates
+	deletionsLost             // batches lack deletions
+	changeSetSplit            // a batch ends within the updates between two calls of Advance
+	earlyAdvance              // Advance is called before all changes were added
+	limitsIgnored             // the history exceeds its limits
+	gapsIgnored               // a view accepts a batch that does not start at its revision
+	batchFromPosition         // batches start at the reader's position instead of the end of the last batch
+	defectCount
 )
 
-// change is one change of the state; its revision is its place, counted from 1.
+// change is a change of the state. Its revision is its index in the log, counted from 1.
 type change struct {
 	key     string
 	value   []byte
 	deleted bool
 }
 
-// truth is the naive model: all changes, replayed for each question.
-type truth []change
+// changeLog is the reference model: all changes, replayed for each query.
+type changeLog []change
 
-func (changes truth) revision() uint64 { return uint64(len(changes)) }
+func (changes changeLog) revision() uint64 { return uint64(len(changes)) }
 
-// at gives the state as of a revision, and the updates of configuration that had an effect, after another revision.
-func (changes truth) at(revision, after uint64) (state map[string]Update, effective []Update) {
+// stateAt returns the state at a revision, and the effective configuration updates after another revision.
+func (changes changeLog) stateAt(revision, after uint64) (state map[string]Update, effective []Update) {
 	state = map[string]Update{}
 	for i, c := range changes[:revision] {
 		u := Update{Revision: uint64(i + 1), Key: c.key, Value: c.value, Deleted: c.deleted}
@@ -66,30 +66,30 @@
 
 func isConfiguration(key string) bool { return strings.HasPrefix(key, "configuration/") }
 
-// replica is a history at a node. It is fed in two steps, between which readers may ask.
+// replica is a node's history. It is updated in two steps, between which readers may read.
 type replica struct {
-	history *History
-	fed     uint64 // advanced to
-	given   uint64 // given up to, and not advanced to if higher than fed
+	history    *History
+	advancedTo uint64 // revision of the last Advance
+	fedTo      uint64 // changes up to here were added; above advancedTo until the next Advance
 }
 
-// watcher is a view with its reader at some replica, and the batches between them.
+// watcher is a view, its reader at one of the replicas, and the batches in flight between them.
 type watcher struct {
-	interest Interest
-	at       *replica
-	reader   *Reader
-	view     *View
-	inFlight []Batch
-	faulty   bool // a batch was lost or came early: the view may refuse those that follow
+	interest  Interest
+	replica   *replica
+	reader    *Reader
+	view      *View
+	inFlight  []Batch
+	disturbed bool // a batch was lost or reordered: the view may reject the following ones
 }
 
-// world is a state, two replicas that are fed at different moments, and watchers that move between them.
+// world is a state, two replicas that are updated at different times, and watchers that move between the replicas.
 type world struct {
 	t        *rapid.T
 	defect   defect
 	limits   Limits
 	maxBytes int
-	truth    truth
+	changes  changeLog
 	replicas []*replica
 	watchers []*watcher
 }
@@ -98,7 +98,7 @@
 
 var (
 	keys = []string{"configuration/a", "configuration/b", "configuration/c", "server/1", "server/2", "server/3"}
-	// Limits that make some worlds take snapshots most of the time, and others hardly ever.
+	// With these limits some worlds take snapshots most of the time, and others hardly ever.
 	updateLimits = []int{0, 2, 5, 12, 60}
 	byteLimits   = []int{0, 150, 600, 10_000}
 	batchLimits  = []int{1, 60, 150, 600}
@@ -119,7 +119,7 @@
 		w.replicas = append(w.replicas, r)
 	}
 	for _, interest := range []Interest{
-		everything,
+		allKeys,
 		{Keys: []string{"server/1"}, Prefixes: []string{"configuration/"}},
 		{Keys: []string{"server/2", "server/3"}},
 		{Keys: []string{"server/1", "configuration/a"}, Prefixes: []string{"server/", "server/2", "configuration/b"}},
@@ -131,7 +131,7 @@
 	return w
 }
 
-// pick draws one of n evenly: rapid's own ranges prefer small numbers, and would seldom move a watcher.
+// pick draws a uniform number below n. The ranges of rapid prefer small numbers and would seldom move a watcher.
 func (w *world) pick(n int, label string) int {
 	const bits = 6
 	drawn := 0
@@ -144,10 +144,10 @@
 	return drawn % n
 }
 
-// run lets a world go through drawn steps, then heals it.
-func run(t *rapid.T, d defect) error {
+// runWorld performs random steps and then ends all faults.
+func runWorld(t *rapid.T, d defect) error {
 	w := newWorld(t, d)
-	steps := []func() error{w.grow, w.feed, w.feed, w.load, w.connectAnywhere, w.pump, w.pump, w.pump, w.deliver, w.deliver, w.deliver, w.deliver}
+	steps := []func() error{w.appendChanges, w.feedReplica, w.feedReplica, w.loadSnapshot, w.connectAnywhere, w.readBatch, w.readBatch, w.readBatch, w.deliver, w.deliver, w.deliver, w.deliver}
 	for range 1 + w.pick(64, "steps")*4 {
 		if err := steps[w.pick(len(steps), "step")](); err != nil {
 			return err
@@ -159,8 +159,8 @@
 	return w.heal()
 }
 
-// grow appends changes. Values of servers never come back, those of configuration do.
-func (w *world) grow() error {
+// appendChanges appends random changes. The values of servers never repeat; those of configuration may.
+func (w *world) appendChanges() error {
 	for range rapid.IntRange(1, 5).Draw(w.t, "changes") {
 		c := change{
 			key:     keys[w.pick(len(keys), "key")],
@@ -169,11 +169,11 @@
 		if !c.deleted {
 			text := texts[w.pick(len(texts), "value")]
 			if !isConfiguration(c.key) {
-				text += fmt.Sprint(w.truth.revision())
+				text += fmt.Sprint(w.changes.revision())
 			}
 			c.value = []byte(text)
 		}
-		w.truth = append(w.truth, c)
+		w.changes = append(w.changes, c)
 	}
 	return nil
 }
@@ -186,17 +186,17 @@
 	return w.watchers[w.pick(len(w.watchers), "watcher")]
 }
 
-// feed gives a replica changes up to a drawn revision, or advances it to those given before.
-func (w *world) feed() error {
+// feedReplica adds changes up to a random revision to a replica, or advances it to the changes added before.
+func (w *world) feedReplica() error {
 	r := w.drawReplica()
-	if r.given > r.fed {
+	if r.fedTo > r.advancedTo {
 		w.advance(r)
 		return nil
 	}
-	upTo := rapid.Uint64Range(r.fed, w.truth.revision()).Draw(w.t, "up to")
-	updates := w.coalesced(r.fed, upTo, rapid.Bool().Draw(w.t, "late"))
+	upTo := rapid.Uint64Range(r.advancedTo, w.changes.revision()).Draw(w.t, "up to")
+	updates := w.coalesced(r.advancedTo, upTo, rapid.Bool().Draw(w.t, "late"))
 	for i, u := range updates {
-		if w.defect == advancedEarly && i > 0 && updates[i-1].Revision < u.Revision {
+		if w.defect == earlyAdvance && i > 0 && updates[i-1].Revision < u.Revision {
 			r.history.Advance(updates[i-1].Revision)
 		}
 		if u.Deleted {
@@ -205,18 +205,18 @@
 			r.history.Put(u.Revision, u.Key, u.Value)
 		}
 	}
-	r.given = upTo
-	w.spoil(r)
+	r.fedTo = upTo
+	w.injectHistoryDefect(r)
 	return nil
 }
 
-// coalesced gives the changes between two revisions by revision: all of configuration, the newest of each server, those
-// at their own revision or late at the last.
+// coalesced returns the changes between two revisions in the order of revisions: all configuration changes, and the
+// newest of each server, at its own revision or late at the last revision.
 func (w *world) coalesced(after, upTo uint64, late bool) []Update {
 	var updates []Update
 	newest := map[string]bool{}
 	for revision := upTo; revision > after; revision-- {
-		c := w.truth[revision-1]
+		c := w.changes[revision-1]
 		u := Update{Revision: revision, Key: c.key, Value: c.value, Deleted: c.deleted}
 		if !isConfiguration(c.key) {
 			if newest[c.key] {
@@ -235,39 +235,39 @@
 }
 
 func (w *world) advance(r *replica) {
-	r.history.Advance(r.given)
-	r.fed = r.given
-	w.spoil(r)
+	r.history.Advance(r.fedTo)
+	r.advancedTo = r.fedTo
+	w.injectHistoryDefect(r)
 }
 
-// spoil builds in the defects of a history.
-func (w *world) spoil(r *replica) {
+// injectHistoryDefect applies the defects of histories.
+func (w *world) injectHistoryDefect(r *replica) {
 	if w.defect == compactionOffByOne && r.history.compacted > 0 {
 		r.history.compacted--
 	}
 }
 
-// load replaces a replica's state as a snapshot of raft does.
-func (w *world) load() error {
+// loadSnapshot replaces the state of a replica as a raft snapshot does.
+func (w *world) loadSnapshot() error {
 	r := w.drawReplica()
-	if w.pick(4, "load") > 0 || r.given == w.truth.revision() {
+	if w.pick(4, "load") > 0 || r.fedTo == w.changes.revision() {
 		return nil
 	}
-	to := rapid.Uint64Range(r.given+1, w.truth.revision()).Draw(w.t, "to")
-	state, _ := w.truth.at(to, 0)
+	to := rapid.Uint64Range(r.fedTo+1, w.changes.revision()).Draw(w.t, "to")
+	state, _ := w.changes.stateAt(to, 0)
 	r.history.Reset(to)
 	for _, u := range state {
 		r.history.Put(u.Revision, u.Key, u.Value)
 	}
-	r.given = to
+	r.fedTo = to
 	return nil
 }
 
 func (w *world) connect(watcher *watcher, to *replica) {
 	after := watcher.view.Revision()
-	watcher.at, watcher.inFlight, watcher.faulty = to, nil, false
+	watcher.replica, watcher.inFlight, watcher.disturbed = to, nil, false
 	watcher.reader = to.history.NewReader(watcher.interest, after)
-	if w.defect == aheadIgnored {
+	if w.defect == aheadReaderReset {
 		watcher.reader.position = min(after, to.history.Revision())
 	}
 }
@@ -277,23 +277,23 @@
 	return nil
 }
 
-// pump takes a batch from a reader.
-func (w *world) pump() error {
-	_, err := w.pumpOne(w.drawWatcher())
+// readBatch reads a batch from a random watcher's reader.
+func (w *world) readBatch() error {
+	_, err := w.readBatchOf(w.drawWatcher())
 	return err
 }
 
-func (w *world) pumpOne(watcher *watcher) (bool, error) {
+func (w *world) readBatchOf(watcher *watcher) (bool, error) {
 	if len(watcher.inFlight) >= maxInFlight {
 		return true, nil
 	}
 	reader := watcher.reader
-	if s := reader.snapshot; s != nil && w.defect == snapshotMixed && len(s.rest) > 0 {
-		next := s.rest[0].Key
-		s.rest = slices.DeleteFunc(reader.history.newest.matching(&reader.interest), func(u *Update) bool { return u.Key < next })
+	if s := reader.snapshot; s != nil && w.defect == mixedSnapshot && len(s.remaining) > 0 {
+		next := s.remaining[0].Key
+		s.remaining = slices.DeleteFunc(reader.history.newest.matching(&reader.interest), func(u *Update) bool { return u.Key < next })
 	}
-	if w.defect == fromPosition && reader.snapshot == nil {
-		reader.sent = reader.position
+	if w.defect == batchFromPosition && reader.snapshot == nil {
+		reader.sentRevision = reader.position
 	}
 	b, ok := reader.Next(w.maxBytes)
 	if !ok {
@@ -302,21 +302,21 @@
 	if err := w.checkBatch(&b); err != nil {
 		return false, err
 	}
-	watcher.inFlight = append(watcher.inFlight, w.mangle(reader, b)...)
+	watcher.inFlight = append(watcher.inFlight, w.injectBatchDefect(reader, b)...)
 	return true, nil
 }
 
-// mangle builds in the defects of batches.
-func (w *world) mangle(reader *Reader, b Batch) []Batch {
+// injectBatchDefect applies the defects of batches.
+func (w *world) injectBatchDefect(reader *Reader, b Batch) []Batch {
 	n := len(b.Updates)
 	switch {
-	case w.defect == snapshotRestamped && b.Snapshot:
+	case w.defect == restampedSnapshot && b.Snapshot:
 		b.To = reader.history.Revision()
 	case w.defect == updateLost && n > 1:
 		b.Updates = b.Updates[:n-1]
 	case w.defect == deletionsLost:
 		b.Updates = slices.DeleteFunc(b.Updates, func(u Update) bool { return u.Deleted })
-	case w.defect == stepDivided && !b.Snapshot && n > 1 && b.Updates[n-2].Revision < b.Updates[n-1].Revision:
+	case w.defect == changeSetSplit && !b.Snapshot && n > 1 && b.Updates[n-2].Revision < b.Updates[n-1].Revision:
 		head, tail := b, b
 		head.Updates, tail.Updates = b.Updates[:n-1], b.Updates[n-1:]
 		head.To = head.Updates[n-2].Revision
@@ -326,7 +326,7 @@
 	return []Batch{b}
 }
 
-// checkBatch tells whether a batch is within its bound.
+// checkBatch checks that a batch is within its size limit.
 func (w *world) checkBatch(b *Batch) error {
 	size := 0
 	for i := range b.Updates {
@@ -338,7 +338,7 @@
 	return nil
 }
 
-// deliver brings a batch to its view: in order, or with a fault of the network.
+// deliver delivers a batch to a random watcher's view: in order, or with a network fault.
 func (w *world) deliver() error {
 	watcher := w.drawWatcher()
 	if len(watcher.inFlight) == 0 {
@@ -348,48 +348,48 @@
 	watcher.inFlight = watcher.inFlight[1:]
 	switch w.pick(12, "fault") {
 	case 0: // lost
-		watcher.faulty = true
+		watcher.disturbed = true
 		return nil
-	case 1: // twice
+	case 1: // duplicated
 		if err := w.apply(watcher, b); err != nil {
 			return err
 		}
-		return w.repeat(watcher, b)
-	case 2: // behind the next one
+		return w.applyAgain(watcher, b)
+	case 2: // swapped with the next batch
 		if len(watcher.inFlight) > 0 {
 			b, watcher.inFlight[0] = watcher.inFlight[0], b
-			watcher.faulty = true
+			watcher.disturbed = true
 		}
 	}
 	return w.apply(watcher, b)
 }
 
-// apply gives a view a batch and checks what came of it. A view that refuses it is connected again.
+// apply applies a batch to a view and checks the result. A view that rejects the batch is reconnected.
 func (w *world) apply(watcher *watcher, b Batch) error {
 	view := watcher.view
-	before, revision := contents(view), view.Revision()
+	before, revision := viewContents(view), view.Revision()
 	if w.defect == gapsIgnored && !b.Snapshot {
 		b.From = min(revision, b.To-1)
 	}
 	changed, err := view.Apply(b)
 	if err != nil {
-		if !watcher.faulty || !errors.Is(err, ErrGap) {
-			return fmt.Errorf("refused without a fault: %w", err)
+		if !watcher.disturbed || !errors.Is(err, ErrGap) {
+			return fmt.Errorf("rejected without a fault: %w", err)
 		}
-		if view.Revision() != revision || !slices.EqualFunc(before, contents(view), equal) {
-			return fmt.Errorf("a batch that was refused changed the view: %w", err)
+		if view.Revision() != revision || !slices.EqualFunc(before, viewContents(view), equal) {
+			return fmt.Errorf("a rejected batch changed the view: %w", err)
 		}
 		w.connect(watcher, w.drawReplica())
 		return nil
 	}
 	if b.Snapshot && !b.Last {
-		if len(changed) > 0 || view.Revision() != revision || !slices.EqualFunc(before, contents(view), equal) {
-			return fmt.Errorf("part of a snapshot changed the view by %v", changed)
+		if len(changed) > 0 || view.Revision() != revision || !slices.EqualFunc(before, viewContents(view), equal) {
+			return fmt.Errorf("an incomplete snapshot changed the view by %v", changed)
 		}
 		return nil
 	}
 	if view.Revision() <= revision {
-		return fmt.Errorf("from revision %d to %d", revision, view.Revision())
+		return fmt.Errorf("view went from revision %d to %d", revision, view.Revision())
 	}
 	if err := w.checkView(watcher); err != nil {
 		return err
@@ -397,19 +397,19 @@
 	return w.checkChanged(watcher, before, revision, changed, b.Snapshot)
 }
 
-// repeat brings a batch once more: it must leave the view as it is.
-func (w *world) repeat(watcher *watcher, b Batch) error {
+// applyAgain applies a batch a second time. This must not change the view.
+func (w *world) applyAgain(watcher *watcher, b Batch) error {
 	view := watcher.view
-	before, revision := contents(view), view.Revision()
+	before, revision := viewContents(view), view.Revision()
 	changed, err := view.Apply(b)
 	if err == nil && !(b.Snapshot && b.First && !b.Last) {
-		return fmt.Errorf("batch to %d was taken twice", b.To)
+		return fmt.Errorf("batch to %d was accepted twice", b.To)
 	}
 	if err != nil && !errors.Is(err, ErrGap) {
-		return fmt.Errorf("a batch that came twice: %w", err)
+		return fmt.Errorf("duplicate batch: %w", err)
 	}
-	if len(changed) > 0 || view.Revision() != revision || !slices.EqualFunc(before, contents(view), equal) {
-		return fmt.Errorf("batch to %d that came twice changed the view by %v", b.To, changed)
+	if len(changed) > 0 || view.Revision() != revision || !slices.EqualFunc(before, viewContents(view), equal) {
+		return fmt.Errorf("duplicate batch to %d changed the view by %v", b.To, changed)
 	}
 	return nil
 }
@@ -418,10 +418,11 @@
 	return a.Revision == b.Revision && a.Key == b.Key && a.Deleted == b.Deleted && bytes.Equal(a.Value, b.Value)
 }
 
-// checkView compares a view with the state as of its revision. The revisions of servers depend on when they were given.
+// checkView compares a view with the state at its revision. The revisions of server keys are not compared, because
+// they depend on when the changes were added.
 func (w *world) checkView(watcher *watcher) error {
 	view := watcher.view
-	state, _ := w.truth.at(view.Revision(), 0)
+	state, _ := w.changes.stateAt(view.Revision(), 0)
 	hash := NewHash()
 	held := 0
 	for u := range view.All("") {
@@ -443,12 +444,13 @@
 		return fmt.Errorf("at revision %d: %d keys, want %d", view.Revision(), held, len(state))
 	}
 	if view.Digest("configuration/") != hash.Sum() {
-		return fmt.Errorf("at revision %d: a digest of other revisions", view.Revision())
+		return fmt.Errorf("at revision %d: the digest differs", view.Revision())
 	}
 	return nil
 }
 
-// checkChanged tells whether the changes that a view told lead from what it had to what it has, each once and in order.
+// checkChanged checks that the changes reported by a view lead from its previous to its present content, each once
+// and in order.
 func (w *world) checkChanged(watcher *watcher, before []Update, revision uint64, changed []Update, snapshot bool) error {
 	have := map[string]Update{}
 	for _, u := range before {
@@ -469,7 +471,7 @@
 			configuration = append(configuration, u)
 		}
 	}
-	now := contents(watcher.view)
+	now := viewContents(watcher.view)
 	if len(now) != len(have) {
 		return fmt.Errorf("changes lead to %d keys, not %d", len(have), len(now))
 	}
@@ -478,7 +480,7 @@
 			return fmt.Errorf("changes lead to %v, not %v", have[u.Key], u)
 		}
 	}
-	_, want := w.truth.at(watcher.view.Revision(), revision)
+	_, want := w.changes.stateAt(watcher.view.Revision(), revision)
 	want = slices.DeleteFunc(want, func(u Update) bool { return !watcher.interest.includes(u.Key) })
 	if !snapshot && !slices.EqualFunc(configuration, want, equal) {
 		return fmt.Errorf("configuration changed by %v, want %v", configuration, want)
@@ -486,7 +488,7 @@
 	return nil
 }
 
-// checkBounds tells whether what is kept is within its bounds, and counted right.
+// checkBounds checks the limits and the size counters of all histories and views.
 func (w *world) checkBounds() error {
 	for _, r := range w.replicas {
 		recent := &r.history.recent
@@ -501,7 +503,7 @@
 			return err
 		}
 		if cap(recent.updates) > 4*(w.limits.Updates+4) {
-			return fmt.Errorf("room for %d updates, at most %d are kept", cap(recent.updates), w.limits.Updates)
+			return fmt.Errorf("capacity for %d updates, limit %d", cap(recent.updates), w.limits.Updates)
 		}
 		if err := checkTable(&r.history.newest); err != nil {
 			return err
@@ -515,13 +517,13 @@
 	return nil
 }
 
-// checkIndex tells whether the index has each recent update once by its key and once by its group, and nothing else.
+// checkIndex checks that the index has each recent update once by its key and once by its group, and nothing else.
 func checkIndex(recent *recentUpdates) error {
 	byKey, byGroup := map[string][]uint64{}, map[string][]uint64{}
 	for i, u := range recent.updates {
-		number := recent.first + uint64(i)
+		number := recent.firstNumber + uint64(i)
 		byKey[u.Key] = append(byKey[u.Key], number)
-		byGroup[group(u.Key)] = append(byGroup[group(u.Key)], number)
+		byGroup[keyGroup(u.Key)] = append(byGroup[keyGroup(u.Key)], number)
 	}
 	if !maps.EqualFunc(byKey, recent.byKey, slices.Equal) || !maps.EqualFunc(byGroup, recent.byGroup, slices.Equal) {
 		return fmt.Errorf("index %v and %v, want %v and %v", recent.byKey, recent.byGroup, byKey, byGroup)
@@ -529,7 +531,7 @@
 	return nil
 }
 
-// checkTable tells whether a table is in order and counted right.
+// checkTable checks the order and the size counter of a table.
 func checkTable(t *table) error {
 	size := 0
 	for i, u := range t.updates {
@@ -544,20 +546,20 @@
 	return nil
 }
 
-// heal feeds everything to all and lets the network be: every view must end equal to the state.
+// heal adds all changes to all replicas and ends network faults. Every view must end equal to the state.
 func (w *world) heal() error {
 	for _, r := range w.replicas {
-		if r.given > r.fed {
+		if r.fedTo > r.advancedTo {
 			w.advance(r)
 		}
-		for _, u := range w.coalesced(r.fed, w.truth.revision(), false) {
+		for _, u := range w.coalesced(r.advancedTo, w.changes.revision(), false) {
 			if u.Deleted {
 				r.history.Delete(u.Revision, u.Key)
 			} else {
 				r.history.Put(u.Revision, u.Key, u.Value)
 			}
 		}
-		r.given = w.truth.revision()
+		r.fedTo = w.changes.revision()
 		w.advance(r)
 	}
 	for _, watcher := range w.watchers {
@@ -568,11 +570,11 @@
 	return w.checkBounds()
 }
 
-// catchUp brings a view to the end.
+// catchUp delivers batches to a watcher's view until there are no more.
 func (w *world) catchUp(watcher *watcher) error {
-	const most = 1000 // batches, in a world of far less updates
-	for range most {
-		more, err := w.pumpOne(watcher)
+	const maxBatches = 1000 // batches; a world has far fewer updates
+	for range maxBatches {
+		more, err := w.readBatchOf(watcher)
 		if err != nil {
 			return err
 		}
@@ -585,66 +587,67 @@
 			return err
 		}
 	}
-	return fmt.Errorf("%d batches, and no end", most)
+	return fmt.Errorf("no end after %d batches", maxBatches)
 }
 
-// checkEnd compares a view that has all there is with the state.
+// checkEnd compares a view that has received everything with the state.
 func (w *world) checkEnd(watcher *watcher) error {
-	end := w.truth.revision()
-	if watcher.faulty { // the last batches were lost, which only a new connection makes good
+	end := w.changes.revision()
+	if watcher.disturbed { // the last batches were lost and are only sent again on a new connection
 		w.connect(watcher, w.drawReplica())
 		return w.catchUp(watcher)
 	}
 	if watcher.reader.Position() != end || watcher.reader.Snapshotting() {
 		return fmt.Errorf("reader ends at %d of %d", watcher.reader.Position(), end)
 	}
-	state, _ := w.truth.at(end, 0)
+	state, _ := w.changes.stateAt(end, 0)
 	for key, want := range state {
 		got, ok := watcher.view.Get(key)
 		if wanted := watcher.interest.includes(key); ok != wanted || wanted && !bytes.Equal(got.Value, want.Value) {
-			return fmt.Errorf("in the end %v, want %v", got, want)
+			return fmt.Errorf("final value %v, want %v", got, want)
 		}
 	}
 	for _, key := range watcher.view.Keys("") {
 		if _, ok := state[key]; !ok {
-			return fmt.Errorf("in the end %q is still there", key)
+			return fmt.Errorf("key %q remains at the end", key)
 		}
 	}
 	return nil
 }
 
-// TestViewsEndEqual lets watchers move between two histories that coalesce differently, over a network that loses, repeats
-// and swaps batches. Every view must equal the state as of its revision, always.
-func TestViewsEndEqual(t *testing.T) {
+// TestViewsMatchState moves watchers between two histories that coalesce changes differently, over a network that
+// loses, duplicates and swaps batches. Every view must always equal the state at its revision.
+func TestViewsMatchState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if err := run(t, noDefect); err != nil {
+		if err := runWorld(t, noDefect); err != nil {
 			t.Fatal(err)
 		}
 	})
 }
 
-// TestDefectsAreFound builds in one defect at a time: the same checks must find each, and none where there is none.
+// TestDefectsAreFound injects one defect at a time. The same checks must find each defect, and nothing when there
+// is none.
 func TestDefectsAreFound(t *testing.T) {
-	const most = 1000 // worlds, the same in each run
-	names := [defects]string{
+	const maxWorlds = 1000 // worlds, the same in each run
+	names := [defectCount]string{
 		noDefect:           "none",
-		snapshotMixed:      "a snapshot continues with newer values",
-		snapshotRestamped:  "a snapshot claims newer revisions",
+		mixedSnapshot:      "a snapshot continues with newer values",
+		restampedSnapshot:  "a snapshot with the current revision",
 		compactionOffByOne: "compaction off by one",
-		aheadIgnored:       "a reader ahead begins where the history is",
+		aheadReaderReset:   "a reader ahead starts at the history's revision",
 		updateLost:         "an update lost",
 		deletionsLost:      "deletions lost",
-		stepDivided:        "a step divided",
-		advancedEarly:      "advanced early",
+		changeSetSplit:     "a change set split",
+		earlyAdvance:       "Advance called early",
 		limitsIgnored:      "limits ignored",
 		gapsIgnored:        "gaps ignored",
-		fromPosition:       "batches from the position",
+		batchFromPosition:  "batches start at the position",
 	}
 	for d, name := range names {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			worlds := rapid.Custom(func(t *rapid.T) error { return run(t, defect(d)) })
-			for seed := range most {
+			worlds := rapid.Custom(func(t *rapid.T) error { return runWorld(t, defect(d)) })
+			for seed := range maxWorlds {
 				err := worlds.Example(seed)
 				switch {
 				case err != nil && defect(d) == noDefect:
@@ -655,7 +658,7 @@
 				}
 			}
 			if defect(d) != noDefect {
-				t.Errorf("not found in %d worlds", most)
+				t.Errorf("defect not found in %d worlds", maxWorlds)
 			}
 		})
 	}
--- a/internal/fleet/watch/reader.go
+++ b/internal/fleet/watch/reader.go
@@ -1,71 +1,75 @@
 package watch
 
-// Reader is the position of one watcher in a History. Beside its interest it holds two revisions and, while it is in a
-// snapshot, one reference for each key that is still to be sent.
+// Reader is the position of one watcher in a History. Apart from its interest it holds two revisions and, during a
+// snapshot, one reference per key that remains to be sent.
 type Reader struct {
-	history  *History
-	interest Interest
-	position uint64    // it has looked at all updates up to here
-	sent     uint64    // where the last batch led to: the revision of the view
-	snapshot *snapshot // nil = it is in none
+	history      *History
+	interest     Interest
+	position     uint64    // all updates up to this revision were examined
+	sentRevision uint64    // end of the last batch, which is the revision of the view
+	snapshot     *snapshot // nil = no snapshot is being sent
 }
 
-// snapshot is what a reader has yet to send of the keys as of its position.
+// snapshot is the state of a snapshot that is being sent, taken at the reader's position.
 type snapshot struct {
-	rest []*Update
-	sent uint64 // updates
+	remaining []*Update
+	sentCount uint64 // number of updates
 }
 
-// Next gives the next batch; false = nothing for now. A reader that is ahead of the history gets nothing until the history
-// has passed it. Updates that the reader is not interested in are passed over without a batch; but before the history drops
-// what follows the last batch an empty one tells the view how far it is, lest it need a snapshot when it comes back.
+// Next returns the next batch; false = there is nothing to send now. A reader that is ahead of the history receives
+// nothing until the history has passed it. Updates outside the interest are skipped without a batch. But before the
+// history drops the updates after the last batch, an empty batch tells the view its progress, so that the view need
+// not take a snapshot when it reconnects.
 //
-// A batch has at most maxBytes of updates, with two exceptions. An update that is larger by itself comes alone. What was
-// given between two calls of Advance is not divided: it comes alone, by half of maxBytes larger at most; where it is larger
-// still, a snapshot takes its place.
+// A batch has at most maxBytes of updates, with two exceptions. A single update that is larger is sent alone. The
+// updates between two calls of Advance are not divided: if they exceed maxBytes by up to half they are sent alone,
+// and if they are larger a snapshot is sent instead.
 //
-// Next costs O(1) at the head of the history, and otherwise O(log n) for n recent updates, and again for each that is sent or
-// has the same prefix up to a slash as one of interest: updates of other keys cost a reader nothing. An interest in a prefix
-// without a slash has the reader look at all, each once. The first call of a snapshot costs O(k log k) for its k keys.
+// Next takes O(1) at the head of the history. Otherwise it takes O(log n) for n recent updates, plus O(log n) for
+// each update that is sent or that has the same prefix up to the first slash as the interest; other updates cost
+// nothing. For an interest in a prefix without a slash every update is examined once. The first call for a snapshot
+// of k keys takes O(k log k).
 func (r *Reader) Next(maxBytes int) (Batch, bool) {
 	switch {
 	case r.snapshot != nil:
-		return r.snapshotBatch(maxBytes), true
+		return r.nextSnapshotBatch(maxBytes), true
 	case r.position >= r.history.revision:
 		return Batch{}, false
 	case r.position < r.history.compacted:
 		return r.beginSnapshot(maxBytes)
 	}
-	return r.updatesBatch(maxBytes)
+	return r.nextUpdates(maxBytes)
 }
 
-// Snapshotting tells that the reader is in a snapshot, or needs one. Next may also begin one when this was false.
+// Snapshotting reports whether the reader is sending a snapshot or needs one. Next may begin a snapshot even if
+// this was false.
 func (r *Reader) Snapshotting() bool {
 	return r.snapshot != nil || r.position < r.history.compacted
 }
 
-// Position is the revision up to which the reader has given everything; within a snapshot the one that it is as of.
+// Position returns the revision up to which the reader has sent everything; during a snapshot it is the revision of
+// the snapshot.
 func (r *Reader) Position() uint64 { return r.position }
 
-// updatesBatch gives the updates after the position.
-func (r *Reader) updatesBatch(maxBytes int) (Batch, bool) {
+// nextUpdates returns a batch of the updates after the position.
+func (r *Reader) nextUpdates(maxBytes int) (Batch, bool) {
 	recent := &r.history.recent
-	batch := Batch{From: r.sent}
+	batch := Batch{From: r.sentRevision}
 	size := 0
-	var current *step
-	stepBegin := 0 // of the current step, in the batch
-	from, end := recent.numbers(r.position, r.history.revision)
-	for u, number, ok := recent.wanted(&r.interest, from, end); ok; u, number, ok = recent.wanted(&r.interest, number+1, end) {
-		if u.step != current {
+	var current *changeSet
+	setBegin := 0 // index in the batch at which the current change set begins
+	from, end := recent.numberRange(r.position, r.history.revision)
+	for u, number, ok := recent.nextWanted(&r.interest, from, end); ok; u, number, ok = recent.nextWanted(&r.interest, number+1, end) {
+		if u.changeSet != current {
 			if current != nil {
-				batch.To = current.advanced
+				batch.To = current.advancedTo
 			}
-			current, stepBegin = u.step, len(batch.Updates)
+			current, setBegin = u.changeSet, len(batch.Updates)
 		}
 		size += u.size()
-		if size > maxBytes && stepBegin > 0 {
-			batch.Updates = batch.Updates[:stepBegin]
-			return r.send(batch), true
+		if size > maxBytes && setBegin > 0 {
+			batch.Updates = batch.Updates[:setBegin]
+			return r.markSent(batch), true
 		}
 		batch.Updates = append(batch.Updates, *u.Update)
 		if size > maxBytes+maxBytes/2 && len(batch.Updates) > 1 {
@@ -73,50 +77,50 @@
 		}
 	}
 	batch.To = r.history.revision
-	if len(batch.Updates) == 0 && !recent.halfGone(r.sent) {
+	if len(batch.Updates) == 0 && !recent.nearCompaction(r.sentRevision) {
 		r.position = batch.To
 		return Batch{}, false
 	}
-	return r.send(batch), true
+	return r.markSent(batch), true
 }
 
-// send takes the reader to where a batch leads.
-func (r *Reader) send(batch Batch) Batch {
-	r.position, r.sent = batch.To, batch.To
+// markSent moves the reader to the end of a batch.
+func (r *Reader) markSent(batch Batch) Batch {
+	r.position, r.sentRevision = batch.To, batch.To
 	return batch
 }
 
-// beginSnapshot takes a snapshot, if the newest values are whole, and gives its first batch.
+// beginSnapshot takes a snapshot if the newest values are consistent, and returns its first batch.
 func (r *Reader) beginSnapshot(maxBytes int) (Batch, bool) {
-	if !r.history.whole() {
+	if !r.history.consistent() {
 		return Batch{}, false
 	}
 	r.position = r.history.revision
-	r.snapshot = &snapshot{rest: r.history.newest.matching(&r.interest)}
-	return r.snapshotBatch(maxBytes), true
+	r.snapshot = &snapshot{remaining: r.history.newest.matching(&r.interest)}
+	return r.nextSnapshotBatch(maxBytes), true
 }
 
-// snapshotBatch gives the next batch of the snapshot.
-func (r *Reader) snapshotBatch(maxBytes int) Batch {
+// nextSnapshotBatch returns the next batch of the snapshot.
+func (r *Reader) nextSnapshotBatch(maxBytes int) Batch {
 	s := r.snapshot
 	n, size := 0, 0
-	for n < len(s.rest) {
-		size += s.rest[n].size()
+	for n < len(s.remaining) {
+		size += s.remaining[n].size()
 		if size > maxBytes && n > 0 {
 			break
 		}
 		n++
 	}
-	batch := Batch{From: s.sent, To: r.position, Snapshot: true, First: s.sent == 0, Last: n == len(s.rest)}
+	batch := Batch{From: s.sentCount, To: r.position, Snapshot: true, First: s.sentCount == 0, Last: n == len(s.remaining)}
 	batch.Updates = make([]Update, 0, n)
-	for _, u := range s.rest[:n] {
+	for _, u := range s.remaining[:n] {
 		batch.Updates = append(batch.Updates, *u)
 	}
-	s.rest = s.rest[n:]
-	s.sent += uint64(n)
+	s.remaining = s.remaining[n:]
+	s.sentCount += uint64(n)
 	if batch.Last {
 		r.snapshot = nil
-		r.sent = batch.To
+		r.sentRevision = batch.To
 	}
 	return batch
 }
--- a/internal/fleet/watch/table.go
+++ b/internal/fleet/watch/table.go
@@ -5,21 +5,21 @@
 	"strings"
 )
 
-// table holds the newest update of each key, in order of keys. Its updates are never changed: a new one takes the place
-// of the old one, so that a copy of the slice stays as it was.
+// table holds the newest update of each key, in order of keys. Updates are replaced and never modified, so that a
+// copy of the slice stays valid.
 type table struct {
 	updates []*Update
-	bytes   int // sum of their sizes
+	bytes   int // total size of the updates
 }
 
 func compareKey(u *Update, key string) int { return strings.Compare(u.Key, key) }
 
-// find gives the place of a key, and whether it is there.
+// find returns the index of a key, and whether the key exists.
 func (t *table) find(key string) (int, bool) {
 	return slices.BinarySearchFunc(t.updates, key, compareKey)
 }
 
-// get gives the update of a key; nil = unknown.
+// get returns the update of a key; nil = the key does not exist.
 func (t *table) get(key string) *Update {
 	i, ok := t.find(key)
 	if !ok {
@@ -28,7 +28,7 @@
 	return t.updates[i]
 }
 
-// set puts an update in; one that deletes takes its key out.
+// set inserts or replaces an update. A deletion removes its key.
 func (t *table) set(u *Update) {
 	i, ok := t.find(u.Key)
 	if ok {
@@ -47,13 +47,14 @@
 	}
 }
 
-// append puts an update in behind all others: its key is the highest.
+// append adds an update whose key is greater than all others.
 func (t *table) append(u *Update) {
 	t.updates = append(t.updates, u)
 	t.bytes += u.size()
 }
 
-// withPrefix gives the updates whose keys begin with a prefix: a part of the table, not to be kept.
+// withPrefix returns the updates whose keys have a prefix. The result shares memory with the table and must not be
+// kept.
 func (t *table) withPrefix(prefix string) []*Update {
 	begin, _ := t.find(prefix)
 	rest := t.updates[begin:]
@@ -66,7 +67,7 @@
 	return rest[:end]
 }
 
-// matching gives a copy of the references to the updates that an interest includes, in order of keys.
+// matching returns a new slice of the updates that an interest includes, in order of keys.
 func (t *table) matching(interest *Interest) []*Update {
 	var found []*Update
 	for _, prefix := range interest.Prefixes {
--- a/internal/fleet/watch/view.go
+++ b/internal/fleet/watch/view.go
@@ -8,40 +8,41 @@
 	"strings"
 )
 
-// Bounds of a view. An app server holds all of configuration (8 MiB at most) and its own key. While a snapshot comes in
-// there are two copies, which share the values that did not change.
+// Limits of a view. An app server holds the whole configuration (at most 8 MiB) and its own key. While a snapshot
+// arrives there are two copies, which share the unchanged values.
 const (
 	MaxViewKeys  = 8192
-	MaxViewBytes = 9 << 20 // of keys and values, and UpdateOverhead for each key
+	MaxViewBytes = 9 << 20 // of keys and values, plus UpdateOverhead per key
 )
 
-// Errors of View.Apply. A batch that meets one leaves the view as it was.
+// Errors of View.Apply. A rejected batch leaves the view unchanged.
 var (
-	ErrGap      = errors.New("the batch does not begin where the view stands")
+	ErrGap      = errors.New("batch does not continue at the view's revision")
 	ErrOrder    = errors.New("updates out of order")
-	ErrTooLarge = errors.New("more than a view holds")
+	ErrTooLarge = errors.New("view size limit exceeded")
 )
 
 // View is the copy of the keys of interest that a watcher builds from batches.
 type View struct {
 	revision uint64
 	table    table
-	partial  *partial // nil = no snapshot is coming in
+	partial  *partialSnapshot // snapshot being received; nil = none
 	maxKeys  int
 	maxBytes int
 }
 
-// partial is the part of a snapshot that has come.
-type partial struct {
-	to    uint64
-	table table
+// partialSnapshot is the part of a snapshot that has arrived so far.
+type partialSnapshot struct {
+	revision uint64
+	table    table
 }
 
-// NewView makes an empty view at revision 0.
+// NewView returns an empty view at revision 0.
 func NewView() *View { return &View{maxKeys: MaxViewKeys, maxBytes: MaxViewBytes} }
 
-// Apply takes a batch and gives what it changed: updates in their order, less those that left the value as it was. At the
-// end of a snapshot these are the differences to the copy before, with deletions, in order of keys.
+// Apply applies a batch and returns the resulting changes: the updates in order, without those that left the value
+// unchanged. At the end of a snapshot the changes are the differences to the previous content, including deletions,
+// in order of keys.
 func (v *View) Apply(b Batch) (changed []Update, err error) {
 	if b.Snapshot {
 		return v.applySnapshot(&b)
@@ -51,7 +52,7 @@
 
 func (v *View) applyUpdates(b *Batch) ([]Update, error) {
 	if b.From != v.revision {
-		return nil, fmt.Errorf("batch from revision %d at revision %d: %w", b.From, v.revision, ErrGap)
+		return nil, fmt.Errorf("batch from revision %d for a view at revision %d: %w", b.From, v.revision, ErrGap)
 	}
 	if err := checkUpdates(b); err != nil {
 		return nil, err
@@ -64,8 +65,8 @@
 		if !again {
 			before = v.table.get(u.Key)
 		}
-		bytesAfter += heldSize(&u) - heldSize(before)
-		keysAfter += heldCount(&u) - heldCount(before)
+		bytesAfter += storedSize(&u) - storedSize(before)
+		keysAfter += storedCount(&u) - storedCount(before)
 		if !sameValue(before, &u) {
 			changed = append(changed, u)
 		}
@@ -81,7 +82,7 @@
 	return changed, nil
 }
 
-// checkUpdates tells whether the updates of a batch ascend between its revisions.
+// checkUpdates checks that the updates of a batch ascend and are within the batch's revisions.
 func checkUpdates(b *Batch) error {
 	if b.To <= b.From {
 		return fmt.Errorf("batch from revision %d to %d: %w", b.From, b.To, ErrOrder)
@@ -99,44 +100,44 @@
 
 func (v *View) applySnapshot(b *Batch) ([]Update, error) {
 	if b.To <= v.revision {
-		return nil, fmt.Errorf("snapshot as of revision %d at revision %d: %w", b.To, v.revision, ErrGap)
+		return nil, fmt.Errorf("snapshot at revision %d for a view at revision %d: %w", b.To, v.revision, ErrGap)
 	}
-	into := &partial{to: b.To}
+	partial := &partialSnapshot{revision: b.To}
 	if !b.First {
-		into = v.partial
+		partial = v.partial
 	}
-	if into == nil || into.to != b.To || uint64(len(into.table.updates)) != b.From {
-		return nil, fmt.Errorf("part of a snapshot as of revision %d, behind %d updates: %w", b.To, b.From, ErrGap)
+	if partial == nil || partial.revision != b.To || uint64(len(partial.table.updates)) != b.From {
+		return nil, fmt.Errorf("part of a snapshot at revision %d after %d updates: %w", b.To, b.From, ErrGap)
 	}
-	if err := v.checkPart(into, b); err != nil {
+	if err := v.checkSnapshotBatch(partial, b); err != nil {
 		return nil, err
 	}
 	for _, u := range b.Updates {
 		if old := v.table.get(u.Key); sameValue(old, &u) {
 			u.Value = old.Value
 		}
-		into.table.append(&u)
+		partial.table.append(&u)
 	}
 	if !b.Last {
-		v.partial = into
+		v.partial = partial
 		return nil, nil
 	}
-	changed := differences(&v.table, &into.table, b.To)
-	v.revision, v.table, v.partial = b.To, into.table, nil
+	changed := differences(&v.table, &partial.table, b.To)
+	v.revision, v.table, v.partial = b.To, partial.table, nil
 	return changed, nil
 }
 
-// checkPart tells whether a part of a snapshot continues what has come of it, within the bounds.
-func (v *View) checkPart(into *partial, b *Batch) error {
-	bytesAfter, keysAfter := into.table.bytes, len(into.table.updates)
+// checkSnapshotBatch checks that a batch continues the partial snapshot and is within the limits of the view.
+func (v *View) checkSnapshotBatch(partial *partialSnapshot, b *Batch) error {
+	bytesAfter, keysAfter := partial.table.bytes, len(partial.table.updates)
 	last := ""
 	if keysAfter > 0 {
-		last = into.table.updates[keysAfter-1].Key
+		last = partial.table.updates[keysAfter-1].Key
 	}
 	for i := range b.Updates {
 		u := &b.Updates[i]
 		if keysAfter > 0 && u.Key <= last || u.Revision > b.To || u.Deleted {
-			return fmt.Errorf("key %.70q after %.70q in a snapshot as of revision %d: %w", u.Key, last, b.To, ErrOrder)
+			return fmt.Errorf("key %.70q after %.70q in a snapshot at revision %d: %w", u.Key, last, b.To, ErrOrder)
 		}
 		last = u.Key
 		bytesAfter += u.size()
@@ -147,37 +148,37 @@
 
 func (v *View) checkSize(bytesAfter, keysAfter int) error {
 	if bytesAfter > v.maxBytes || keysAfter > v.maxKeys {
-		return fmt.Errorf("%d keys of %d bytes, at most %d of %d: %w", keysAfter, bytesAfter, v.maxKeys, v.maxBytes, ErrTooLarge)
+		return fmt.Errorf("%d keys with %d bytes, limits are %d keys and %d bytes: %w", keysAfter, bytesAfter, v.maxKeys, v.maxBytes, ErrTooLarge)
 	}
 	return nil
 }
 
-// held tells that an update leaves a value behind; nil does not.
-func held(u *Update) bool { return u != nil && !u.Deleted }
+// hasValue reports whether the key has a value after an update; u may be nil.
+func hasValue(u *Update) bool { return u != nil && !u.Deleted }
 
-func heldSize(u *Update) int {
-	if !held(u) {
+func storedSize(u *Update) int {
+	if !hasValue(u) {
 		return 0
 	}
 	return u.size()
 }
 
-func heldCount(u *Update) int {
-	if !held(u) {
+func storedCount(u *Update) int {
+	if !hasValue(u) {
 		return 0
 	}
 	return 1
 }
 
-// sameValue tells that two updates leave the same behind.
+// sameValue reports whether a key has the same value after either update.
 func sameValue(a, b *Update) bool {
-	if !held(a) || !held(b) {
-		return held(a) == held(b)
+	if !hasValue(a) || !hasValue(b) {
+		return hasValue(a) == hasValue(b)
 	}
 	return bytes.Equal(a.Value, b.Value)
 }
 
-// differences gives the updates that lead from one table to another, in order of keys.
+// differences returns the updates that lead from one table to another, in order of keys.
 func differences(from, to *table, revision uint64) []Update {
 	var changed []Update
 	old := from.updates
@@ -200,10 +201,10 @@
 	return changed
 }
 
-// Revision is that of the newest batch applied, to be given to History.NewReader.
+// Revision returns the revision of the last batch applied, for use with History.NewReader.
 func (v *View) Revision() uint64 { return v.revision }
 
-// Get gives the present value of a key.
+// Get returns the present value of a key.
 func (v *View) Get(key string) (Update, bool) {
 	u := v.table.get(key)
 	if u == nil {
@@ -212,7 +213,7 @@
 	return *u, true
 }
 
-// Keys gives the keys with a prefix, in order.
+// Keys returns the keys with a prefix, in order.
 func (v *View) Keys(prefix string) []string {
 	var keys []string
 	for _, u := range v.table.withPrefix(prefix) {
@@ -221,7 +222,8 @@
 	return keys
 }
 
-// All gives the present values of the keys with a prefix, in order of keys. The view must not change meanwhile.
+// All returns the present values of the keys with a prefix, in order of keys. The view must not be changed during
+// the iteration.
 func (v *View) All(prefix string) iter.Seq[Update] {
 	return func(yield func(Update) bool) {
 		for _, u := range v.table.withPrefix(prefix) {
@@ -232,7 +234,7 @@
 	}
 }
 
-// Digest is the sum by Hash of the keys with a prefix, taken without it.
+// Digest returns the Hash of the keys with a prefix. The prefix is removed from the keys before hashing.
 func (v *View) Digest(prefix string) uint64 {
 	hash := NewHash()
 	for _, u := range v.table.withPrefix(prefix) {
