--- a/internal/fleet/takeout/agent.go
+++ b/internal/fleet/takeout/agent.go
@@ -2,62 +2,63 @@
 
 import "fmt"
 
-// Local is what a box knows of itself.
+// Local is what a server knows about itself.
 type Local struct {
 	Incarnation uint64
 	Warm        bool
-	Open        int   // requests taken and not ended
+	Open        int   // requests in flight
 	KeyedUntil  int64 // until then a repeat may ask for a result that only this process has; 0 = none
-	Held        int64 // since when its health says no; 0 = it does not
-	DrainFor    int64 // ms for which it has to before balancers are taken to have heard
+	Held        int64 // since when its health check fails on purpose; 0 = it does not
+	DrainFor    int64 // ms for which the health check fails before all balancers are considered to have noticed
 }
 
-// Act is what a box does next about itself. It is worked out anew from the agreed state at every look, so a process
-// that stopped and woke, or started anew, does the right thing by what the log says then.
+// Act is what a server does next about itself. It is derived again from the replicated state at every look, so a
+// process that was suspended or restarted acts by what the log says then.
 type Act struct {
-	Hold bool  // its health says no
-	Say  Phase // to propose, with Speak
-	// Speak tells that there is something to propose. It is proposed again until the log has it or it no longer holds.
+	Hold bool  // fail the health check
+	Say  Phase // phase to propose, if Speak is set
+	// Speak is set if there is a phase to propose. The proposal is repeated until the log has it or it no longer
+	// applies.
 	Speak bool
-	Why   string // what it waits for, or why it speaks
+	Why   string // what the server waits for, or the reason for the proposal
 }
 
-// Agent derives what a box does about itself. A box that is no member, or that the log does not know, serves.
+// Agent derives what a server does about itself. A server that is not a member, or that the log does not know, serves.
 func Agent(s *State, name string, l Local, now int64) Act {
 	b := s.Box(name)
 	if b == nil {
-		return Act{Why: "the fleet does not know this box"}
+		return Act{Why: "the fleet does not know this server"}
 	}
-	say := func(hold bool, p Phase, why string) Act { return Act{hold, p, true, why} }
+	propose := func(hold bool, p Phase, why string) Act { return Act{hold, p, true, why} }
 	if b.Incarnation != l.Incarnation {
 		if b.Incarnation > l.Incarnation {
-			return Act{Why: fmt.Sprintf("process %d of this box has spoken since: there are two", b.Incarnation)}
+			return Act{Why: fmt.Sprintf("incarnation %d of this server has reported since: two processes use its name", b.Incarnation)}
 		}
-		return say(false, Returning, "this process is new")
+		return propose(false, Returning, "this process is new")
 	}
 	switch b.Phase {
 	case Granted:
-		return say(false, Draining, "it may go, for plan "+b.Plan)
+		return propose(false, Draining, "granted for plan "+b.Plan)
 	case Draining:
-		if s.ended(b.Plan) {
-			return say(false, In, "plan "+b.Plan+" is over")
+		if s.planClosed(b.Plan) {
+			return propose(false, In, "plan "+b.Plan+" is over")
 		}
 		switch {
 		case l.Held == 0 || now-l.Held < l.DrainFor:
-			return Act{Hold: true, Why: "balancers have to hear of it"}
+			return Act{Hold: true, Why: "balancers may not have noticed the drain yet"}
 		case l.Open > 0:
 			return Act{Hold: true, Why: fmt.Sprintf("%d requests are open", l.Open)}
 		case l.KeyedUntil > now:
-			return Act{Hold: true, Why: fmt.Sprintf("results of keyed requests are wanted for %d ms", l.KeyedUntil-now)}
+			return Act{Hold: true, Why: fmt.Sprintf("results of keyed requests may be asked for during %d ms more", l.KeyedUntil-now)}
 		}
-		return say(true, Out, "nothing is open on it")
+		return propose(true, Out, "no request is open")
 	case Out:
-		return Act{Hold: true, Why: "the machine may be touched"}
+		return Act{Hold: true, Why: "the machine may be serviced"}
 	case Returning:
 		if !l.Warm {
 			return Act{Why: "it is cold"}
 		}
-		return say(false, In, "it is warm")
+		return propose(false, In, "it is warm")
 	}
 	return Act{}
 }
--- a/internal/fleet/takeout/agent_test.go
+++ b/internal/fleet/takeout/agent_test.go
@@ -5,53 +5,53 @@
 	"testing"
 )
 
-// What a box does about itself follows from the log as it is, whatever it did before: a stop of 30 s, a new process
-// or a plan that is over meanwhile change it at the next look.
+// What a server does about itself depends only on the log as it is now, whatever the server did before: after a pause
+// of 30 s, a restart or the end of the plan, the next look derives the right action.
 func TestAgent(t *testing.T) {
 	const now = 1_000_000
 	calm := Local{Incarnation: 1, Warm: true, DrainFor: 2000}
-	for _, k := range []struct {
-		name  string
-		phase Phase
-		set   func(*State, *Local)
-		hold  bool
-		say   Phase
-		speak bool
-		why   string
+	for _, tc := range []struct {
+		name      string
+		phase     Phase
+		change    func(*State, *Local)
+		hold      bool
+		wantPhase Phase
+		proposes  bool
+		why       string
 	}{
 		{name: "in", phase: In},
-		{name: "granted", phase: Granted, say: Draining, speak: true, why: "plan p"},
-		{name: "granted, but to an earlier process", phase: Granted, set: func(_ *State, l *Local) { l.Incarnation = 2 }, say: Returning, speak: true, why: "new"},
-		{name: "another process speaks for it", phase: Granted, set: func(s *State, _ *Local) { s.Box("a1").Incarnation = 9 }, why: "there are two"},
-		{name: "drains since a moment ago", phase: Draining, set: func(_ *State, l *Local) { l.Held = now - 1999 }, hold: true, why: "have to hear"},
-		{name: "drains, not held yet", phase: Draining, hold: true, why: "have to hear"},
-		{name: "drains with work open", phase: Draining, set: func(_ *State, l *Local) { l.Held, l.Open = now-9000, 3 }, hold: true, why: "3 requests"},
-		{name: "drains with results that are wanted", phase: Draining, set: func(_ *State, l *Local) { l.Held, l.KeyedUntil = now-9000, now+50 }, hold: true, why: "50 ms"},
-		{name: "drained", phase: Draining, set: func(_ *State, l *Local) { l.Held, l.KeyedUntil = now-2000, now }, hold: true, say: Out, speak: true, why: "nothing is open"},
-		{name: "drains for a plan that is over", phase: Draining, set: func(s *State, l *Local) { l.Held = now - 9000; s.Plan("p").State = Cancelled }, say: In, speak: true, why: "over"},
-		{name: "out", phase: Out, hold: true, why: "may be touched"},
-		{name: "returned cold", phase: Returning, set: func(_ *State, l *Local) { l.Warm = false }, why: "cold"},
-		{name: "returned warm", phase: Returning, say: In, speak: true, why: "warm"},
-		{name: "unknown", phase: In, set: func(s *State, _ *Local) { s.Boxes = s.Boxes[1:] }, why: "does not know"},
+		{name: "granted", phase: Granted, wantPhase: Draining, proposes: true, why: "plan p"},
+		{name: "granted, but to an earlier process", phase: Granted, change: func(_ *State, l *Local) { l.Incarnation = 2 }, wantPhase: Returning, proposes: true, why: "new"},
+		{name: "another process reported for the server", phase: Granted, change: func(s *State, _ *Local) { s.Box("a1").Incarnation = 9 }, why: "two processes"},
+		{name: "drains for less than the drain time", phase: Draining, change: func(_ *State, l *Local) { l.Held = now - 1999 }, hold: true, why: "may not have noticed"},
+		{name: "drains, health check still passes", phase: Draining, hold: true, why: "may not have noticed"},
+		{name: "drains with open requests", phase: Draining, change: func(_ *State, l *Local) { l.Held, l.Open = now-9000, 3 }, hold: true, why: "3 requests"},
+		{name: "drains with keyed results that may be asked for", phase: Draining, change: func(_ *State, l *Local) { l.Held, l.KeyedUntil = now-9000, now+50 }, hold: true, why: "50 ms"},
+		{name: "drained", phase: Draining, change: func(_ *State, l *Local) { l.Held, l.KeyedUntil = now-2000, now }, hold: true, wantPhase: Out, proposes: true, why: "no request is open"},
+		{name: "drains for a plan that is over", phase: Draining, change: func(s *State, l *Local) { l.Held = now - 9000; s.Plan("p").State = Cancelled }, wantPhase: In, proposes: true, why: "over"},
+		{name: "out", phase: Out, hold: true, why: "may be serviced"},
+		{name: "returned cold", phase: Returning, change: func(_ *State, l *Local) { l.Warm = false }, why: "cold"},
+		{name: "returned warm", phase: Returning, wantPhase: In, proposes: true, why: "warm"},
+		{name: "unknown", phase: In, change: func(s *State, _ *Local) { s.Boxes = s.Boxes[1:] }, why: "does not know"},
 	} {
-		s := fleet(6, 3)
+		s := newFleet(6, 3)
 		propose(s, "p", []string{"a1"}, 1)
 		b := s.Box("a1")
-		if b.Phase = k.phase; k.phase != In {
+		if b.Phase = tc.phase; tc.phase != In {
 			b.Plan = "p"
 		}
 		l := calm
-		if k.set != nil {
-			k.set(s, &l)
+		if tc.change != nil {
+			tc.change(s, &l)
 		}
 		got := Agent(s, "a1", l, now)
-		if got.Hold != k.hold || got.Speak != k.speak || k.speak && got.Say != k.say || !strings.Contains(got.Why, k.why) {
-			t.Errorf("%s: %+v", k.name, got)
+		if got.Hold != tc.hold || got.Speak != tc.proposes || tc.proposes && got.Say != tc.wantPhase || !strings.Contains(got.Why, tc.why) {
+			t.Errorf("%s: %+v", tc.name, got)
 			continue
 		}
-		if got.Speak { // and the log takes its word
+		if got.Speak { // and the log accepts the proposal
 			if err := s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: l.Incarnation, Phase: got.Say}); err != nil {
-				t.Errorf("%s: %v", k.name, err)
+				t.Errorf("%s: %v", tc.name, err)
 			}
 		}
 	}
--- a/internal/fleet/takeout/apply.go
+++ b/internal/fleet/takeout/apply.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// Kind tells what an entry does.
+// Kind is the kind of an entry.
 type Kind uint8
 
 // The kinds of entry.
 const (
-	Join     Kind = iota + 1 // a box is a member from now on, or has moved to another zone
-	Propose                  // a plan
-	Arrange                  // the order of a plan
-	Grant                    // a box may begin to drain
-	Step                     // a box tells its next phase
-	Pause                    // no grants of a plan until it is resumed
-	Resume                   //
-	Cancel                   // no grants of a plan any more
-	Replan                   // its order is derived anew
-	Expire                   // its deadline has passed
-	WriteOff                 // a box that is not back is counted no longer
-	Leave                    // a box is a member no longer: it is gone for good
+	Join     Kind = iota + 1 // adds a server, or moves it to another zone
+	Propose                  // adds a plan
+	Arrange                  // sets the order of a plan
+	Grant                    // lets a server begin to drain
+	Step                     // reports a server's next phase
+	Pause                    // stops the grants of a plan until it is resumed
+	Resume                   // lets a paused plan grant again
+	Cancel                   // ends a plan: it grants nothing more
+	Replan                   // discards the order of a plan, which is derived again
+	Expire                   // ends a plan whose deadline has passed
+	WriteOff                 // stops counting a server that is not back
+	Leave                    // removes a server for good
 )
 
-// Entry is one entry of the log. Which fields count depends on Kind.
+// Entry is one entry of the log. Which fields are used depends on Kind.
 type Entry struct {
 	Kind        Kind
 	At          int64  // of the proposer's clock
 	Box         string // Join, Grant, Step, WriteOff, Leave
 	Zone        string // Join
-	Incarnation uint64 // Grant, Step: which process of the box
-	Phase       Phase  // Step: the one that it enters; In = it is warm again
-	Plan        Plan   // Propose: whole; else its ID alone
+	Incarnation uint64 // Grant, Step: the server's process
+	Phase       Phase  // Step: the phase that it enters; In = it is warm again
+	Plan        Plan   // Propose: the whole plan; others: its ID alone
 	Order       []Place
-	Missing     []string // Grant: those that the leader took for unavailable, whatever the log says of them
-	By, Why     string   // an operator's word; Grant: what spoke for it
+	Missing     []string // Grant: servers that the leader considers unavailable, whatever the log says of them
+	By, Why     string   // WriteOff, Leave: the operator and the reason; Grant: the reason for the choice
 }
 
-// Apply carries out the entry of an index. It is the same on every box: it looks at nothing but the state and the
-// entry. An entry that cannot be changes nothing, and the error says why, on every box alike.
+// Apply carries out the entry of an index. The result is the same on every server, since it depends only on the state
+// and the entry. An invalid entry changes nothing but the index and returns the same error on every server.
 func (s *State) Apply(index uint64, e *Entry) error {
 	s.Index = index
 	switch e.Kind {
@@ -58,7 +58,7 @@
 	if p == nil {
 		return fmt.Errorf("plan %q: %w", e.Plan.ID, ErrUnknown)
 	}
-	if p.State.over() {
+	if p.State.closed() {
 		return fmt.Errorf("plan %s is %s: %w", p.ID, p.State, ErrOver)
 	}
 	switch e.Kind {
@@ -82,7 +82,7 @@
 		if e.Kind == Expire {
 			p.State = Expired
 		}
-		for i := range s.Boxes { // who was granted and has not begun stays as it was
+		for i := range s.Boxes { // a server that was granted and has not begun returns to In
 			if b := &s.Boxes[i]; b.Plan == p.ID && b.Phase == Granted {
 				b.Phase, b.Plan, b.Index, b.WrittenOff = In, "", index, ""
 			}
@@ -90,20 +90,20 @@
 	default:
 		return fmt.Errorf("entry of kind %d: %w", e.Kind, ErrInvalid)
 	}
-	s.settle()
+	s.advancePlans()
 	return nil
 }
 
 func (s *State) join(e *Entry) error {
 	if e.Box == "" || len(e.Box) > maxName || len(e.Zone) > maxName {
-		return fmt.Errorf("box %q in zone %q: %w", e.Box, e.Zone, ErrInvalid)
+		return fmt.Errorf("server name %q, zone %q: %w", e.Box, e.Zone, ErrInvalid)
 	}
 	if b := s.Box(e.Box); b != nil {
 		b.Zone = e.Zone
 		return nil
 	}
 	if len(s.Boxes) >= MaxBoxes {
-		return fmt.Errorf("box %s: %d boxes are the most: %w", e.Box, MaxBoxes, ErrInvalid)
+		return fmt.Errorf("server %s: the fleet has %d servers, which is the maximum: %w", e.Box, MaxBoxes, ErrInvalid)
 	}
 	s.Boxes = append(s.Boxes, Box{Name: e.Box, Zone: e.Zone})
 	slices.SortFunc(s.Boxes, func(a, b Box) int { return compare(a.Name, b.Name) })
@@ -114,120 +114,120 @@
 	if p := s.Plan(e.Plan.ID); p != nil {
 		if p.By == e.Plan.By && p.Reason == e.Plan.Reason && slices.Equal(p.Boxes, e.Plan.Boxes) && p.Most == e.Plan.Most &&
 			p.Floor == e.Plan.Floor && p.Deadline == e.Plan.Deadline {
-			return nil // given again: its answer was lost
+			return nil // repeated because the answer was lost
 		}
-		return fmt.Errorf("plan %s: there is another of that name: %w", p.ID, ErrInvalid)
+		return fmt.Errorf("plan %s: a different plan has this ID: %w", p.ID, ErrInvalid)
 	}
 	p := e.Plan
 	if err := s.check(&p); err != nil {
 		return err
 	}
 	if len(s.Plans) >= MaxPlans {
-		i := slices.IndexFunc(s.Plans, func(p Plan) bool { return p.State.over() && !s.holds(&p) })
+		i := slices.IndexFunc(s.Plans, func(p Plan) bool { return p.State.closed() && !s.holdsGrant(&p) })
 		if i < 0 {
-			return fmt.Errorf("plan %s: %d plans are open: %w", p.ID, len(s.Plans), ErrInvalid)
+			return fmt.Errorf("plan %s: %d plans are open, which is the maximum: %w", p.ID, len(s.Plans), ErrInvalid)
 		}
 		s.Plans = slices.Delete(s.Plans, i, i+1)
 	}
 	p.State, p.Order, p.Gone, p.Index = Waiting, nil, nil, index
 	p.Boxes = slices.Clone(p.Boxes)
 	s.Plans = append(s.Plans, p)
-	s.settle()
+	s.advancePlans()
 	return nil
 }
 
-// holds tells that a box still has a plan's grant.
-func (s *State) holds(p *Plan) bool {
+// holdsGrant reports whether a server holds a grant of the plan.
+func (s *State) holdsGrant(p *Plan) bool {
 	return slices.ContainsFunc(s.Boxes, func(b Box) bool { return b.Plan == p.ID })
 }
 
-// arrange takes the order of what a plan has left to grant.
+// arrange sets the order of the servers that a plan has left to grant.
 func (s *State) arrange(p *Plan, e *Entry) error {
 	if p.State != Running {
 		return fmt.Errorf("plan %s is %s: %w", p.ID, p.State, ErrPhase)
 	}
 	if !covers(e.Order, s.left(p)) {
-		return fmt.Errorf("plan %s: the order is not of just the boxes that are left: %w", p.ID, ErrInvalid)
+		return fmt.Errorf("plan %s: the order does not match the servers that are left to grant: %w", p.ID, ErrInvalid)
 	}
 	p.Order = slices.Clone(e.Order)
 	return nil
 }
 
-// covers tells that an order is of just the boxes that are left, which are sorted.
+// covers reports whether an order lists exactly the servers that are left, which are sorted by name.
 func covers(order []Place, left []string) bool {
 	names := make([]string, len(order))
-	for i, x := range order {
-		names[i] = x.Box
+	for i, place := range order {
+		names[i] = place.Box
 	}
 	slices.Sort(names)
 	return slices.Equal(names, left)
 }
 
-// left is what a plan has not granted yet, sorted.
+// left returns the servers that a plan has not granted yet, sorted by name.
 func (s *State) left(p *Plan) []string {
-	var out []string
+	var names []string
 	for _, name := range p.Boxes {
 		if b := s.Box(name); b.Plan != p.ID && !slices.Contains(p.Gone, name) {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
-// grant lets the first in a plan's order begin to drain.
+// grant lets the first server in a plan's order begin to drain.
 func (s *State) grant(index uint64, p *Plan, e *Entry) error {
 	b := s.Box(e.Box)
 	switch {
 	case b == nil:
-		return fmt.Errorf("box %q: %w", e.Box, ErrUnknown)
+		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	case p.State != Running:
 		return fmt.Errorf("plan %s is %s: %w", p.ID, p.State, ErrPhase)
 	case len(p.Order) == 0 || p.Order[0].Box != b.Name:
-		return fmt.Errorf("box %s is not the next of plan %s: %w", b.Name, p.ID, ErrPhase)
+		return fmt.Errorf("server %s is not the next in plan %s: %w", b.Name, p.ID, ErrPhase)
 	case b.Phase != In || b.Incarnation != e.Incarnation:
-		return fmt.Errorf("box %s is %s in incarnation %d, granted %d: %w", b.Name, b.Phase, b.Incarnation, e.Incarnation, ErrPhase)
+		return fmt.Errorf("server %s is %s in incarnation %d, the grant is for incarnation %d: %w", b.Name, b.Phase, b.Incarnation, e.Incarnation, ErrPhase)
 	}
 	if n := s.unavailable(e.Missing, b.Name); n+1 > p.Most {
-		return fmt.Errorf("box %s would be number %d of %d that plan %s lets be missing: %w", b.Name, n+1, p.Most, p.ID, ErrBound)
+		return fmt.Errorf("server %s would be the unavailable server number %d of at most %d of plan %s: %w", b.Name, n+1, p.Most, p.ID, ErrBound)
 	}
 	p.Order = slices.Delete(slices.Clone(p.Order), 0, 1)
 	b.Phase, b.Plan, b.Index = Granted, p.ID, index
 	return nil
 }
 
-// unavailable counts all boxes but one that are away by the log or named as missing.
-func (s *State) unavailable(missing []string, but string) int {
-	n := 0
+// unavailable counts the servers, except one, that are unavailable by the log or named as missing.
+func (s *State) unavailable(missing []string, except string) int {
+	count := 0
 	for i := range s.Boxes {
-		if b := &s.Boxes[i]; b.Name != but && (b.away() || slices.Contains(missing, b.Name)) {
-			n++
+		if b := &s.Boxes[i]; b.Name != except && (b.unavailable() || slices.Contains(missing, b.Name)) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// step takes a box's word on itself. Any new process says that it has come up cold, and is known by its incarnation
-// from then on; one that died before it was out for its plan has its place in the line again once it is back. The
-// same process may return too, where the work did not end it.
+// step applies a phase that a server reports about itself. Every new process first reports that it has come up cold,
+// and the server is known by that process's incarnation from then on. A server whose process died before it was Out
+// for its plan is granted again once it is back. The same process may return too, if the maintenance did not end it.
 func (s *State) step(index uint64, e *Entry) error {
 	b := s.Box(e.Box)
 	if b == nil {
-		return fmt.Errorf("box %q: %w", e.Box, ErrUnknown)
+		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	}
-	fresh := e.Incarnation != b.Incarnation
+	newProcess := e.Incarnation != b.Incarnation
 	switch {
-	case e.Incarnation == 0, fresh && e.Incarnation < b.Incarnation:
-		return fmt.Errorf("box %s is in incarnation %d, %d spoke: %w", b.Name, b.Incarnation, e.Incarnation, ErrPhase)
-	case fresh && e.Phase != Returning, !fresh && e.Phase == Returning && b.Phase < Out,
+	case e.Incarnation == 0, newProcess && e.Incarnation < b.Incarnation:
+		return fmt.Errorf("server %s is in incarnation %d, incarnation %d reported: %w", b.Name, b.Incarnation, e.Incarnation, ErrPhase)
+	case newProcess && e.Phase != Returning, !newProcess && e.Phase == Returning && b.Phase < Out,
 		e.Phase == Draining && b.Phase > Draining, e.Phase == Draining && b.Phase == In,
 		e.Phase == Out && b.Phase != Draining && b.Phase != Out, e.Phase == Granted:
-		return fmt.Errorf("box %s is %s, and said %s: %w", b.Name, b.Phase, e.Phase, ErrPhase)
+		return fmt.Errorf("server %s is %s and reported %s: %w", b.Name, b.Phase, e.Phase, ErrPhase)
 	case e.Phase == In && b.Phase == Granted:
-		return fmt.Errorf("box %s has a grant to use: %w", b.Name, ErrPhase)
+		return fmt.Errorf("server %s has an unused grant: %w", b.Name, ErrPhase)
 	case e.Phase == In && b.Phase == Out:
-		return fmt.Errorf("box %s is out, and its new process has said nothing: %w", b.Name, ErrPhase)
-	case e.Phase == In && b.Phase == Draining && !s.ended(b.Plan):
-		return fmt.Errorf("box %s drains for plan %s, which goes on: %w", b.Name, b.Plan, ErrPhase)
+		return fmt.Errorf("server %s is out, and its new process has not reported: %w", b.Name, ErrPhase)
+	case e.Phase == In && b.Phase == Draining && !s.planClosed(b.Plan):
+		return fmt.Errorf("server %s drains for plan %s, which is still open: %w", b.Name, b.Plan, ErrPhase)
 	}
 	b.Incarnation = e.Incarnation
 	if e.Phase == b.Phase {
@@ -237,7 +237,7 @@
 	switch e.Phase {
 	case Out:
 		b.WasOut = true
-	case Returning: // counted again, whatever was said of it
+	case Returning: // counts again, even if it was written off
 		b.WrittenOff = ""
 	case In:
 		if p := s.Plan(b.Plan); p != nil && b.WasOut && !slices.Contains(p.Gone, b.Name) {
@@ -245,65 +245,65 @@
 		}
 		b.Plan, b.WasOut = "", false
 	}
-	s.settle()
+	s.advancePlans()
 	return nil
 }
 
-func (s *State) ended(plan string) bool {
+func (s *State) planClosed(plan string) bool {
 	p := s.Plan(plan)
-	return p == nil || p.State.over()
+	return p == nil || p.State.closed()
 }
 
-// writeOff records an operator's word that a box is not to be waited for.
+// writeOff records an operator's decision not to wait for a server.
 func (s *State) writeOff(index uint64, e *Entry) error {
 	b := s.Box(e.Box)
 	switch {
 	case b == nil:
-		return fmt.Errorf("box %q: %w", e.Box, ErrUnknown)
+		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	case e.By == "" || e.Why == "" || len(e.By) > maxName || len(e.Why) > maxReason:
-		return fmt.Errorf("box %s is written off by somebody, for some reason: %w", b.Name, ErrInvalid)
+		return fmt.Errorf("server %s: operator or reason is missing or too long: %w", b.Name, ErrInvalid)
 	case b.Phase == In:
-		return fmt.Errorf("box %s is in, and counts for nothing: %w", b.Name, ErrPhase)
+		return fmt.Errorf("server %s is in and does not count as unavailable: %w", b.Name, ErrPhase)
 	}
 	b.WrittenOff, b.Index = e.By+": "+e.Why, index
 	if p := s.Plan(b.Plan); p != nil && !slices.Contains(p.Gone, b.Name) {
 		p.Gone = append(p.Gone, b.Name)
 	}
-	s.settle()
+	s.advancePlans()
 	return nil
 }
 
-// leave takes a box out of the fleet, on an operator's word, and out of all plans. One that lives all the same comes
+// leave removes a server from the fleet and from all plans, by an operator's decision. If it still runs, it joins
 // again as a new member.
 func (s *State) leave(e *Entry) error {
 	b := s.Box(e.Box)
 	switch {
 	case b == nil:
-		return fmt.Errorf("box %q: %w", e.Box, ErrUnknown)
+		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	case e.By == "" || e.Why == "" || len(e.By) > maxName || len(e.Why) > maxReason:
-		return fmt.Errorf("box %s is written off by somebody, for some reason: %w", b.Name, ErrInvalid)
+		return fmt.Errorf("server %s: operator or reason is missing or too long: %w", b.Name, ErrInvalid)
 	case len(s.Boxes) == 1:
-		return fmt.Errorf("box %s is the last: %w", b.Name, ErrInvalid)
+		return fmt.Errorf("server %s is the last of the fleet: %w", b.Name, ErrInvalid)
 	}
-	is := func(name string) bool { return name == e.Box }
+	matches := func(name string) bool { return name == e.Box }
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		p.Boxes = slices.DeleteFunc(slices.Clone(p.Boxes), is)
-		p.Gone = slices.DeleteFunc(slices.Clone(p.Gone), is)
-		p.Order = slices.DeleteFunc(slices.Clone(p.Order), func(x Place) bool { return is(x.Box) })
+		p.Boxes = slices.DeleteFunc(slices.Clone(p.Boxes), matches)
+		p.Gone = slices.DeleteFunc(slices.Clone(p.Gone), matches)
+		p.Order = slices.DeleteFunc(slices.Clone(p.Order), func(x Place) bool { return matches(x.Box) })
 	}
-	s.Boxes = slices.DeleteFunc(s.Boxes, func(x Box) bool { return is(x.Name) })
-	s.settle()
+	s.Boxes = slices.DeleteFunc(s.Boxes, func(x Box) bool { return matches(x.Name) })
+	s.advancePlans()
 	return nil
 }
 
-// settle moves plans on by what the boxes have done: those that wait for no other begin, in the order in which they
-// were proposed, and those with nothing left are done.
-func (s *State) settle() {
-	taken := map[string]bool{}
+// advancePlans updates the states of the plans after an entry: a plan whose servers no other plan holds begins, in the
+// order of proposal, and a plan with nothing left is done.
+func (s *State) advancePlans() {
+	reserved := map[string]bool{}
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		if p.State.over() {
+		if p.State.closed() {
 			continue
 		}
 		if len(p.Gone) == len(p.Boxes) {
@@ -313,10 +313,10 @@
 		free := true
 		for _, name := range p.Boxes {
 			b := s.Box(name)
-			free = free && !taken[name] && (b.Plan == "" || b.Plan == p.ID)
+			free = free && !reserved[name] && (b.Plan == "" || b.Plan == p.ID)
 		}
 		for _, name := range p.Boxes {
-			taken[name] = true
+			reserved[name] = true
 		}
 		switch {
 		case p.State == Waiting && free:
--- a/internal/fleet/takeout/next.go
+++ b/internal/fleet/takeout/next.go
@@ -6,54 +6,55 @@
 	"slices"
 )
 
-// Report is the newest that a box has said of itself.
+// Report is the newest report of a server about itself.
 type Report struct {
 	Incarnation uint64
-	Heard       int64   // when, by the clock of who heard it
-	Capacity    float64 // requests a second that it carries when warm
-	Load        float64 // requests a second that it carries now
+	Heard       int64   // time of arrival, by the receiver's clock
+	Capacity    float64 // requests per second that the server can serve when warm
+	Load        float64 // requests per second that it serves now
 	Warm        bool
-	Failing     bool // its health is bad, or what it calls fails
-	Open        int  // requests in hand
+	Failing     bool // its health check fails, or its downstream service does
+	Open        int  // requests in flight
 	KeyedUntil  int64
 }
 
-// Fresh tells that a report is no older than what makes a box silent.
+// Fresh reports whether a report is recent enough that its server does not count as silent.
 func (r Report) Fresh(now, silent int64) bool { return now-r.Heard <= silent }
 
-// View is what the leader knows beside the agreed state.
+// View is what the leader knows besides the replicated state.
 type View struct {
 	Now     int64
-	Self    string // the leader
-	Silent  int64  // ms without a report after which a box counts as missing
+	Self    string // name of the leader
+	Silent  int64  // ms without a report after which a server counts as missing
 	Reports map[string]Report
-	Voters  map[string]bool // who can lead; nil = all
+	Voters  map[string]bool // servers that can lead; nil = all
 }
 
-// heard gives a box's report; false = it is silent, or the report is of another process than the log's.
-func (v *View) heard(b *Box) (Report, bool) {
+// report returns a server's report, and false if the server is silent or the report is from another process than the
+// one in the log.
+func (v *View) report(b *Box) (Report, bool) {
 	r, ok := v.Reports[b.Name]
 	return r, ok && r.Fresh(v.Now, v.Silent) && (b.Incarnation == 0 || r.Incarnation == b.Incarnation)
 }
 
-// Wait tells what a plan waits for.
+// Wait is the reason for which a plan waits.
 type Wait struct{ Plan, Box, Why string }
 
-// Decision is what follows from a state and a view of it.
+// Decision is what the leader does next, derived from a state and a view.
 type Decision struct {
-	Entries  []Entry // to propose, in this order
-	Transfer string  // hand the leadership to this box first; "" = no need
+	Entries  []Entry // to propose in this order
+	Transfer string  // transfer the leadership to this server first; "" = not needed
 	Waits    []Wait
 }
 
-// Next derives what the leader proposes: orders that are missing, ends of plans, and one grant at most. It is asked
-// again once that is applied, or when a report has come.
+// Next derives what the leader proposes: missing orders, expired plans, and at most one grant. The leader calls it
+// again after the entries were applied, or when a report arrives.
 func Next(s *State, v View) Decision {
 	var d Decision
 	granted := false
 	for i := range s.Plans {
 		p := &s.Plans[i]
-		if p.State.over() {
+		if p.State.closed() {
 			continue
 		}
 		if p.Deadline > 0 && v.Now >= p.Deadline {
@@ -74,7 +75,7 @@
 			wait(p.Order[0].Box, "another plan's grant comes first")
 		default:
 			b := s.Box(p.Order[0].Box)
-			missing, why := mayGo(s, p, b, &v)
+			missing, why := mayGrant(s, p, b, &v)
 			if why != "" {
 				wait(b.Name, "%s", why)
 				continue
@@ -93,13 +94,13 @@
 	return d
 }
 
-// mayGo tells who is missing, and why a box may not be granted now; "" = it may.
-func mayGo(s *State, p *Plan, b *Box, v *View) (missing []string, why string) {
-	demand, rest := 0.0, 0.0
-	cold := 0
+// mayGrant returns the missing servers, and the reason for which a server must not be granted now; "" = it may be.
+func mayGrant(s *State, p *Plan, b *Box, v *View) (missing []string, why string) {
+	demand, restCapacity := 0.0, 0.0
+	coldCount := 0
 	for i := range s.Boxes {
 		x := &s.Boxes[i]
-		r, ok := v.heard(x)
+		r, ok := v.report(x)
 		if ok {
 			demand += r.Load
 		}
@@ -109,13 +110,13 @@
 			missing = append(missing, x.Name)
 		case !r.Warm:
 			missing = append(missing, x.Name)
-			cold++
+			coldCount++
 		case x.Phase == In:
-			rest += r.Capacity
+			restCapacity += r.Capacity
 		}
 	}
 	n := s.unavailable(missing, b.Name)
-	switch _, ok := v.heard(b); {
+	switch _, ok := v.report(b); {
 	case b.Phase != In:
 		return nil, fmt.Sprintf("it is %s already", b.Phase)
 	case b.Incarnation == 0:
@@ -123,18 +124,19 @@
 	case !ok:
 		return nil, "it is silent, and may be serving"
 	case n+1 > p.Most:
-		return nil, fmt.Sprintf("%d boxes are missing (%d by the log, %d cold), %d at most may be with it", n, s.Away(), cold, p.Most)
-	case rest <= 0, 1-demand/rest < p.Floor:
-		return nil, fmt.Sprintf("the warm rest carries %.0f/s, asked are %.0f/s: under the floor of %.2f", rest, demand, p.Floor)
+		return nil, fmt.Sprintf("%d boxes are missing (%d by the log, %d cold), %d at most may be with it", n, s.Away(), coldCount, p.Most)
+	case restCapacity <= 0, 1-demand/restCapacity < p.Floor:
+		return nil, fmt.Sprintf("the warm rest carries %.0f/s, asked are %.0f/s: under the floor of %.2f", restCapacity, demand, p.Floor)
 	}
 	return missing, ""
 }
 
-// successor is who leads while the leader is out: the last of the plan's order that is fit, as it is granted last.
+// successor returns the server that leads while the leader is drained: one outside the plan if one is fit, else the
+// last fit server of the plan's order, since it is granted last.
 func successor(s *State, p *Plan, v *View) string {
 	fit := func(name string) bool {
 		b := s.Box(name)
-		r, ok := v.heard(b)
+		r, ok := v.report(b)
 		return name != v.Self && (v.Voters == nil || v.Voters[name]) && ok && r.Warm && b.Phase == In && !r.Failing
 	}
 	for i := range s.Boxes {
@@ -155,15 +157,15 @@
 	return ""
 }
 
-// order derives the order of what a plan has left, with the reason for each place: what fails already, then zones in
-// turn and in each the box with the least in hand, those with keyed results that are still wanted after the others,
-// the leader last.
+// order derives the order of the servers that a plan has left, with the reason for each position: servers that already
+// fail come first, then the zones take turns, and within a zone the server with the fewest requests in flight comes
+// first, those with keyed results that may still be asked for later, and the leader last.
 func order(s *State, p *Plan, left []string, v *View) []Place {
 	type item struct {
 		name, zone           string
 		failing, keyed, lead bool
 		open                 int
-		turn                 int // among those of its zone
+		turn                 int // position within its zone
 	}
 	items := make([]item, 0, len(left))
 	for _, name := range left {
@@ -171,30 +173,30 @@
 		r := v.Reports[name]
 		items = append(items, item{name: name, zone: b.Zone, failing: r.Failing, keyed: r.KeyedUntil > v.Now, lead: name == v.Self, open: r.Open})
 	}
-	bit := func(x bool) int {
+	boolToInt := func(x bool) int {
 		if x {
 			return 1
 		}
 		return 0
 	}
-	own := func(a, b item) int {
-		return cmp.Or(bit(b.failing)-bit(a.failing), bit(a.lead)-bit(b.lead), bit(a.keyed)-bit(b.keyed), cmp.Compare(a.open, b.open), compare(a.name, b.name))
+	byOwnState := func(a, b item) int {
+		return cmp.Or(boolToInt(b.failing)-boolToInt(a.failing), boolToInt(a.lead)-boolToInt(b.lead), boolToInt(a.keyed)-boolToInt(b.keyed), cmp.Compare(a.open, b.open), compare(a.name, b.name))
 	}
-	slices.SortFunc(items, own)
-	turns := map[string]int{}
-	for _, name := range p.Boxes { // those that have had their turn count
+	slices.SortFunc(items, byOwnState)
+	turnsByZone := map[string]int{}
+	for _, name := range p.Boxes { // servers that were granted before count too
 		if !slices.Contains(left, name) {
-			turns[s.Box(name).Zone]++
+			turnsByZone[s.Box(name).Zone]++
 		}
 	}
 	for i := range items {
-		items[i].turn = turns[items[i].zone]
-		turns[items[i].zone]++
+		items[i].turn = turnsByZone[items[i].zone]
+		turnsByZone[items[i].zone]++
 	}
 	slices.SortFunc(items, func(a, b item) int {
-		return cmp.Or(bit(b.failing)-bit(a.failing), bit(a.lead)-bit(b.lead), cmp.Compare(a.turn, b.turn), own(a, b))
+		return cmp.Or(boolToInt(b.failing)-boolToInt(a.failing), boolToInt(a.lead)-boolToInt(b.lead), cmp.Compare(a.turn, b.turn), byOwnState(a, b))
 	})
-	out := make([]Place, len(items))
+	places := make([]Place, len(items))
 	for i, x := range items {
 		why := fmt.Sprintf("number %d of zone %s, %d in hand", x.turn+1, x.zone, x.open)
 		switch {
@@ -205,7 +207,7 @@
 		case x.keyed:
 			why += ", keyed results still wanted"
 		}
-		out[i] = Place{x.name, why}
+		places[i] = Place{x.name, why}
 	}
-	return out
+	return places
 }
--- a/internal/fleet/takeout/state.go
+++ b/internal/fleet/takeout/state.go
@@ -1,9 +1,9 @@
-// Package takeout decides in which order boxes are taken out for work, and when the next may go. It holds the state
-// that all boxes agree on, changed by nothing but the entries of their log (Apply), and from it and the newest
-// reports derives what the leader proposes next (Next). It does no I/O and reads no clock: times are arguments, in
-// Unix milliseconds as the proposer's clock had them.
+// Package takeout decides in which order servers are drained for maintenance, and when the next one may start. It
+// holds the replicated state, which changes only by the entries of the log (Apply), and derives from it and from the
+// newest reports what the leader proposes next (Next). It does no I/O and reads no clock: times are arguments, in Unix
+// milliseconds of the proposer's clock.
 //
-// The bound of a plan is checked in Apply, on the agreed state: two leaders can never grant past it together.
+// Apply checks a plan's bound against the replicated state, so two leaders can never grant past it together.
 package takeout
 
 import (
@@ -14,35 +14,35 @@
 	"larchscale/internal/fleet/limits"
 )
 
-// Bounds of what an operator may ask for.
+// Bounds of an operator's plans.
 const (
-	MaxBoxes  = limits.MaxServers // of a fleet
-	MaxPlans  = 64                // kept, over ones included
+	MaxBoxes  = limits.MaxServers // servers of a fleet
+	MaxPlans  = 64                // stored plans, closed ones included
 	maxReason = 256               // bytes
-	maxName   = 64                // bytes, of a box, zone, plan or operator
+	maxName   = 64                // bytes, of the name of a server, zone, plan or operator
 )
 
-// Phase is where a box stands.
+// Phase is a server's position in a maintenance.
 type Phase uint8
 
-// The phases, in their order.
+// The phases, in the order in which a server passes through them.
 const (
-	In        Phase = iota // it serves, or could
-	Granted                // it may begin to drain
-	Draining               // it drains
-	Out                    // nothing is open on it: the machine may be touched
-	Returning              // its new process is up, and cold
+	In        Phase = iota // serving, or able to serve
+	Granted                // may begin to drain
+	Draining               // draining
+	Out                    // drained: no request is open, and the machine may be serviced
+	Returning              // a new process is up and still cold
 )
 
 var phases = [...]string{"in", "granted", "draining", "out", "returning"}
 
-// String is the phase as operators read it.
+// String returns the phase as operators read it.
 func (p Phase) String() string { return phases[p] }
 
-// MarshalText writes a phase as operators read it.
+// MarshalText implements encoding.TextMarshaler.
 func (p Phase) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads it back.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (p *Phase) UnmarshalText(text []byte) error {
 	i := slices.Index(phases[:], string(text))
 	if i < 0 {
@@ -52,27 +52,27 @@
 	return nil
 }
 
-// Box is what is agreed of one box.
+// Box is the replicated state of one server.
 type Box struct {
 	Name        string
 	Zone        string
-	Incarnation uint64 // of the process that last said something of itself; 0 = none yet
+	Incarnation uint64 // of the process that last reported a phase; 0 = none yet
 	Phase       Phase
-	Plan        string // whose grant it has, while it is not In
-	WasOut      bool   // for that plan
-	Index       uint64 // of the entry that brought it to its phase
-	WrittenOff  string // by whom and why it is counted no longer though it is not back; "" = it is counted
+	Plan        string // ID of the plan whose grant the server holds while it is not In
+	WasOut      bool   // the server has been Out for that plan
+	Index       uint64 // of the entry that set the phase
+	WrittenOff  string // operator and reason for which the server no longer counts though it is not back; "" = it counts
 }
 
-// away tells that a box counts against the bounds.
-func (b *Box) away() bool { return b.Phase != In && b.WrittenOff == "" }
+// unavailable reports whether the server counts against the bounds.
+func (b *Box) unavailable() bool { return b.Phase != In && b.WrittenOff == "" }
 
-// PlanState is where a plan stands.
+// PlanState is the progress of a plan.
 type PlanState uint8
 
-// The states of a plan. The last three are over.
+// The states of a plan. The last three are final.
 const (
-	Waiting PlanState = iota // another plan has some of its boxes
+	Waiting PlanState = iota // another plan holds some of its servers
 	Running
 	Paused
 	Done
@@ -82,13 +82,13 @@
 
 var planStates = [...]string{"waiting", "running", "paused", "done", "cancelled", "expired"}
 
-// String is the state as operators read it.
+// String returns the state as operators read it.
 func (s PlanState) String() string { return planStates[s] }
 
-// MarshalText writes a state as operators read it.
+// MarshalText implements encoding.TextMarshaler.
 func (s PlanState) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads it back.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (s *PlanState) UnmarshalText(text []byte) error {
 	i := slices.Index(planStates[:], string(text))
 	if i < 0 {
@@ -98,56 +98,56 @@
 	return nil
 }
 
-func (s PlanState) over() bool { return s >= Done }
+func (s PlanState) closed() bool { return s >= Done }
 
-// Place is one box in the order of a plan.
+// Place is one server in the order of a plan, with the reason for its position.
 type Place struct {
 	Box string
 	Why string
 }
 
-// Plan is one piece of work on some boxes.
+// Plan is a maintenance of some servers, one after the other.
 type Plan struct {
-	ID       string // the operator's; given again it has no second effect
+	ID       string // set by the operator; a second proposal with the same ID has no effect
 	By       string
 	Reason   string
 	Boxes    []string // sorted
-	Most     int      // of the fleet's boxes that may be unavailable while one of these is granted
-	Floor    float64  // headroom that the warm rest keeps, 0 to under 1
-	Deadline int64    // no grant after it; 0 = none
+	Most     int      // largest number of the fleet's servers that may be unavailable while one of these is granted
+	Floor    float64  // share of the warm servers' capacity that stays unused, 0 to under 1
+	Deadline int64    // no grant from this time on; 0 = none
 	State    PlanState
-	Order    []Place  // of those that have not been granted; empty until arranged
-	Gone     []string // those that have been out and are back or written off, in that order
+	Order    []Place  // servers that have not been granted; empty until arranged
+	Gone     []string // servers that have been out and are back, or were written off, in that order
 	Index    uint64   // of the entry that proposed it
 }
 
-// State is what all boxes agree on. Its zero value is an empty fleet.
+// State is the replicated state. Its zero value is an empty fleet.
 type State struct {
-	Index uint64 // of the last entry applied
-	Boxes []Box  // by name
-	Plans []Plan // by the entries that proposed them
+	Index uint64 // of the last applied entry
+	Boxes []Box  // sorted by name
+	Plans []Plan // in the order in which they were proposed
 }
 
-// Errors of Apply. An entry that meets one changes nothing but the index.
+// Errors of Apply. An entry that fails with one changes nothing but the index.
 var (
 	ErrUnknown = errors.New("unknown")
-	ErrInvalid = errors.New("cannot be")
-	ErrPhase   = errors.New("not its turn")
-	ErrBound   = errors.New("past the plan's bound")
+	ErrInvalid = errors.New("invalid")
+	ErrPhase   = errors.New("not allowed in this phase")
+	ErrBound   = errors.New("over the plan's bound")
 	ErrOver    = errors.New("the plan is over")
 )
 
-// Clone gives a state that shares nothing with this one.
+// Clone returns a deep copy of the state.
 func (s *State) Clone() State {
-	out := State{s.Index, slices.Clone(s.Boxes), slices.Clone(s.Plans)}
-	for i := range out.Plans {
-		p := &out.Plans[i]
+	clone := State{s.Index, slices.Clone(s.Boxes), slices.Clone(s.Plans)}
+	for i := range clone.Plans {
+		p := &clone.Plans[i]
 		p.Boxes, p.Gone, p.Order = slices.Clone(p.Boxes), slices.Clone(p.Gone), slices.Clone(p.Order)
 	}
-	return out
+	return clone
 }
 
-// Box gives a box by its name; nil = unknown.
+// Box returns the server of a name, or nil if it is unknown.
 func (s *State) Box(name string) *Box {
 	i, ok := slices.BinarySearchFunc(s.Boxes, name, func(b Box, n string) int { return compare(b.Name, n) })
 	if !ok {
@@ -156,7 +156,7 @@
 	return &s.Boxes[i]
 }
 
-// Plan gives a plan by its id; nil = unknown.
+// Plan returns the plan of an ID, or nil if it is unknown.
 func (s *State) Plan(id string) *Plan {
 	for i := range s.Plans {
 		if s.Plans[i].ID == id {
@@ -166,15 +166,15 @@
 	return nil
 }
 
-// Away counts the boxes that are not in, by the log alone.
+// Away counts the servers that are unavailable by the log alone.
 func (s *State) Away() int {
-	n := 0
+	count := 0
 	for i := range s.Boxes {
-		if s.Boxes[i].away() {
-			n++
+		if s.Boxes[i].unavailable() {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 func compare(a, b string) int {
@@ -187,28 +187,28 @@
 	return 0
 }
 
-// check finds what of a plan cannot be, in a fleet as it is.
+// check returns an error if the plan is invalid for the present fleet.
 func (s *State) check(p *Plan) error {
 	switch {
 	case p.ID == "" || len(p.ID) > maxName || p.By == "" || len(p.By) > maxName:
-		return fmt.Errorf("plan %q by %q: a name of 1 to %d bytes is missing: %w", p.ID, p.By, maxName, ErrInvalid)
+		return fmt.Errorf("plan %q by %q: plan ID and operator need 1 to %d bytes each: %w", p.ID, p.By, maxName, ErrInvalid)
 	case len(p.Reason) > maxReason:
-		return fmt.Errorf("plan %s: a reason of %d bytes, %d at most: %w", p.ID, len(p.Reason), maxReason, ErrInvalid)
+		return fmt.Errorf("plan %s: the reason has %d bytes, at most %d are allowed: %w", p.ID, len(p.Reason), maxReason, ErrInvalid)
 	case len(p.Boxes) == 0:
-		return fmt.Errorf("plan %s: no boxes: %w", p.ID, ErrInvalid)
+		return fmt.Errorf("plan %s names no servers: %w", p.ID, ErrInvalid)
 	case p.Most < 1 || p.Most >= len(s.Boxes):
-		return fmt.Errorf("plan %s: at most %d of %d boxes out: 1 to %d can be: %w", p.ID, p.Most, len(s.Boxes), len(s.Boxes)-1, ErrInvalid)
+		return fmt.Errorf("plan %s: %d of %d servers may be unavailable, must be 1 to %d: %w", p.ID, p.Most, len(s.Boxes), len(s.Boxes)-1, ErrInvalid)
 	case !(p.Floor >= 0 && p.Floor < 1):
-		return fmt.Errorf("plan %s: a floor of %v, 0 to under 1 can be: %w", p.ID, p.Floor, ErrInvalid)
+		return fmt.Errorf("plan %s: floor %v, must be at least 0 and under 1: %w", p.ID, p.Floor, ErrInvalid)
 	case p.Deadline < 0:
-		return fmt.Errorf("plan %s: deadline %d: %w", p.ID, p.Deadline, ErrInvalid)
+		return fmt.Errorf("plan %s: negative deadline %d: %w", p.ID, p.Deadline, ErrInvalid)
 	}
 	for i, name := range p.Boxes {
 		if s.Box(name) == nil {
-			return fmt.Errorf("plan %s: box %q: %w", p.ID, name, ErrUnknown)
+			return fmt.Errorf("plan %s: server %q: %w", p.ID, name, ErrUnknown)
 		}
 		if i > 0 && p.Boxes[i-1] >= name {
-			return fmt.Errorf("plan %s: box %q twice, or out of order: %w", p.ID, name, ErrInvalid)
+			return fmt.Errorf("plan %s: server %q is listed twice or out of order: %w", p.ID, name, ErrInvalid)
 		}
 	}
 	return nil
