--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -9,39 +9,40 @@
 	"slices"
 )
 
-// batchVersion is the format of batches written here.
+// batchVersion is the version of the batch format that this program writes.
 const batchVersion = 1
 
-// MaxBatch is the most bytes that a batch may have.
+// MaxBatch bounds an encoded batch, in bytes.
 const MaxBatch = 1 << 20
 
-// Hash is the SHA-256 of a batch's bytes.
+// Hash is the SHA-256 hash of an encoded batch or period state.
 type Hash [sha256.Size]byte
 
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// MarshalText gives it in hexadecimal.
+// MarshalText returns the hash in hexadecimal.
 func (h Hash) MarshalText() ([]byte, error) { return []byte(h.String()), nil }
 
-// UnmarshalText reads it again.
+// UnmarshalText reads the form that MarshalText returns.
 func (h *Hash) UnmarshalText(text []byte) error {
-	if n, err := hex.Decode(h[:], text[:min(len(text), 2*len(h))]); err != nil || n != len(h) || len(text) != 2*n {
-		return fmt.Errorf("%w: no hash", ErrRecord)
+	if size, err := hex.Decode(h[:], text[:min(len(text), 2*len(h))]); err != nil || size != len(h) || len(text) != 2*size {
+		return fmt.Errorf("%w: not a hash", ErrRecord)
 	}
 	return nil
 }
 
-// ID is a ledger's own, drawn when it is made: a box that lost its disk begins another.
+// ID identifies a ledger. It is random, drawn when the ledger is created: a server that lost its disk begins another
+// one.
 type ID [16]byte
 
 func (i ID) String() string { return hex.EncodeToString(i[:]) }
 
-// MarshalText gives it in hexadecimal.
+// MarshalText returns the ID in hexadecimal.
 func (i ID) MarshalText() ([]byte, error) { return []byte(i.String()), nil }
 
-// Line is the use of one cell since the batch before.
+// Line is the use of one cell since the previous batch.
 type Line struct {
-	Period  int     `cbor:"1,keyasint"` // place in Batch.Periods
+	Period  int     `cbor:"1,keyasint"` // index in Batch.Periods
 	Stand   string  `cbor:"2,keyasint"`
 	Class   string  `cbor:"3,keyasint"`
 	End     End     `cbor:"4,keyasint"`
@@ -50,212 +51,212 @@
 	Figures Figures `cbor:"7,keyasint"`
 }
 
-// Missing is a number of entries of a stand that were not kept.
+// Missing is the number of entries of a stand in a period that were lost before they were recorded.
 type Missing struct {
-	Period  int    `cbor:"1,keyasint"`
+	Period  int    `cbor:"1,keyasint"` // index in Batch.Periods
 	Stand   string `cbor:"2,keyasint"`
 	Entries int64  `cbor:"3,keyasint"`
 }
 
-// Batch is what leaves a box at once. Its bytes are made once; they are its identity together with box,
-// ledger and sequence, and each names the hash of the one before.
+// Batch is the unit in which a server exports its ledger. It is encoded once: server, ledger, sequence number and the
+// bytes together identify it. Each batch has the hash of the previous one, so that the batches form a chain.
 type Batch struct {
 	Version     int          `cbor:"1,keyasint"`
 	Box         string       `cbor:"2,keyasint"`
 	Ledger      ID           `cbor:"3,keyasint"`
 	Incarnation uint32       `cbor:"4,keyasint"`
-	Nonce       uint64       `cbor:"5,keyasint"` // of the incarnation: two that claim one number differ here
-	Seq         uint64       `cbor:"6,keyasint"` // from 1
-	Prev        Hash         `cbor:"7,keyasint"`
-	At          int64        `cbor:"8,keyasint"`
-	Zone        string       `cbor:"9,keyasint"`
-	Closed      int64        `cbor:"10,keyasint"` // the box has closed all periods that end by then
+	Nonce       uint64       `cbor:"5,keyasint"`  // random per incarnation: distinguishes two incarnations with the same number
+	Seq         uint64       `cbor:"6,keyasint"`  // sequence number, from 1
+	Prev        Hash         `cbor:"7,keyasint"`  // hash of the previous batch
+	At          int64        `cbor:"8,keyasint"`  // when it was sealed, Unix milliseconds
+	Zone        string       `cbor:"9,keyasint"`  // time zone of the calendar
+	Closed      int64        `cbor:"10,keyasint"` // all periods that end by then are closed, Unix milliseconds
 	Periods     []Period     `cbor:"11,keyasint,omitempty"`
 	Lines       []Line       `cbor:"12,keyasint,omitempty"`
 	Adjustments []Adjustment `cbor:"13,keyasint,omitempty"`
 	Missing     []Missing    `cbor:"14,keyasint,omitempty"`
 	Unclean     []Unclean    `cbor:"15,keyasint,omitempty"`
 	Steps       []Step       `cbor:"16,keyasint,omitempty"`
-	Requests    int64        `cbor:"17,keyasint"`           // in all batches so far, this one included
-	More        bool         `cbor:"18,keyasint,omitempty"` // closed periods have more to come in the next batch
+	Requests    int64        `cbor:"17,keyasint"`           // total of all batches up to and including this one
+	More        bool         `cbor:"18,keyasint,omitempty"` // the next batch has more of the closed periods
 }
 
-// SumOf gives a batch's hash.
+// SumOf returns the hash of an encoded batch or period state.
 func SumOf(bytes []byte) Hash { return sha256.Sum256(bytes) }
 
-// DecodeBatch reads a batch and checks what it says of itself.
+// DecodeBatch decodes a batch and checks that its contents are consistent.
 func DecodeBatch(bytes []byte) (*Batch, error) {
 	if len(bytes) > MaxBatch {
 		return nil, fmt.Errorf("%w: a batch of %d bytes", ErrRecord, len(bytes))
 	}
-	var v struct {
+	var header struct {
 		Version int `cbor:"1,keyasint"`
 	}
-	if err := loose.Unmarshal(bytes, &v); err != nil {
+	if err := versionDecoder.Unmarshal(bytes, &header); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrRecord, err)
 	}
-	if v.Version != batchVersion {
-		return nil, fmt.Errorf("batch of version %d: %w", v.Version, ErrNewer)
+	if header.Version != batchVersion {
+		return nil, fmt.Errorf("batch of version %d: %w", header.Version, ErrNewer)
 	}
-	b, err := decode[Batch](bytes)
+	batch, err := decode[Batch](bytes)
 	if err != nil {
 		return nil, err
 	}
-	bad := b.Box == "" || b.Seq == 0
-	for _, l := range b.Lines {
-		bad = bad || l.Period < 0 || l.Period >= len(b.Periods) || l.End >= Ends
+	bad := batch.Box == "" || batch.Seq == 0
+	for _, line := range batch.Lines {
+		bad = bad || line.Period < 0 || line.Period >= len(batch.Periods) || line.End >= Ends
 	}
-	for _, m := range b.Missing {
-		bad = bad || m.Period < 0 || m.Period >= len(b.Periods) || m.Entries < 0
+	for _, missing := range batch.Missing {
+		bad = bad || missing.Period < 0 || missing.Period >= len(batch.Periods) || missing.Entries < 0
 	}
-	for _, p := range b.Periods {
-		bad = bad || p.End <= p.Start || p.Name == ""
+	for _, period := range batch.Periods {
+		bad = bad || period.End <= period.Start || period.Name == ""
 	}
-	for _, a := range b.Adjustments {
-		bad = bad || a.Correction.check() != nil
+	for _, adjustment := range batch.Adjustments {
+		bad = bad || adjustment.Correction.check() != nil
 	}
 	if bad {
-		return nil, fmt.Errorf("%w: batch %d of %q cannot be", ErrRecord, b.Seq, b.Box)
+		return nil, fmt.Errorf("%w: batch %d of %q is inconsistent", ErrRecord, batch.Seq, batch.Box)
 	}
-	return &b, nil
+	return &batch, nil
 }
 
-// SealDue tells that a batch should be made: something waits, its time has come or a period has closed, and
-// there is room for what the collector has not taken.
+// SealDue reports whether a batch should be sealed: either a period has closed since the last batch, or there is
+// unsealed use and the export interval has passed. No batch is due while the pending batches fill their limit.
 func (b *Book) SealDue(now int64) bool {
-	size := 0
-	for _, p := range b.pending {
-		size += p.Size
+	pendingBytes := 0
+	for _, batch := range b.pending {
+		pendingBytes += batch.Size
 	}
-	if size >= b.policy.MaxPending {
+	if pendingBytes >= b.policy.MaxPending {
 		return false
 	}
-	if b.closed > b.told && b.told > 0 {
+	if b.closedThrough > b.announcedThrough && b.announcedThrough > 0 {
 		return true
 	}
 	since := now - b.sealedAt
 	return b.Waits() && (since >= b.policy.ExportEvery || since < -b.policy.ExportEvery)
 }
 
-// Waits tells that something is in no batch yet.
+// Waits reports whether anything recorded is in no batch yet.
 func (b *Book) Waits() bool {
-	if len(b.adjusted) > 0 || len(b.unclean) > b.uncleanOut || len(b.steps) > b.stepOut || b.lost > b.lostOut {
+	if len(b.unsealedCorrections) > 0 || len(b.unclean) > b.uncleanSealed || len(b.steps) > b.stepsSealed || b.missing > b.missingSealed {
 		return true
 	}
-	for _, s := range b.cells {
-		if !s.waiting.Zero() {
+	for _, sum := range b.cells {
+		if !sum.unsealed.Zero() {
 			return true
 		}
 	}
 	return false
 }
 
-// ProposeSeal freezes what waits as the next batch, and gives its record and its bytes.
+// ProposeSeal builds the next batch of what is unsealed, and returns its record and the encoded batch.
 func (b *Book) ProposeSeal(now int64) (rec, bytes []byte) {
-	out := Batch{Version: batchVersion, Box: b.Box, Ledger: b.ID, Incarnation: b.start.Incarnation, Nonce: b.start.Nonce,
-		Seq: b.seq + 1, Prev: b.prev, At: now, Zone: b.policy.Calendar.Zone.String(), Closed: b.closed,
-		Unclean: b.unclean[b.uncleanOut:], Steps: b.steps[b.stepOut:], Requests: b.sealed[Requests]}
-	at := map[int64]int{}
-	place := func(start int64) int {
-		i, ok := at[start]
+	batch := Batch{Version: batchVersion, Box: b.Box, Ledger: b.ID, Incarnation: b.lastStart.Incarnation, Nonce: b.lastStart.Nonce,
+		Seq: b.lastSeq + 1, Prev: b.lastHash, At: now, Zone: b.policy.Calendar.Zone.String(), Closed: b.closedThrough,
+		Unclean: b.unclean[b.uncleanSealed:], Steps: b.steps[b.stepsSealed:], Requests: b.sealed[Requests]}
+	indexes := map[int64]int{}
+	periodIndex := func(start int64) int {
+		i, ok := indexes[start]
 		if !ok {
-			i = len(out.Periods)
-			at[start] = i
-			out.Periods = append(out.Periods, b.periods[start])
+			i = len(batch.Periods)
+			indexes[start] = i
+			batch.Periods = append(batch.Periods, b.periods[start])
 		}
 		return i
 	}
 	var cells []Cell
-	for c, s := range b.cells {
-		if !s.waiting.Zero() {
-			cells = append(cells, c)
+	for cell, sum := range b.cells {
+		if !sum.unsealed.Zero() {
+			cells = append(cells, cell)
 		}
 	}
 	slices.SortFunc(cells, Cell.compare)
-	out.More = len(cells) > batchLines
-	for _, c := range cells[:min(len(cells), batchLines)] {
-		w := b.cells[c].waiting
-		out.Lines = append(out.Lines, Line{place(c.Period), b.stands[c.Stand], b.classes[c.Class], c.End, c.Replay, c.Late, w})
-		out.Requests += w[Requests]
-	}
-	for _, g := range b.gapKeys() {
-		if n := b.gaps[g][1]; n != 0 {
-			out.Missing = append(out.Missing, Missing{place(g.period), b.stands[g.stand], n})
+	batch.More = len(cells) > maxBatchLines
+	for _, cell := range cells[:min(len(cells), maxBatchLines)] {
+		unsealed := b.cells[cell].unsealed
+		batch.Lines = append(batch.Lines, Line{periodIndex(cell.Period), b.stands[cell.Stand], b.classes[cell.Class], cell.End, cell.Replay, cell.Late, unsealed})
+		batch.Requests += unsealed[Requests]
+	}
+	for _, key := range b.gapKeys() {
+		if count := b.gaps[key][1]; count != 0 {
+			batch.Missing = append(batch.Missing, Missing{periodIndex(key.period), b.stands[key.stand], count})
 		}
 	}
-	for _, id := range b.adjusted[:min(len(b.adjusted), batchLines)] {
-		out.Adjustments = append(out.Adjustments, *b.corrections[id])
+	for _, id := range b.unsealedCorrections[:min(len(b.unsealedCorrections), maxBatchLines)] {
+		batch.Adjustments = append(batch.Adjustments, *b.corrections[id])
 	}
-	out.More = out.More || len(b.adjusted) > batchLines
-	bytes = encode(out)
+	batch.More = batch.More || len(b.unsealedCorrections) > maxBatchLines
+	bytes = encode(batch)
 	return append([]byte{kindSeal}, bytes...), bytes
 }
 
-// gapKeys are the keys of all gaps, in order.
+// gapKeys returns the keys of all gaps, sorted.
 func (b *Book) gapKeys() []gapKey {
 	return slices.SortedFunc(maps.Keys(b.gaps), func(a, b gapKey) int {
 		return cmp.Or(cmp.Compare(a.period, b.period), cmp.Compare(a.stand, b.stand))
 	})
 }
 
-// applySeal moves what a batch holds from waiting to sealed. The whole batch is checked against the book first.
+// applySeal marks the contents of a batch as sealed. It first checks the whole batch against the ledger.
 func (b *Book) applySeal(bytes []byte) error {
-	x, err := DecodeBatch(bytes)
+	batch, err := DecodeBatch(bytes)
 	if err != nil {
 		return err
 	}
-	if x.Box != b.Box || x.Ledger != b.ID || x.Seq != b.seq+1 || x.Prev != b.prev ||
-		len(x.Unclean) > len(b.unclean)-b.uncleanOut || len(x.Steps) > len(b.steps)-b.stepOut || len(x.Adjustments) > len(b.adjusted) {
-		return fmt.Errorf("%w: batch %d does not follow batch %d", ErrRecord, x.Seq, b.seq)
+	if batch.Box != b.Box || batch.Ledger != b.ID || batch.Seq != b.lastSeq+1 || batch.Prev != b.lastHash ||
+		len(batch.Unclean) > len(b.unclean)-b.uncleanSealed || len(batch.Steps) > len(b.steps)-b.stepsSealed || len(batch.Adjustments) > len(b.unsealedCorrections) {
+		return fmt.Errorf("%w: batch %d does not follow batch %d", ErrRecord, batch.Seq, b.lastSeq)
 	}
 	sealed := b.sealed
-	for _, l := range x.Lines {
-		stand, ok1 := b.standAt[l.Stand]
-		class, ok2 := b.classAt[l.Class]
-		c := Cell{x.Periods[l.Period].Start, stand, class, l.End, l.Replay, l.Late}
-		if s := b.cells[c]; !ok1 || !ok2 || s == nil || s.waiting != l.Figures {
-			return fmt.Errorf("%w: batch %d has a line of %s that does not wait", ErrRecord, x.Seq, l.Stand)
+	for _, line := range batch.Lines {
+		stand, ok1 := b.standNumbers[line.Stand]
+		class, ok2 := b.classNumbers[line.Class]
+		cell := Cell{batch.Periods[line.Period].Start, stand, class, line.End, line.Replay, line.Late}
+		if sum := b.cells[cell]; !ok1 || !ok2 || sum == nil || sum.unsealed != line.Figures {
+			return fmt.Errorf("%w: batch %d has a line of %s that is not unsealed", ErrRecord, batch.Seq, line.Stand)
 		}
-		if sealed, err = sealed.Add(l.Figures); err != nil {
+		if sealed, err = sealed.Add(line.Figures); err != nil {
 			return err
 		}
 	}
-	for _, m := range x.Missing {
-		if stand, ok := b.standAt[m.Stand]; !ok || b.gaps[gapKey{x.Periods[m.Period].Start, stand}] == nil {
-			return fmt.Errorf("%w: batch %d has a gap of %s that does not wait", ErrRecord, x.Seq, m.Stand)
+	for _, missing := range batch.Missing {
+		if stand, ok := b.standNumbers[missing.Stand]; !ok || b.gaps[gapKey{batch.Periods[missing.Period].Start, stand}] == nil {
+			return fmt.Errorf("%w: batch %d has a gap of %s that is not unsealed", ErrRecord, batch.Seq, missing.Stand)
 		}
 	}
-	for _, l := range x.Lines {
-		b.cells[Cell{x.Periods[l.Period].Start, b.standAt[l.Stand], b.classAt[l.Class], l.End, l.Replay, l.Late}].waiting = Figures{}
+	for _, line := range batch.Lines {
+		b.cells[Cell{batch.Periods[line.Period].Start, b.standNumbers[line.Stand], b.classNumbers[line.Class], line.End, line.Replay, line.Late}].unsealed = Figures{}
 	}
-	for _, m := range x.Missing {
-		b.gaps[gapKey{x.Periods[m.Period].Start, b.standAt[m.Stand]}][1] -= m.Entries
-		b.lostOut += m.Entries
+	for _, missing := range batch.Missing {
+		b.gaps[gapKey{batch.Periods[missing.Period].Start, b.standNumbers[missing.Stand]}][1] -= missing.Entries
+		b.missingSealed += missing.Entries
 	}
-	b.adjusted = slices.Clone(b.adjusted[len(x.Adjustments):])
-	b.uncleanOut += len(x.Unclean)
-	b.stepOut += len(x.Steps)
-	b.sealed, b.seq, b.prev, b.sealedAt = sealed, x.Seq, SumOf(bytes), x.At
-	if !x.More {
-		b.told = x.Closed
+	b.unsealedCorrections = slices.Clone(b.unsealedCorrections[len(batch.Adjustments):])
+	b.uncleanSealed += len(batch.Unclean)
+	b.stepsSealed += len(batch.Steps)
+	b.sealed, b.lastSeq, b.lastHash, b.sealedAt = sealed, batch.Seq, SumOf(bytes), batch.At
+	if !batch.More {
+		b.announcedThrough = batch.Closed
 	}
-	b.pending = append(b.pending, Sealed{b.seq, b.prev, len(bytes)})
-	b.forget()
+	b.pending = append(b.pending, Sealed{b.lastSeq, b.lastHash, len(bytes)})
+	b.dropOldPeriods()
 	return nil
 }
 
-// KeptRecord holds a pending batch's bytes in a log that begins with a snapshot.
-func KeptRecord(bytes []byte) []byte { return append([]byte{kindKept}, bytes...) }
+// KeptRecord returns the record that keeps the bytes of a pending batch in a log that begins with a snapshot.
+func KeptRecord(bytes []byte) []byte { return append([]byte{kindPendingBatch}, bytes...) }
 
-// SealedBatch gives the bytes of the batch in a record; false = it holds none.
+// SealedBatch returns the encoded batch that a record contains; false if it contains none.
 func SealedBatch(rec []byte) ([]byte, bool) {
-	if len(rec) == 0 || rec[0] != kindSeal && rec[0] != kindKept {
+	if len(rec) == 0 || rec[0] != kindSeal && rec[0] != kindPendingBatch {
 		return nil, false
 	}
 	return rec[1:], true
 }
 
-// Next is the batch to be sent.
+// Next returns the batch to send next, the oldest pending one; false if none is pending.
 func (b *Book) Next() (Sealed, bool) {
 	if len(b.pending) == 0 {
 		return Sealed{}, false
@@ -263,11 +264,11 @@
 	return b.pending[0], true
 }
 
-// Pending are the batches that wait to be acknowledged, the oldest first.
+// Pending returns the batches that are not acknowledged, the oldest first.
 func (b *Book) Pending() []Sealed { return slices.Clone(b.pending) }
 
-// ProposeAck gives the record of an acknowledgement of the batch that Next gave. ok is false for any other: it
-// was not sent, or has been acknowledged.
+// ProposeAck returns the record that acknowledges the batch that Next returned. ok is false for any other batch: it was
+// never sent, or is acknowledged already.
 func (b *Book) ProposeAck(seq uint64, hash Hash) (rec []byte, ok bool) {
 	if len(b.pending) == 0 || b.pending[0].Seq != seq || b.pending[0].Hash != hash {
 		return nil, false
@@ -275,9 +276,9 @@
 	return record(kindAck, ackRecord{seq, hash}), true
 }
 
-func (b *Book) applyAck(r ackRecord) error {
-	if len(b.pending) == 0 || b.pending[0].Seq != r.Seq || b.pending[0].Hash != r.Hash {
-		return fmt.Errorf("%w: batch %d was acknowledged out of turn", ErrRecord, r.Seq)
+func (b *Book) applyAck(ack ackRecord) error {
+	if len(b.pending) == 0 || b.pending[0].Seq != ack.Seq || b.pending[0].Hash != ack.Hash {
+		return fmt.Errorf("%w: batch %d was acknowledged out of order", ErrRecord, ack.Seq)
 	}
 	b.pending = slices.Clone(b.pending[1:])
 	return nil
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -8,18 +8,18 @@
 	"slices"
 )
 
-// Bounds of a book.
+// Bounds of a ledger.
 const (
-	MaxNames       = 4096 // stands, and classes
-	MaxCorrections = 8192 // within the kept periods
-	MaxNotes       = 1024 // unclean ends and clock steps within the kept periods
-	maxOpen        = 64   // periods that are not closed: clocks step
-	batchLines     = 2000 // of one batch; the rest waits for the next
+	MaxNames       = 4096 // of stands, and as many of classes
+	MaxCorrections = 8192 // in the retained periods
+	MaxNotes       = 1024 // unclean stops in the retained periods, and as many clock steps
+	maxOpenPeriods = 64   // periods that are not closed; bounds what a stepping clock can open
+	maxBatchLines  = 2000 // lines in a batch; the rest goes into the next one
 )
 
-// Cell is what figures are summed by. Late marks entries whose own period was closed when they came.
+// Cell is the key by which use is summed. Late marks entries that arrived after their own period had closed.
 type Cell struct {
-	Period int64 // its start
+	Period int64 // its start, Unix milliseconds
 	Stand  uint16
 	Class  uint16
 	End    End
@@ -29,22 +29,22 @@
 
 func (a Cell) compare(b Cell) int {
 	return cmp.Or(cmp.Compare(a.Period, b.Period), cmp.Compare(a.Stand, b.Stand), cmp.Compare(a.Class, b.Class),
-		cmp.Compare(a.End, b.End), order(a.Replay, b.Replay), order(a.Late, b.Late))
+		cmp.Compare(a.End, b.End), compareBool(a.Replay, b.Replay), compareBool(a.Late, b.Late))
 }
 
-// order puts false before true.
-func order(a, b bool) int {
+// compareBool compares two booleans; false sorts before true.
+func compareBool(x, y bool) int {
 	switch {
-	case a == b:
+	case x == y:
 		return 0
-	case b:
+	case y:
 		return -1
 	default:
 		return 1
 	}
 }
 
-// Gap is a number of entries of one stand in one period that were not kept.
+// Gap is the number of entries of one stand in one period that were lost before they were recorded.
 type Gap struct {
 	Period  int64  `cbor:"1,keyasint"`
 	Stand   uint16 `cbor:"2,keyasint"`
@@ -56,115 +56,115 @@
 	stand  uint16
 }
 
-// Unclean is an incarnation that ended without notice. What it had not written is missing: of answered
-// requests none in strict mode while the machine went on, else up to AtMost entries.
+// Unclean is an incarnation that stopped without writing a stop record. Entries that it had not written are missing: up
+// to AtMost of them, but none of answered requests if it ran in strict mode and the machine was not rebooted since.
 type Unclean struct {
 	Incarnation uint32 `cbor:"1,keyasint" json:"incarnation"`
-	From        int64  `cbor:"2,keyasint" json:"from_ms"` // the last that is known of it
-	To          int64  `cbor:"3,keyasint" json:"to_ms"`   // the next start
+	From        int64  `cbor:"2,keyasint" json:"from_ms"` // last time at which it is known to have run
+	To          int64  `cbor:"3,keyasint" json:"to_ms"`   // start of the next incarnation
 	Strict      bool   `cbor:"4,keyasint" json:"strict"`
 	SameBoot    bool   `cbor:"5,keyasint" json:"same_boot"`
 	AtMost      int64  `cbor:"6,keyasint" json:"at_most"`
 }
 
-// Whole tells that no answered request is missing.
+// Whole reports that no answered request is missing.
 func (u Unclean) Whole() bool { return u.Strict && u.SameBoot }
 
-// sums are a cell's figures: all that was booked, and what of it is in no batch yet.
-type sums struct{ total, waiting Figures }
+// cellSums holds the use of a cell: all that was recorded, and the part of it that is in no batch yet.
+type cellSums struct{ total, unsealed Figures }
 
-// Sealed is a batch that waits to be acknowledged. Its bytes are in the caller's log.
+// Sealed identifies a batch that is not acknowledged yet. Its bytes are in the caller's log.
 type Sealed struct {
 	Seq  uint64 `cbor:"1,keyasint"`
 	Hash Hash   `cbor:"2,keyasint"`
-	Size int    `cbor:"3,keyasint"`
+	Size int    `cbor:"3,keyasint"` // bytes
 }
 
-// Policy is what the operator sets.
+// Policy holds the operator's settings.
 type Policy struct {
 	Calendar    Calendar
-	Grace       int64 // ms after a period's end until it closes
-	Keep        int   // closed periods whose figures stay here
-	ExportEvery int64 // ms between two batches
-	MaxPending  int   // bytes of batches that wait for the collector; beyond, use goes on to be summed here
-	MaxCells    int   // sums that are kept; an entry that needs a further one is refused
+	Grace       int64 // milliseconds from a period's end until it closes
+	Keep        int   // number of closed periods that are retained
+	ExportEvery int64 // milliseconds between two batches
+	MaxPending  int   // bytes of unacknowledged batches; above, no batch is sealed and use is summed in the ledger
+	MaxCells    int   // number of cells; an entry that needs another one is refused
 }
 
-// Book is the state of one box's ledger. All its changes are records: a method that begins with Propose gives
-// the record of a change, or says why it cannot be, and changes nothing; Apply carries a record out. The same
-// records in the same order give the same book. It is not safe for concurrent use.
+// Book is the ledger of one server, as a deterministic state machine. All its changes are records: a method whose name
+// begins with Propose returns the record of a change, or an error, and changes nothing; Apply carries out a record. The
+// same records in the same order produce the same state. It is not safe for concurrent use.
 type Book struct {
 	Box    string
 	ID     ID
 	policy Policy
 
-	start   Start
-	running bool // start is not followed by a stop
-	last    int64
-
-	stands, classes     []string
-	standAt, classAt    map[string]uint16
-	periods             map[int64]Period
-	closed              int64 // periods that end by then are closed
-	cells               map[Cell]*sums
-	gaps                map[gapKey]*[2]int64 // all, and in no batch yet
-	corrections         map[string]*Adjustment
-	adjusted            []string // ids of corrections in no batch yet
-	unclean             []Unclean
-	steps               []Step
-	uncleanOut, stepOut int // how many of them are in a batch
-
-	booked, sealed Figures // over all time
-	lost, lostOut  int64   // entries in gaps, and of them those in batches
-	seq            uint64  // of the newest batch
-	prev           Hash    // its hash
-	sealedAt       int64
-	told           int64 // closed, as the newest batch says it
-	pending        []Sealed
-	forgotten      int64 // figures of periods that end by then may be gone
-
-	cache Period // the period of the last entry
-}
-
-// NewBook gives the empty book of a box whose ledger begins at a time.
-func NewBook(box string, id ID, p Policy, at int64) *Book {
-	b := &Book{Box: box, ID: id, policy: p, standAt: map[string]uint16{}, classAt: map[string]uint16{}, periods: map[int64]Period{},
-		cells: map[Cell]*sums{}, gaps: map[gapKey]*[2]int64{}, corrections: map[string]*Adjustment{}, sealedAt: at, last: at}
-	b.closed = p.Calendar.At(at).Start
+	lastStart  Start
+	running    bool  // no stop record has followed start
+	lastActive int64 // latest time at which the incarnation is known to have run
+
+	stands, classes            []string
+	standNumbers, classNumbers map[string]uint16
+	periods                    map[int64]Period
+	closedThrough              int64 // periods that end by then are closed
+	cells                      map[Cell]*cellSums
+	gaps                       map[gapKey]*[2]int64 // entries: all, and those in no batch yet
+	corrections                map[string]*Adjustment
+	unsealedCorrections        []string // IDs of the corrections in no batch yet, in order
+	unclean                    []Unclean
+	steps                      []Step
+	uncleanSealed, stepsSealed int // how many of unclean and of steps are in batches
+
+	recorded, sealed       Figures  // since the ledger was created
+	missing, missingSealed int64    // entries in gaps, and those of them that are in batches
+	lastSeq                uint64   // sequence number of the newest batch
+	lastHash               Hash     // hash of the newest batch
+	sealedAt               int64    // when the newest batch was sealed
+	announcedThrough       int64    // value of closedThrough in the newest complete batch
+	pending                []Sealed // not acknowledged, the oldest first
+	droppedThrough         int64    // periods that end by then may have been dropped
+
+	lastPeriod Period // period of the last entry that was not late
+}
+
+// NewBook returns the empty ledger of a server, which begins at a time in Unix milliseconds.
+func NewBook(box string, id ID, policy Policy, at int64) *Book {
+	b := &Book{Box: box, ID: id, policy: policy, standNumbers: map[string]uint16{}, classNumbers: map[string]uint16{}, periods: map[int64]Period{},
+		cells: map[Cell]*cellSums{}, gaps: map[gapKey]*[2]int64{}, corrections: map[string]*Adjustment{}, sealedAt: at, lastActive: at}
+	b.closedThrough = policy.Calendar.At(at).Start
 	return b
 }
 
-// SetPolicy changes the policy; periods that are known stay as they are. Records are read under the calendar of the
-// snapshot before them, so a caller writes a snapshot after it.
-func (b *Book) SetPolicy(p Policy) { b.policy, b.cache = p, Period{} }
+// SetPolicy changes the policy; known periods keep their bounds. Records are replayed under the calendar of the
+// snapshot before them, so the caller writes a snapshot after this call.
+func (b *Book) SetPolicy(policy Policy) { b.policy, b.lastPeriod = policy, Period{} }
 
-// Apply carries out a record. After an error the book is as it was, but for the entries before one that cannot
-// be: no caller writes such a record, as Enter has refused it.
+// Apply carries out a record. After an error the state is unchanged, except that the entries of a group before an
+// invalid one are recorded: no caller writes such a group, because Enter has refused the entry.
 func (b *Book) Apply(rec []byte) error {
 	if len(rec) == 0 {
-		return fmt.Errorf("%w: it is empty", ErrRecord)
+		return fmt.Errorf("%w: the record is empty", ErrRecord)
 	}
 	body := rec[1:]
 	switch rec[0] {
 	case kindEntries:
-		return decodeEntries(body, b.enter)
+		return decodeEntries(body, b.applyEntry)
 	case kindNames:
-		return apply(body, b.applyNames)
+		return decodeAndApply(body, b.applyNames)
 	case kindStart:
-		return apply(body, b.applyStart)
+		return decodeAndApply(body, b.applyStart)
 	case kindStop:
-		return apply(body, func(r stopRecord) error {
-			b.running, b.last = false, max(b.last, r.At)
+		return decodeAndApply(body, func(r stopRecord) error {
+			b.running, b.lastActive = false, max(b.lastActive, r.At)
 			return nil
 		})
 	case kindClose:
-		return apply(body, b.applyClose)
+		return decodeAndApply(body, b.applyClose)
 	case kindCorrection:
-		return apply(body, b.applyCorrection)
+		return decodeAndApply(body, b.applyCorrection)
 	case kindGap:
-		return apply(body, b.applyGap)
+		return decodeAndApply(body, b.applyGap)
 	case kindClock:
-		return apply(body, func(s Step) error {
+		return decodeAndApply(body, func(s Step) error {
 			if len(b.steps) < MaxNotes {
 				b.steps = append(b.steps, s)
 			}
@@ -173,12 +173,12 @@
 	case kindSeal:
 		return b.applySeal(body)
 	case kindAck:
-		return apply(body, b.applyAck)
+		return decodeAndApply(body, b.applyAck)
 	case kindSnapshot:
-		return apply(body, b.restore)
-	case kindKept:
+		return decodeAndApply(body, b.restore)
+	case kindPendingBatch:
 		if h := SumOf(body); !slices.ContainsFunc(b.pending, func(s Sealed) bool { return s.Hash == h }) {
-			return fmt.Errorf("%w: a kept batch that does not wait", ErrRecord)
+			return fmt.Errorf("%w: the kept batch is not pending", ErrRecord)
 		}
 		return nil
 	default:
@@ -186,18 +186,18 @@
 	}
 }
 
-func apply[T any](body []byte, do func(T) error) error {
-	v, err := decode[T](body)
+func decodeAndApply[T any](body []byte, applyValue func(T) error) error {
+	value, err := decode[T](body)
 	if err != nil {
 		return err
 	}
-	return do(v)
+	return applyValue(value)
 }
 
-// ProposeNames gives the record of stands and classes that are not known yet; nil = all are. Names keep their
-// numbers for good.
+// ProposeNames returns the record that adds the stands and classes that are not known yet; nil = all are known. A name
+// keeps its number for the life of the ledger.
 func (b *Book) ProposeNames(stands, classes []string) ([]byte, error) {
-	r := namesRecord{Stands: unknownNames(stands, b.standAt), Classes: unknownNames(classes, b.classAt)}
+	r := namesRecord{Stands: unknownNames(stands, b.standNumbers), Classes: unknownNames(classes, b.classNumbers)}
 	if len(b.stands)+len(r.Stands) > MaxNames || len(b.classes)+len(r.Classes) > MaxNames {
 		return nil, fmt.Errorf("more than %d names of stands or classes", MaxNames)
 	}
@@ -207,7 +207,7 @@
 	return record(kindNames, r), nil
 }
 
-// unknownNames returns the names that are not known, each once, in their order.
+// unknownNames returns the names that are not known, without duplicates, in their order.
 func unknownNames(names []string, known map[string]uint16) []string {
 	var unknown []string
 	seen := map[string]bool{}
@@ -221,298 +221,302 @@
 	return unknown
 }
 
-func (b *Book) applyNames(r namesRecord) error {
-	for _, n := range r.Stands {
-		b.standAt[n] = uint16(len(b.stands))
-		b.stands = append(b.stands, n)
+func (b *Book) applyNames(names namesRecord) error {
+	for _, name := range names.Stands {
+		b.standNumbers[name] = uint16(len(b.stands))
+		b.stands = append(b.stands, name)
 	}
-	for _, n := range r.Classes {
-		b.classAt[n] = uint16(len(b.classes))
-		b.classes = append(b.classes, n)
+	for _, name := range names.Classes {
+		b.classNumbers[name] = uint16(len(b.classes))
+		b.classes = append(b.classes, name)
 	}
 	return nil
 }
 
-// Names tells how many stands and classes are known.
+// Names returns the number of known stands and classes.
 func (b *Book) Names() (stands, classes int) { return len(b.stands), len(b.classes) }
 
-// Stand gives the number of a stand.
-func (b *Book) Stand(name string) (uint16, bool) { n, ok := b.standAt[name]; return n, ok }
+// Stand returns the number of a stand; false if it is unknown.
+func (b *Book) Stand(name string) (uint16, bool) { n, ok := b.standNumbers[name]; return n, ok }
 
-// Class gives the number of a class.
-func (b *Book) Class(name string) (uint16, bool) { n, ok := b.classAt[name]; return n, ok }
+// Class returns the number of a class; false if it is unknown.
+func (b *Book) Class(name string) (uint16, bool) { n, ok := b.classNumbers[name]; return n, ok }
 
-// ProposeStart gives the record of this start of the box.
-func (b *Book) ProposeStart(s Start) []byte {
-	s.Incarnation = b.start.Incarnation + 1
-	return record(kindStart, s)
+// ProposeStart returns the record of a start of the server, with the next incarnation number.
+func (b *Book) ProposeStart(start Start) []byte {
+	start.Incarnation = b.lastStart.Incarnation + 1
+	return record(kindStart, start)
 }
 
-func (b *Book) applyStart(s Start) error {
-	if s.Incarnation != b.start.Incarnation+1 {
-		return fmt.Errorf("%w: incarnation %d after %d", ErrRecord, s.Incarnation, b.start.Incarnation)
+func (b *Book) applyStart(start Start) error {
+	if start.Incarnation != b.lastStart.Incarnation+1 {
+		return fmt.Errorf("%w: incarnation %d after %d", ErrRecord, start.Incarnation, b.lastStart.Incarnation)
 	}
 	if b.running && len(b.unclean) < MaxNotes {
-		b.unclean = append(b.unclean, Unclean{Incarnation: b.start.Incarnation, From: min(b.last, s.At), To: max(b.last, s.At),
-			Strict: b.start.Strict, SameBoot: b.start.Boot == s.Boot && s.Boot != "", AtMost: b.start.AtMost})
+		b.unclean = append(b.unclean, Unclean{Incarnation: b.lastStart.Incarnation, From: min(b.lastActive, start.At), To: max(b.lastActive, start.At),
+			Strict: b.lastStart.Strict, SameBoot: b.lastStart.Boot == start.Boot && start.Boot != "", AtMost: b.lastStart.AtMost})
 	}
-	b.start, b.running, b.last = s, true, s.At
+	b.lastStart, b.running, b.lastActive = start, true, start.At
 	return nil
 }
 
-// Incarnation numbers the starts of this box, from 1.
-func (b *Book) Incarnation() uint32 { return b.start.Incarnation }
+// Incarnation returns the number of the current start of the server, from 1.
+func (b *Book) Incarnation() uint32 { return b.lastStart.Incarnation }
 
-// Stop is the record of an end with nothing left to write.
+// Stop returns the record of a clean stop, after everything else was written.
 func (b *Book) Stop(at int64) []byte { return record(kindStop, stopRecord{at}) }
 
-// StepRecord is the record of a step of the clock.
+// StepRecord returns the record of a step of the clock.
 func (b *Book) StepRecord(s Step) []byte { return record(kindClock, s) }
 
-// Period gives the period that an entry of a time lands in: its own, or the first that is not closed.
-func (b *Book) period(at int64) (p Period, late bool) {
-	if at >= b.cache.Start && at < b.cache.End && b.cache.End > b.closed {
-		return b.cache, false
+// assignPeriod returns the period to which an entry of a time is assigned: its own, or if that is closed the first open
+// one. late is true if it is not its own.
+func (b *Book) assignPeriod(at int64) (period Period, late bool) {
+	if at >= b.lastPeriod.Start && at < b.lastPeriod.End && b.lastPeriod.End > b.closedThrough {
+		return b.lastPeriod, false
 	}
-	if p = b.policy.Calendar.At(at); p.End <= b.closed {
-		p, late = b.policy.Calendar.At(b.closed), true
+	if period = b.policy.Calendar.At(at); period.End <= b.closedThrough {
+		period, late = b.policy.Calendar.At(b.closedThrough), true
 	}
-	if known, ok := b.periods[p.Start]; ok { // as it was cut when it began
-		p = known
-	} else if b.crowded() {
-		p, late = b.latest(), true
+	if known, ok := b.periods[period.Start]; ok { // keeps the bounds that it had when it became known
+		period = known
+	} else if b.atOpenLimit() {
+		period, late = b.latestPeriod(), true
 	} else {
-		b.periods[p.Start] = p
+		b.periods[period.Start] = period
 	}
 	if !late {
-		b.cache = p
+		b.lastPeriod = period
 	}
-	return p, late
+	return period, late
 }
 
-// crowded tells that no further period can be open: the clock is out of its mind. What comes then is booked in the
-// newest period, marked late.
-func (b *Book) crowded() bool {
+// atOpenLimit reports whether the limit of open periods is reached, which only a faulty clock causes. Further entries
+// are then recorded in the newest period and marked late.
+func (b *Book) atOpenLimit() bool {
 	open := 0
-	for _, p := range b.periods {
-		if p.End > b.closed {
+	for _, period := range b.periods {
+		if period.End > b.closedThrough {
 			open++
 		}
 	}
-	return open >= maxOpen
+	return open >= maxOpenPeriods
 }
 
-func (b *Book) latest() Period { return b.periods[slices.Max(slices.Collect(maps.Keys(b.periods)))] }
+func (b *Book) latestPeriod() Period {
+	return b.periods[slices.Max(slices.Collect(maps.Keys(b.periods)))]
+}
 
-// ErrFull is a book whose sums nobody has taken for so long that there is no room for more. Its caller names such
-// entries as missing.
-var ErrFull = errors.New("the book is full")
+// ErrFull is returned when the ledger has MaxCells cells, because batches were not collected for too long. The caller
+// records such entries as missing.
+var ErrFull = errors.New("the ledger is full")
 
-// Enter books an entry as its record would, for a caller that writes the records of a group behind it. What it
-// takes the record gives back whatever the policy is then.
-func (b *Book) Enter(e Entry) error {
+// Enter records an entry as its record would, for a caller that writes one record for a group of entries afterwards. An
+// entry that it accepts is accepted by Apply on replay, under any policy.
+func (b *Book) Enter(entry Entry) error {
 	if len(b.cells) >= b.policy.MaxCells {
-		p, late := b.period(e.Began)
-		if b.cells[Cell{p.Start, e.Stand, e.Class, e.End, e.Replay, late}] == nil {
-			return fmt.Errorf("%w: %d sums", ErrFull, len(b.cells))
+		period, late := b.assignPeriod(entry.Began)
+		if b.cells[Cell{period.Start, entry.Stand, entry.Class, entry.End, entry.Replay, late}] == nil {
+			return fmt.Errorf("%w: %d cells", ErrFull, len(b.cells))
 		}
 	}
-	return b.enter(e)
+	return b.applyEntry(entry)
 }
 
-func (b *Book) enter(e Entry) error {
-	if int(e.Stand) >= len(b.stands) || int(e.Class) >= len(b.classes) {
-		return fmt.Errorf("%w: an entry of stand %d and class %d", ErrRecord, e.Stand, e.Class)
+func (b *Book) applyEntry(entry Entry) error {
+	if int(entry.Stand) >= len(b.stands) || int(entry.Class) >= len(b.classes) {
+		return fmt.Errorf("%w: entry of unknown stand %d or class %d", ErrRecord, entry.Stand, entry.Class)
 	}
-	p, late := b.period(e.Began)
-	booked, err := b.booked.Add(e.Figures)
+	period, late := b.assignPeriod(entry.Began)
+	booked, err := b.recorded.Add(entry.Figures)
 	if err != nil {
 		return err
 	}
-	c := Cell{p.Start, e.Stand, e.Class, e.End, e.Replay, late}
-	if err := b.sum(c, e.Figures, e.Figures); err != nil {
+	cell := Cell{period.Start, entry.Stand, entry.Class, entry.End, entry.Replay, late}
+	if err := b.addToCell(cell, entry.Figures, entry.Figures); err != nil {
 		return err
 	}
-	b.booked, b.last = booked, max(b.last, e.Ended)
+	b.recorded, b.lastActive = booked, max(b.lastActive, entry.Ended)
 	return nil
 }
 
-// sum adds to a cell, both or neither.
-func (b *Book) sum(c Cell, total, waiting Figures) error {
-	s := b.cells[c]
-	if s == nil {
-		s = &sums{}
-		b.cells[c] = s
+// addToCell adds to a cell. On overflow neither sum changes.
+func (b *Book) addToCell(cell Cell, total, unsealed Figures) error {
+	sum := b.cells[cell]
+	if sum == nil {
+		sum = &cellSums{}
+		b.cells[cell] = sum
 	}
-	t, err := s.total.Add(total)
+	newTotal, err := sum.total.Add(total)
 	if err != nil {
 		return err
 	}
-	w, err := s.waiting.Add(waiting)
+	newUnsealed, err := sum.unsealed.Add(unsealed)
 	if err != nil {
 		return err
 	}
-	s.total, s.waiting = t, w
+	sum.total, sum.unsealed = newTotal, newUnsealed
 	return nil
 }
 
-// EntriesRecord is the record of entries that were entered.
-func EntriesRecord(list []Entry) []byte { return encodeEntries(list) }
+// EntriesRecord returns the record of entries that Enter accepted.
+func EntriesRecord(entries []Entry) []byte { return encodeEntries(entries) }
 
-// ProposeClose gives the record that closes all periods whose grace is over; nil = none is. The period that
-// now lies in becomes known.
+// ProposeClose returns the record that closes all periods whose grace has passed; nil = there is none.
 func (b *Book) ProposeClose(now int64) []byte {
-	if p := b.policy.Calendar.At(now - b.policy.Grace); p.Start > b.closed {
-		return record(kindClose, closeRecord{p.Start})
+	if period := b.policy.Calendar.At(now - b.policy.Grace); period.Start > b.closedThrough {
+		return record(kindClose, closeRecord{period.Start})
 	}
 	return nil
 }
 
 func (b *Book) applyClose(r closeRecord) error {
-	if r.Through <= b.closed {
-		return fmt.Errorf("%w: closed through %d after %d", ErrRecord, r.Through, b.closed)
+	if r.Through <= b.closedThrough {
+		return fmt.Errorf("%w: closed through %d after %d", ErrRecord, r.Through, b.closedThrough)
 	}
-	b.closed, b.last = r.Through, max(b.last, r.Through)
-	b.forget()
+	b.closedThrough, b.lastActive = r.Through, max(b.lastActive, r.Through)
+	b.dropOldPeriods()
 	return nil
 }
 
-// forget drops the oldest closed periods beyond those kept, once all of them is in batches.
-func (b *Book) forget() {
+// dropOldPeriods drops the oldest closed periods beyond the number retained, as far as they are completely in batches.
+func (b *Book) dropOldPeriods() {
 	var closed []int64
-	for start, p := range b.periods {
-		if p.End <= b.closed {
+	for start, period := range b.periods {
+		if period.End <= b.closedThrough {
 			closed = append(closed, start)
 		}
 	}
 	slices.Sort(closed)
 	for _, start := range closed[:max(0, len(closed)-b.policy.Keep)] {
-		if b.drop(start) != nil {
+		if b.dropPeriod(start) != nil {
 			return
 		}
 	}
 }
 
-var errWaits = errors.New("something of the period is in no batch yet")
+var errUnsealed = errors.New("the period has unsealed use")
 
-func (b *Book) drop(start int64) error {
-	for c, s := range b.cells {
-		if c.Period == start && !s.waiting.Zero() {
-			return errWaits
+// dropPeriod removes a period and what belongs to it, unless some of it is in no batch yet.
+func (b *Book) dropPeriod(start int64) error {
+	for cell, sum := range b.cells {
+		if cell.Period == start && !sum.unsealed.Zero() {
+			return errUnsealed
 		}
 	}
-	for g, n := range b.gaps {
-		if g.period == start && n[1] != 0 {
-			return errWaits
+	for key, counts := range b.gaps {
+		if key.period == start && counts[1] != 0 {
+			return errUnsealed
 		}
 	}
-	for _, id := range b.adjusted {
+	for _, id := range b.unsealedCorrections {
 		if b.corrections[id].Lands.Start == start {
-			return errWaits
+			return errUnsealed
 		}
 	}
-	maps.DeleteFunc(b.cells, func(c Cell, _ *sums) bool { return c.Period == start })
-	maps.DeleteFunc(b.gaps, func(g gapKey, _ *[2]int64) bool { return g.period == start })
-	maps.DeleteFunc(b.corrections, func(_ string, a *Adjustment) bool { return a.Lands.Start == start })
+	maps.DeleteFunc(b.cells, func(cell Cell, _ *cellSums) bool { return cell.Period == start })
+	maps.DeleteFunc(b.gaps, func(key gapKey, _ *[2]int64) bool { return key.period == start })
+	maps.DeleteFunc(b.corrections, func(_ string, adjustment *Adjustment) bool { return adjustment.Lands.Start == start })
 	end := b.periods[start].End
-	old := 0
-	for old < b.uncleanOut && b.unclean[old].To < end {
-		old++
+	dropped := 0
+	for dropped < b.uncleanSealed && b.unclean[dropped].To < end {
+		dropped++
 	}
-	b.unclean, b.uncleanOut = b.unclean[old:], b.uncleanOut-old
-	old = 0
-	for old < b.stepOut && b.steps[old].At < end {
-		old++
+	b.unclean, b.uncleanSealed = b.unclean[dropped:], b.uncleanSealed-dropped
+	dropped = 0
+	for dropped < b.stepsSealed && b.steps[dropped].At < end {
+		dropped++
 	}
-	b.steps, b.stepOut = b.steps[old:], b.stepOut-old
+	b.steps, b.stepsSealed = b.steps[dropped:], b.stepsSealed-dropped
 	delete(b.periods, start)
-	b.forgotten = max(b.forgotten, end)
+	b.droppedThrough = max(b.droppedThrough, end)
 	return nil
 }
 
-// GapRecord is the record of entries that are missing, by the time at which they were lost.
+// GapRecord returns the record of lost entries, counted by stand, in the period of the time at which they were lost.
 func (b *Book) GapRecord(lost map[uint16]int64, at int64) []byte {
-	p := b.policy.Calendar.At(at)
-	if p.End <= b.closed {
-		p = b.policy.Calendar.At(b.closed)
+	period := b.policy.Calendar.At(at)
+	if period.End <= b.closedThrough {
+		period = b.policy.Calendar.At(b.closedThrough)
 	}
-	var r gapRecord
+	var gaps gapRecord
 	for _, stand := range slices.Sorted(maps.Keys(lost)) {
-		r.Gaps = append(r.Gaps, Gap{p.Start, stand, lost[stand]})
+		gaps.Gaps = append(gaps.Gaps, Gap{period.Start, stand, lost[stand]})
 	}
-	return record(kindGap, r)
+	return record(kindGap, gaps)
 }
 
 func (b *Book) applyGap(r gapRecord) error {
-	for _, g := range r.Gaps {
-		if int(g.Stand) >= len(b.stands) || g.Entries < 0 {
-			return fmt.Errorf("%w: a gap of %d entries of stand %d", ErrRecord, g.Entries, g.Stand)
+	for _, gap := range r.Gaps {
+		if int(gap.Stand) >= len(b.stands) || gap.Entries < 0 {
+			return fmt.Errorf("%w: gap of %d entries of stand %d", ErrRecord, gap.Entries, gap.Stand)
 		}
 	}
-	for _, g := range r.Gaps {
-		p, _ := b.period(g.Period)
-		k := gapKey{p.Start, g.Stand}
-		if b.gaps[k] == nil {
-			b.gaps[k] = &[2]int64{}
+	for _, gap := range r.Gaps {
+		period, _ := b.assignPeriod(gap.Period)
+		key := gapKey{period.Start, gap.Stand}
+		if b.gaps[key] == nil {
+			b.gaps[key] = &[2]int64{}
 		}
-		b.gaps[k][0] += g.Entries
-		b.gaps[k][1] += g.Entries
-		b.lost += g.Entries
+		b.gaps[key][0] += gap.Entries
+		b.gaps[key][1] += gap.Entries
+		b.missing += gap.Entries
 	}
 	return nil
 }
 
-// State is where a period stands.
+// State is the state of a period.
 type State uint8
 
-// The states of a period. Figures of a closed one never change.
+// The states of a period. The use of a closed period never changes.
 const (
-	Open State = iota
-	Closing
+	Open    State = iota // it has not ended
+	Closing              // it has ended, and its grace is not over
 	Closed
 )
 
 func (s State) String() string { return [...]string{"open", "closing", "closed"}[s] }
 
-// StateOf gives the state of a period at a time.
-func (b *Book) StateOf(p Period, now int64) State {
+// StateOf returns the state of a period at a time.
+func (b *Book) StateOf(period Period, now int64) State {
 	switch {
-	case p.End <= b.closed:
+	case period.End <= b.closedThrough:
 		return Closed
-	case p.End <= now:
+	case period.End <= now:
 		return Closing
 	default:
 		return Open
 	}
 }
 
-// Periods are the known periods, the oldest first.
+// Periods returns the known periods, the oldest first.
 func (b *Book) Periods() []Period {
-	out := slices.Collect(maps.Values(b.periods))
-	slices.SortFunc(out, func(a, b Period) int { return cmp.Compare(a.Start, b.Start) })
-	return out
+	periods := slices.Collect(maps.Values(b.periods))
+	slices.SortFunc(periods, func(a, b Period) int { return cmp.Compare(a.Start, b.Start) })
+	return periods
 }
 
-// Totals are sums over the ledger's whole life: what was booked is what is in batches and what waits, and
-// entries named as missing are apart from it.
+// Totals holds sums since the ledger was created: all recorded use, the part in batches and the part in none. Lost
+// counts the entries recorded as missing; they are not in the other sums.
 type Totals struct {
 	Booked, Sealed, Waiting Figures
-	Lost                    int64
+	Lost                    int64 // entries
 	Batches, Acknowledged   uint64
-	PendingBytes            int
+	PendingBytes            int // of batches that are not acknowledged
 }
 
-// Totals adds up. The sum of what waits is taken cell by cell, so that Booked = Sealed + Waiting is a check.
+// Totals returns the totals. Waiting is summed cell by cell, so that Booked = Sealed + Waiting is an invariant that
+// callers can check.
 func (b *Book) Totals() (t Totals, err error) {
-	for _, s := range b.cells {
-		if t.Waiting, err = t.Waiting.Add(s.waiting); err != nil {
+	for _, sum := range b.cells {
+		if t.Waiting, err = t.Waiting.Add(sum.unsealed); err != nil {
 			return t, err
 		}
 	}
-	t.Booked, t.Sealed, t.Lost, t.Batches = b.booked, b.sealed, b.lost, b.seq
-	t.Acknowledged = b.seq - uint64(len(b.pending))
-	for _, p := range b.pending {
-		t.PendingBytes += p.Size
+	t.Booked, t.Sealed, t.Lost, t.Batches = b.recorded, b.sealed, b.missing, b.lastSeq
+	t.Acknowledged = b.lastSeq - uint64(len(b.pending))
+	for _, batch := range b.pending {
+		t.PendingBytes += batch.Size
 	}
 	return t, nil
 }
--- a/internal/ledger/clock.go
+++ b/internal/ledger/clock.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Clock turns the time since the start into wall-clock time that steps only when the wall clock has stepped
-// for good. Guards the billing periods against a clock that jumps ahead for a moment: a period that it closed
+// Clock converts the time since the process started to wall-clock time. It follows a step of the wall clock only once
+// the step has lasted, because a clock that jumps ahead for a moment would close billing periods, and a closed period
 // cannot be opened again. Adjustments of up to Tolerance are followed at once.
 type Clock struct {
-	Tolerance time.Duration // 0 = 2 s
-	Settle    time.Duration // a step has to stand so long; 0 = 60 s
+	Tolerance time.Duration // 0 = 2 seconds
+	Settle    time.Duration // how long a step has to last before it is followed; 0 = 60 seconds
 
-	set    bool
-	offset time.Duration // wall clock less the time since the start
-	other  time.Duration // the offset that is being tried
-	since  time.Duration
-	trying bool
+	started        bool          // a reading was observed
+	offset         time.Duration // wall clock minus the time since the start, as followed
+	candidate      time.Duration // offset after a step that is not followed yet
+	candidateSince time.Duration // when that step was first observed, as a time since the start
+	hasCandidate   bool          // other and since are set
 }
 
 // Step is a step of the wall clock that was followed.
 type Step struct {
-	At int64 `cbor:"1,keyasint" json:"at_ms"` // by the clock before it, Unix milliseconds
-	By int64 `cbor:"2,keyasint" json:"by_ms"` // positive = forward
+	At int64 `cbor:"1,keyasint" json:"at_ms"` // by the clock before the step, Unix milliseconds
+	By int64 `cbor:"2,keyasint" json:"by_ms"` // milliseconds, positive = forward
 }
 
-// Observe takes a reading of the wall clock at a time since the start. It tells of a step when it follows one.
+// Observe takes a reading of the wall clock at a time since the start. When it begins to follow a step, it returns that
+// step and true.
 func (c *Clock) Observe(wall time.Time, since time.Duration) (Step, bool) {
 	tolerance, settle := c.Tolerance, c.Settle
 	if tolerance == 0 {
@@ -34,19 +35,19 @@
 	offset := time.Duration(wall.UnixNano()) - since
 	near := func(a, b time.Duration) bool { return a-b <= tolerance && b-a <= tolerance }
 	switch {
-	case !c.set || near(offset, c.offset):
-		c.set, c.trying, c.offset = true, false, offset
-	case !c.trying || !near(offset, c.other):
-		c.trying, c.other, c.since = true, offset, since
-	case since-c.since >= settle:
+	case !c.started || near(offset, c.offset):
+		c.started, c.hasCandidate, c.offset = true, false, offset
+	case !c.hasCandidate || !near(offset, c.candidate):
+		c.hasCandidate, c.candidate, c.candidateSince = true, offset, since
+	case since-c.candidateSince >= settle:
 		step := Step{At: c.Wall(since), By: (offset - c.offset).Milliseconds()}
-		c.trying, c.offset = false, offset
+		c.hasCandidate, c.offset = false, offset
 		return step, true
 	default:
-		c.other = offset
+		c.candidate = offset
 	}
 	return Step{}, false
 }
 
-// Wall gives the wall-clock time of a time since the start, in Unix milliseconds.
+// Wall returns the wall-clock time of a time since the start, in Unix milliseconds.
 func (c *Clock) Wall(since time.Duration) int64 { return (c.offset + since).Milliseconds() }
--- a/internal/ledger/correct.go
+++ b/internal/ledger/correct.go
@@ -7,7 +7,7 @@
 	"unicode"
 )
 
-// Why a correction is refused.
+// Errors of ProposeCorrection and Statement.
 var (
 	ErrPeriod   = errors.New("unknown period")
 	ErrStand    = errors.New("unknown stand")
@@ -17,7 +17,8 @@
 	ErrMany     = errors.New("too many corrections")
 )
 
-// Correction is an operator's signed adjustment of a period. Class may be empty: it is then the stand's alone.
+// Correction is a signed adjustment of a stand's use in a period, entered by an operator. An empty Class means that it
+// belongs to no class.
 type Correction struct {
 	ID      string  `cbor:"1,keyasint" json:"id"`
 	Reason  string  `cbor:"2,keyasint" json:"reason"`
@@ -27,26 +28,28 @@
 	Figures Figures `cbor:"6,keyasint" json:"figures"`
 }
 
-// Adjustment is a correction as it was booked. Lands is the period that it changes: the one it concerns, or
-// the one that was open when that was closed already.
+// Adjustment is a recorded correction. Lands is the period that it changes: the one that it concerns, or if that was
+// closed already, the period that was open when the correction was recorded.
 type Adjustment struct {
 	Correction Correction `cbor:"1,keyasint" json:"correction"`
 	Concerns   Period     `cbor:"2,keyasint" json:"concerns"`
 	Lands      Period     `cbor:"3,keyasint" json:"lands"`
-	At         int64      `cbor:"4,keyasint" json:"at_ms"`
+	At         int64      `cbor:"4,keyasint" json:"at_ms"` // when it was recorded, Unix milliseconds
 }
 
-// Carried tells that the period it concerns was closed.
+// Carried reports whether the correction went into a later period, because the one that it concerns was closed.
 func (a Adjustment) Carried() bool { return a.Concerns.Start != a.Lands.Start }
 
+// check returns an error unless the ID and the reason are printable texts within their bounds and the amounts are not
+// all 0.
 func (c Correction) check() error {
-	plain := func(s string, most int) bool {
-		return s != "" && len(s) <= most && strings.IndexFunc(s, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
+	isPrintable := func(text string, maxBytes int) bool {
+		return text != "" && len(text) <= maxBytes && strings.IndexFunc(text, func(r rune) bool { return !unicode.IsPrint(r) }) < 0
 	}
 	switch {
-	case !plain(c.ID, 64):
+	case !isPrintable(c.ID, 64):
 		return fmt.Errorf("%w: the id has 1 to 64 printable characters", ErrBad)
-	case !plain(c.Reason, 200):
+	case !isPrintable(c.Reason, 200):
 		return fmt.Errorf("%w: the reason has 1 to 200 printable characters", ErrBad)
 	case c.Figures.Zero():
 		return fmt.Errorf("%w: it changes nothing", ErrBad)
@@ -54,69 +57,69 @@
 	return nil
 }
 
-// ProposeCorrection gives the record of a correction; nil without an error = it is booked already.
-func (b *Book) ProposeCorrection(c Correction, now int64) ([]byte, error) {
-	if err := c.check(); err != nil {
+// ProposeCorrection returns the record of a correction; nil without an error = the same correction is recorded already.
+func (b *Book) ProposeCorrection(correction Correction, now int64) ([]byte, error) {
+	if err := correction.check(); err != nil {
 		return nil, err
 	}
-	if had := b.corrections[c.ID]; had != nil {
-		if had.Correction != c {
-			return nil, fmt.Errorf("%w: %s", ErrConflict, c.ID)
+	if known := b.corrections[correction.ID]; known != nil {
+		if known.Correction != correction {
+			return nil, fmt.Errorf("%w: %s", ErrConflict, correction.ID)
 		}
 		return nil, nil
 	}
-	if _, ok := b.standAt[c.Stand]; !ok {
-		return nil, fmt.Errorf("%w %q", ErrStand, c.Stand)
+	if _, ok := b.standNumbers[correction.Stand]; !ok {
+		return nil, fmt.Errorf("%w %q", ErrStand, correction.Stand)
 	}
-	if _, ok := b.classAt[c.Class]; !ok && c.Class != "" {
-		return nil, fmt.Errorf("%w %q", ErrClass, c.Class)
+	if _, ok := b.classNumbers[correction.Class]; !ok && correction.Class != "" {
+		return nil, fmt.Errorf("%w %q", ErrClass, correction.Class)
 	}
 	if len(b.corrections) >= MaxCorrections {
 		return nil, fmt.Errorf("%w: %d", ErrMany, MaxCorrections)
 	}
-	p, ok := b.named(c.Period, now)
+	period, ok := b.periodNamed(correction.Period, now)
 	if !ok {
-		return nil, fmt.Errorf("%w %q", ErrPeriod, c.Period)
+		return nil, fmt.Errorf("%w %q", ErrPeriod, correction.Period)
 	}
-	a := Adjustment{Correction: c, Concerns: p, Lands: p, At: now}
-	if p.End <= b.closed {
-		a.Lands, _ = b.period(max(now, b.closed))
+	adjustment := Adjustment{Correction: correction, Concerns: period, Lands: period, At: now}
+	if period.End <= b.closedThrough {
+		adjustment.Lands, _ = b.assignPeriod(max(now, b.closedThrough))
 	}
-	if _, err := b.adjustments(a.Lands.Start, c.Stand, c.Figures); err != nil {
+	if _, err := b.checkedTotal(adjustment.Lands.Start, correction.Stand, correction.Figures); err != nil {
 		return nil, err
 	}
-	return record(kindCorrection, a), nil
+	return record(kindCorrection, adjustment), nil
 }
 
-// named finds a period that has begun and is still kept.
-func (b *Book) named(name string, now int64) (Period, bool) {
-	for _, p := range b.periods {
-		if p.Name == name && p.Start <= now {
-			return p, true
+// periodNamed returns the period of a name, if it has begun and is still retained.
+func (b *Book) periodNamed(name string, now int64) (Period, bool) {
+	for _, period := range b.periods {
+		if period.Name == name && period.Start <= now {
+			return period, true
 		}
 	}
-	p, ok := b.policy.Calendar.Named(name)
-	if !ok || p.Start > now || p.End <= b.closed { // closed, and nothing of it is kept
+	period, ok := b.policy.Calendar.Named(name)
+	if !ok || period.Start > now || period.End <= b.closedThrough { // it is closed, and nothing of it is retained
 		return Period{}, false
 	}
-	return p, true
+	return period, true
 }
 
-// adjustments sums a stand's corrections of a period and one more. Guards against a statement that cannot be
-// added up.
-func (b *Book) adjustments(period int64, stand string, more Figures) (Figures, error) {
-	sum := more
+// checkedTotal adds up a stand's use and corrections in a period, and one more correction. An overflow is an error, so
+// that no accepted correction makes a statement of the period overflow.
+func (b *Book) checkedTotal(period int64, stand string, added Figures) (Figures, error) {
+	sum := added
 	var err error
-	for _, a := range b.corrections {
-		if a.Lands.Start == period && a.Correction.Stand == stand {
-			if sum, err = sum.Add(a.Correction.Figures); err != nil {
+	for _, adjustment := range b.corrections {
+		if adjustment.Lands.Start == period && adjustment.Correction.Stand == stand {
+			if sum, err = sum.Add(adjustment.Correction.Figures); err != nil {
 				return sum, err
 			}
 		}
 	}
-	for c, s := range b.cells {
-		if c.Period == period && b.stands[c.Stand] == stand {
-			if sum, err = sum.Add(s.total); err != nil {
+	for cell, cellSum := range b.cells {
+		if cell.Period == period && b.stands[cell.Stand] == stand {
+			if sum, err = sum.Add(cellSum.total); err != nil {
 				return sum, err
 			}
 		}
@@ -124,16 +127,16 @@
 	return sum, nil
 }
 
-func (b *Book) applyCorrection(a Adjustment) error {
-	if b.corrections[a.Correction.ID] != nil {
-		return fmt.Errorf("%w: correction %s twice", ErrRecord, a.Correction.ID)
+func (b *Book) applyCorrection(adjustment Adjustment) error {
+	if b.corrections[adjustment.Correction.ID] != nil {
+		return fmt.Errorf("%w: correction %s is recorded already", ErrRecord, adjustment.Correction.ID)
 	}
-	for _, p := range []Period{a.Concerns, a.Lands} {
-		if _, ok := b.periods[p.Start]; !ok {
-			b.periods[p.Start] = p
+	for _, period := range []Period{adjustment.Concerns, adjustment.Lands} {
+		if _, ok := b.periods[period.Start]; !ok {
+			b.periods[period.Start] = period
 		}
 	}
-	b.corrections[a.Correction.ID] = &a
-	b.adjusted = append(b.adjusted, a.Correction.ID)
+	b.corrections[adjustment.Correction.ID] = &adjustment
+	b.unsealedCorrections = append(b.unsealedCorrections, adjustment.Correction.ID)
 	return nil
 }
--- a/internal/ledger/figures.go
+++ b/internal/ledger/figures.go
@@ -1,8 +1,8 @@
-// Package ledger is the ledger of use without I/O: what was used by which stand in which billing period, what
-// of it has left in which batch, and what is missing. It is driven by its caller, who brings the time, keeps
-// its records in a log and gives them back in order after a crash.
+// Package ledger records use for billing, without I/O: how much each stand (the customer that is billed) used in each
+// billing period, which use was exported in which batch, and which entries are missing. The caller supplies the time,
+// writes the ledger's records to a log and replays them in order after a crash.
 //
-// All figures are integers, and every sum is checked: nothing is rounded twice and nothing wraps round.
+// All amounts are integers and every sum is checked for overflow, so that no amount is rounded twice or wraps around.
 package ledger
 
 import (
@@ -10,35 +10,35 @@
 	"fmt"
 )
 
-// The figures of use, in the order of Figures.
+// Indexes of Figures: what is measured.
 const (
-	Requests = iota // requests that ended
-	Worth           // micro-worth that they earned
-	Run             // microseconds that their runs took
-	Held            // kilobyte-milliseconds of memory that they had booked
-	Calls           // calls below
-	In              // bytes of bodies that came
-	Out             // bytes of results that went
-	figures
+	Requests    = iota // number of requests that ended
+	Worth              // worth that they earned, in millionths
+	Run                // run time, in microseconds
+	Held               // memory that was reserved for them, in kilobyte-milliseconds
+	Calls              // number of downstream calls
+	In                 // bytes of request bodies
+	Out                // bytes of results
+	figureCount        // number of indexes
 )
 
-// FigureNames are the names of the figures on paper and in files.
-var FigureNames = [figures]string{"requests", "worth_micro", "run_us", "held_kb_ms", "calls", "bytes_in", "bytes_out"}
+// FigureNames are the names in statements, files and commands, by index.
+var FigureNames = [figureCount]string{"requests", "worth_micro", "run_us", "held_kb_ms", "calls", "bytes_in", "bytes_out"}
 
-// Figures is an amount of use. Corrections may be negative.
-type Figures [figures]int64
+// Figures is an amount of use, by the indexes above. Corrections may be negative.
+type Figures [figureCount]int64
 
-// ErrOverflow is a sum beyond 64 bits.
+// ErrOverflow is returned for a sum that does not fit into 64 bits.
 var ErrOverflow = errors.New("the sum is too large")
 
-// Add gives f + g. A sum overflows if its sign is neither of its parts'.
+// Add returns f + g. A sum overflows if its sign differs from the signs of both operands.
 func (f Figures) Add(g Figures) (Figures, error) {
-	sum, over := f, int64(0)
+	sum, overflowed := f, int64(0)
 	for i, x := range g {
 		sum[i] += x
-		over |= (f[i] ^ sum[i]) & (x ^ sum[i])
+		overflowed |= (f[i] ^ sum[i]) & (x ^ sum[i])
 	}
-	if over < 0 {
+	if overflowed < 0 {
 		for i, x := range g {
 			if (f[i]^sum[i])&(x^sum[i]) < 0 {
 				return Figures{}, fmt.Errorf("%s: %w", FigureNames[i], ErrOverflow)
@@ -48,7 +48,7 @@
 	return sum, nil
 }
 
-// Neg gives -f.
+// Neg returns -f.
 func (f Figures) Neg() (Figures, error) {
 	for i, x := range f {
 		if x == -x && x != 0 {
@@ -59,27 +59,28 @@
 	return f, nil
 }
 
-// Zero tells that nothing was used.
+// Zero reports whether all amounts are 0.
 func (f Figures) Zero() bool { return f == Figures{} }
 
-func add(a, b int64) (int64, bool) {
-	s := a + b
-	return s, (a^s)&(b^s) >= 0
+// checkedAdd returns a + b; false if the sum overflows.
+func checkedAdd(a, b int64) (int64, bool) {
+	sum := a + b
+	return sum, (a^sum)&(b^sum) >= 0
 }
 
 // End is how a request ended.
 type End uint8
 
-// The ends.
+// The ways in which a request ends.
 const (
 	ServedInAim    End = iota // served within its class's aim
-	ServedLate                // served, but later
-	Refused                   // turned away; it never ran
+	ServedLate                // served after the aim
+	Refused                   // refused; it never ran
 	Failed                    // answered with an error; it may have run
-	WithdrawnRan              // its caller gave up after a run had begun
-	WithdrawnUnrun            // its caller gave up before that
-	Rejected                  // it could not be a request, or its token belongs to another body; it never ran
-	Ends                      // how many there are
+	WithdrawnRan              // canceled by the caller after a run had started
+	WithdrawnUnrun            // canceled by the caller before any run started
+	Rejected                  // invalid, or its token was used with another body; it never ran
+	Ends                      // number of values
 )
 
 var endNames = [Ends]string{"served", "late", "refused", "failed", "withdrawn-ran", "withdrawn", "rejected"}
--- a/internal/ledger/peers.go
+++ b/internal/ledger/peers.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// PeriodState is what a box has sealed of a period, as it tells its peers. Its encoding is one for one content,
-// so that equal digests are equal states.
+// PeriodState is the use that a server has sealed in a period, as it reports it to its peers. Its encoding is
+// deterministic, so that equal digests mean equal states.
 type PeriodState struct {
 	Version     int          `cbor:"1,keyasint"`
 	Box         string       `cbor:"2,keyasint"`
@@ -22,100 +22,100 @@
 	Unclean     []Unclean    `cbor:"9,keyasint,omitempty"`
 }
 
-// Digest names the state of one period of one box. Seq is the box's newest batch when it told, and all periods that
-// end by Closed are closed there. A box that knows no period tells one with Start 0 and no hash.
+// Digest identifies the state of one period of one server. A server that knows no period reports one digest with Start
+// 0 and no hash.
 type Digest struct {
 	Box    string `cbor:"1,keyasint" json:"box"`
 	Ledger ID     `cbor:"2,keyasint" json:"ledger"`
 	Start  int64  `cbor:"3,keyasint" json:"start_ms"`
-	Seq    uint64 `cbor:"4,keyasint" json:"seq"`
+	Seq    uint64 `cbor:"4,keyasint" json:"seq"` // newest batch of the server when it reported
 	Hash   Hash   `cbor:"5,keyasint" json:"hash"`
-	Closed int64  `cbor:"6,keyasint" json:"closed_ms"`
-	Gone   int64  `cbor:"7,keyasint" json:"gone_ms"` // periods that end by then may not be told any longer
+	Closed int64  `cbor:"6,keyasint" json:"closed_ms"` // all periods that end by then are closed there
+	Gone   int64  `cbor:"7,keyasint" json:"gone_ms"`   // periods that end by then may have been dropped there
 }
 
-// EncodeDigests and DecodeDigests are the form in which digests travel.
-func EncodeDigests(list []Digest) []byte { return encode(list) }
+// EncodeDigests encodes digests for a peer.
+func EncodeDigests(digests []Digest) []byte { return encode(digests) }
 
-// DecodeDigests reads digests again.
+// DecodeDigests decodes what EncodeDigests returned.
 func DecodeDigests(b []byte) ([]Digest, error) { return decode[[]Digest](b) }
 
-// PeriodStates gives the sealed part of all known periods, each encoded, with its digest.
+// PeriodStates returns the encoded sealed part of each known period, and their digests in the same order.
 func (b *Book) PeriodStates() (digests []Digest, states [][]byte) {
-	for _, p := range b.Periods() {
-		s := PeriodState{Version: batchVersion, Box: b.Box, Ledger: b.ID, Period: p, Closed: p.End <= b.told, Unclean: b.unclean[:b.uncleanOut]}
+	for _, period := range b.Periods() {
+		state := PeriodState{Version: batchVersion, Box: b.Box, Ledger: b.ID, Period: period, Closed: period.End <= b.announcedThrough, Unclean: b.unclean[:b.uncleanSealed]}
 		var cells []Cell
-		for c := range b.cells {
-			if c.Period == p.Start {
-				cells = append(cells, c)
+		for cell := range b.cells {
+			if cell.Period == period.Start {
+				cells = append(cells, cell)
 			}
 		}
 		slices.SortFunc(cells, Cell.compare)
-		for _, c := range cells {
-			v := b.cells[c]
-			neg, _ := v.waiting.Neg() // both were added to without an overflow
-			if f, err := v.total.Add(neg); err == nil && !f.Zero() {
-				s.Lines = append(s.Lines, Line{0, b.stands[c.Stand], b.classes[c.Class], c.End, c.Replay, c.Late, f})
+		for _, cell := range cells {
+			sum := b.cells[cell]
+			negative, _ := sum.unsealed.Neg() // cannot overflow: additions to both were checked
+			if sealed, err := sum.total.Add(negative); err == nil && !sealed.Zero() {
+				state.Lines = append(state.Lines, Line{0, b.stands[cell.Stand], b.classes[cell.Class], cell.End, cell.Replay, cell.Late, sealed})
 			}
 		}
-		for _, a := range b.corrections {
-			if a.Lands.Start == p.Start && !slices.Contains(b.adjusted, a.Correction.ID) {
-				s.Adjustments = append(s.Adjustments, *a)
+		for _, adjustment := range b.corrections {
+			if adjustment.Lands.Start == period.Start && !slices.Contains(b.unsealedCorrections, adjustment.Correction.ID) {
+				state.Adjustments = append(state.Adjustments, *adjustment)
 			}
 		}
-		slices.SortFunc(s.Adjustments, func(x, y Adjustment) int { return cmp.Compare(x.Correction.ID, y.Correction.ID) })
-		for _, g := range b.gapKeys() {
-			if n := b.gaps[g]; g.period == p.Start && n[0] > n[1] {
-				s.Missing = append(s.Missing, Missing{0, b.stands[g.stand], n[0] - n[1]})
+		slices.SortFunc(state.Adjustments, func(x, y Adjustment) int { return cmp.Compare(x.Correction.ID, y.Correction.ID) })
+		for _, key := range b.gapKeys() {
+			if counts := b.gaps[key]; key.period == period.Start && counts[0] > counts[1] {
+				state.Missing = append(state.Missing, Missing{0, b.stands[key.stand], counts[0] - counts[1]})
 			}
 		}
-		bytes := encode(s)
+		bytes := encode(state)
 		states = append(states, bytes)
-		digests = append(digests, Digest{b.Box, b.ID, p.Start, b.seq, SumOf(bytes), b.told, b.forgotten})
+		digests = append(digests, Digest{b.Box, b.ID, period.Start, b.lastSeq, SumOf(bytes), b.announcedThrough, b.droppedThrough})
 	}
 	if len(digests) == 0 {
-		return []Digest{{Box: b.Box, Ledger: b.ID, Seq: b.seq, Closed: b.told, Gone: b.forgotten}}, [][]byte{nil}
+		return []Digest{{Box: b.Box, Ledger: b.ID, Seq: b.lastSeq, Closed: b.announcedThrough, Gone: b.droppedThrough}}, [][]byte{nil}
 	}
 	return digests, states
 }
 
-// decodeState reads a state and checks what it says of itself.
+// decodeState decodes a state and checks that its contents are consistent.
 func decodeState(bytes []byte) (*PeriodState, error) {
 	if len(bytes) > MaxBatch {
 		return nil, fmt.Errorf("%w: a state of %d bytes", ErrRecord, len(bytes))
 	}
-	s, err := decode[PeriodState](bytes)
+	state, err := decode[PeriodState](bytes)
 	if err != nil {
 		return nil, err
 	}
-	if s.Version != batchVersion {
-		return nil, fmt.Errorf("state of version %d: %w", s.Version, ErrNewer)
+	if state.Version != batchVersion {
+		return nil, fmt.Errorf("state of version %d: %w", state.Version, ErrNewer)
 	}
-	bad := s.Box == "" || s.Period.Name == "" || s.Period.End <= s.Period.Start
-	for _, l := range s.Lines {
-		bad = bad || l.Period != 0 || l.End >= Ends
+	bad := state.Box == "" || state.Period.Name == "" || state.Period.End <= state.Period.Start
+	for _, line := range state.Lines {
+		bad = bad || line.Period != 0 || line.End >= Ends
 	}
-	for _, m := range s.Missing {
-		bad = bad || m.Period != 0 || m.Entries < 0
+	for _, missing := range state.Missing {
+		bad = bad || missing.Period != 0 || missing.Entries < 0
 	}
-	for _, a := range s.Adjustments {
-		bad = bad || a.Correction.check() != nil
+	for _, adjustment := range state.Adjustments {
+		bad = bad || adjustment.Correction.check() != nil
 	}
 	if bad {
-		return nil, fmt.Errorf("%w: a state of %q cannot be", ErrRecord, s.Box)
+		return nil, fmt.Errorf("%w: the state of %q is inconsistent", ErrRecord, state.Box)
 	}
-	return &s, nil
+	return &state, nil
 }
 
-// Why what a peer told is not taken.
+// Errors of Peers.Compare and Peers.Take.
 var (
-	ErrNotIts = errors.New("only a box itself speaks for its ledger")
-	ErrOld    = errors.New("it has told newer before")
-	ErrChange = errors.New("a closed period was changed")
-	ErrPeer   = errors.New("too much for one peer")
+	ErrNotIts = errors.New("only a server itself reports its ledger")
+	ErrOld    = errors.New("the report is older than an earlier one")
+	ErrChange = errors.New("a closed period has changed")
+	ErrPeer   = errors.New("too many periods of one peer")
 )
 
-// maxPeerPeriods bounds what is kept of one box.
+// maxPeerPeriods bounds the number of states that are kept of one server.
 const maxPeerPeriods = 1024
 
 type stateKey struct {
@@ -129,190 +129,193 @@
 	state  *PeriodState
 }
 
-// Peers is what one box has of the others: the newest state of each period that each box told of itself. It
-// does no I/O. What others say of a box is only held against what that box said.
+// Peers holds what one server knows of the others: the newest state of each period that each server reported of itself.
+// It does no I/O. What a server reports of another one is only compared with that server's own reports.
 type Peers struct {
-	self   string
-	held   map[stateKey]heldState
-	newest map[string]uint64 // by box: the highest sequence that it told of itself
-	closed map[string]int64  // by box: up to when it has closed
-	gone   map[string]int64  // by box: up to when it may have forgotten
-	doubts map[string]bool   // what does not fit, in words
+	self            string
+	states          map[stateKey]heldState
+	newestSeq       map[string]uint64 // by server: the highest sequence number that it reported of itself
+	closedThrough   map[string]int64  // by server: it has closed the periods that end by then
+	droppedThrough  map[string]int64  // by server: it may have dropped the periods that end by then
+	inconsistencies map[string]bool   // inconsistencies found, as text for the operator
 }
 
-// NewPeers begins with nothing.
+// NewPeers returns a table without reports for the server of a name.
 func NewPeers(self string) *Peers {
-	return &Peers{self: self, held: map[stateKey]heldState{}, newest: map[string]uint64{}, closed: map[string]int64{}, gone: map[string]int64{}, doubts: map[string]bool{}}
+	return &Peers{self: self, states: map[stateKey]heldState{}, newestSeq: map[string]uint64{}, closedThrough: map[string]int64{}, droppedThrough: map[string]int64{}, inconsistencies: map[string]bool{}}
 }
 
 func keyOf(d Digest) stateKey { return stateKey{d.Box, d.Ledger, d.Start} }
 
-// Digests gives those of all held states, for other peers to hold against theirs.
-func (p *Peers) Digests() (out []Digest) {
-	for _, h := range p.held {
-		out = append(out, h.digest)
+// Digests returns the digests of all held states, sorted, for other peers to compare with theirs.
+func (p *Peers) Digests() (digests []Digest) {
+	for _, held := range p.states {
+		digests = append(digests, held.digest)
 	}
-	slices.SortFunc(out, func(a, b Digest) int {
+	slices.SortFunc(digests, func(a, b Digest) int {
 		return cmp.Or(cmp.Compare(a.Box, b.Box), slices.Compare(a.Ledger[:], b.Ledger[:]), cmp.Compare(a.Start, b.Start))
 	})
-	return out
+	return digests
 }
 
-// Compare takes what a peer told and gives the digests of its own states that have to be fetched. It notes where
-// the peer is older than it was, and where it says of another box what that box did not say.
-func (p *Peers) Compare(from string, list []Digest) (fetch []Digest, err error) {
-	for _, d := range list {
-		h, have := p.held[keyOf(d)]
+// Compare processes the digests that a peer reported, and returns those of the peer's own states that have to be
+// fetched. It records an inconsistency if the peer reports an older batch than before, or another hash of a third
+// server's state than that server reported itself.
+func (p *Peers) Compare(from string, digests []Digest) (fetch []Digest, err error) {
+	for _, digest := range digests {
+		held, known := p.states[keyOf(digest)]
 		switch {
-		case d.Box == p.self: // this box knows itself
-		case d.Box != from:
-			if have && d.Seq == h.digest.Seq && d.Hash != h.digest.Hash {
-				p.doubt("%s says of %s what %s did not say", from, d.Box, d.Box)
+		case digest.Box == p.self: // this server needs no report of itself
+		case digest.Box != from:
+			if known && digest.Seq == held.digest.Seq && digest.Hash != held.digest.Hash {
+				p.recordInconsistency("%s says of %s what %s did not say", from, digest.Box, digest.Box)
 			}
-		case d.Seq < p.newest[from]:
-			p.doubt("%s tells batch %d after batch %d: its files are older than they were", from, d.Seq, p.newest[from])
+		case digest.Seq < p.newestSeq[from]:
+			p.recordInconsistency("%s tells batch %d after batch %d: its files are older than they were", from, digest.Seq, p.newestSeq[from])
 			return nil, fmt.Errorf("%s: %w", from, ErrOld)
-		case d.Hash == Hash{}: // it is there, and knows no period
-		case !have || h.digest.Hash != d.Hash:
-			fetch = append(fetch, d)
+		case digest.Hash == Hash{}: // the peer knows no period yet
+		case !known || held.digest.Hash != digest.Hash:
+			fetch = append(fetch, digest)
 		default:
-			h.digest.Seq = d.Seq
-			p.held[keyOf(d)] = h
+			held.digest.Seq = digest.Seq
+			p.states[keyOf(digest)] = held
 		}
 	}
-	for _, d := range list {
-		if d.Box == from {
-			p.newest[from] = max(p.newest[from], d.Seq)
-			p.closed[from] = max(p.closed[from], d.Closed)
-			p.gone[from] = max(p.gone[from], d.Gone)
+	for _, digest := range digests {
+		if digest.Box == from {
+			p.newestSeq[from] = max(p.newestSeq[from], digest.Seq)
+			p.closedThrough[from] = max(p.closedThrough[from], digest.Closed)
+			p.droppedThrough[from] = max(p.droppedThrough[from], digest.Gone)
 		}
 	}
 	return fetch, nil
 }
 
-// Take takes a state that was fetched from the box that it is of.
-func (p *Peers) Take(from string, d Digest, bytes []byte) error {
-	s, err := decodeState(bytes)
+// Take stores a state that was fetched, under the digest for which it was fetched. It accepts it only from the server
+// itself.
+func (p *Peers) Take(from string, digest Digest, bytes []byte) error {
+	state, err := decodeState(bytes)
 	if err != nil {
 		return fmt.Errorf("%s: %w", from, err)
 	}
-	k := keyOf(d)
-	h, have := p.held[k]
-	of := 0
-	for other := range p.held {
+	key := keyOf(digest)
+	held, known := p.states[key]
+	count := 0
+	for other := range p.states {
 		if other.box == from {
-			of++
+			count++
 		}
 	}
 	switch {
-	case s.Box != from || d.Box != from:
-		p.doubt("%s speaks for %s", from, s.Box)
+	case state.Box != from || digest.Box != from:
+		p.recordInconsistency("%s speaks for %s", from, state.Box)
 		return fmt.Errorf("%s: %w", from, ErrNotIts)
-	case s.Ledger != d.Ledger || s.Period.Start != d.Start || SumOf(bytes) != d.Hash:
-		return fmt.Errorf("%s: %w: another state than it told of", from, ErrRecord)
-	case have && h.state.Closed:
-		p.doubt("%s changed its closed period %s", from, s.Period.Name)
-		return fmt.Errorf("%s, period %s: %w", from, s.Period.Name, ErrChange)
-	case !have && of >= maxPeerPeriods:
+	case state.Ledger != digest.Ledger || state.Period.Start != digest.Start || SumOf(bytes) != digest.Hash:
+		return fmt.Errorf("%s: %w: the state does not match its digest", from, ErrRecord)
+	case known && held.state.Closed:
+		p.recordInconsistency("%s changed its closed period %s", from, state.Period.Name)
+		return fmt.Errorf("%s, period %s: %w", from, state.Period.Name, ErrChange)
+	case !known && count >= maxPeerPeriods:
 		return fmt.Errorf("%s: %w", from, ErrPeer)
 	}
-	p.held[k] = heldState{d, s}
+	p.states[key] = heldState{digest, state}
 	return nil
 }
 
-func (p *Peers) doubt(f string, x ...any) {
-	if len(p.doubts) < MaxNotes {
-		p.doubts[fmt.Sprintf(f, x...)] = true
+// recordInconsistency records an inconsistency, up to MaxNotes of them.
+func (p *Peers) recordInconsistency(format string, args ...any) {
+	if len(p.inconsistencies) < MaxNotes {
+		p.inconsistencies[fmt.Sprintf(format, args...)] = true
 	}
 }
 
-// Doubts are all that did not fit so far, in order.
-func (p *Peers) Doubts() (out []string) {
-	for d := range p.doubts {
-		out = append(out, d)
+// Doubts returns all inconsistencies found so far, sorted.
+func (p *Peers) Doubts() (doubts []string) {
+	for doubt := range p.inconsistencies {
+		doubts = append(doubts, doubt)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(doubts)
+	return doubts
 }
 
-// Statement is the fleet's statement of a period: this box's own sealed states, as PeriodStates gives them, and
-// those held. Boxes are the others that must have closed the period.
+// Statement returns the statement of a period over all servers. It covers this server's own states, as PeriodStates
+// returned them, and the states that were received. boxes are the other servers that must have closed the period.
 func (p *Peers) Statement(name string, own []Digest, states [][]byte, boxes []string) (Statement, error) {
 	var all []*PeriodState
 	for _, bytes := range states {
 		if bytes == nil {
 			continue
 		}
-		s, err := decodeState(bytes)
+		state, err := decodeState(bytes)
 		if err != nil {
 			return Statement{}, err
 		}
-		all = append(all, s)
+		all = append(all, state)
 	}
-	for _, d := range p.Digests() {
-		all = append(all, p.held[keyOf(d)].state)
+	for _, digest := range p.Digests() {
+		all = append(all, p.states[keyOf(digest)].state)
 	}
-	slices.SortFunc(all, func(a, b *PeriodState) int {
-		return cmp.Or(cmp.Compare(a.Box, b.Box), slices.Compare(a.Ledger[:], b.Ledger[:]))
+	slices.SortFunc(all, func(x, y *PeriodState) int {
+		return cmp.Or(cmp.Compare(x.Box, y.Box), slices.Compare(x.Ledger[:], y.Ledger[:]))
 	})
-	var a *account
-	adjust := map[string]Correction{}
-	told := map[string]bool{}
-	for _, s := range all {
-		if s.Period.Name != name {
+	var builder *statementBuilder
+	corrections := map[string]Correction{}
+	reported := map[string]bool{}
+	for _, state := range all {
+		if state.Period.Name != name {
 			continue
 		}
-		if a == nil {
-			a = newAccount(s.Period)
-		} else if a.period != s.Period {
-			a.note("the boxes do not agree on the bounds of %s", name)
+		if builder == nil {
+			builder = newStatementBuilder(state.Period)
+		} else if builder.period != state.Period {
+			builder.addReason("the boxes do not agree on the bounds of %s", name)
 		}
-		told[s.Box] = true
-		if err := a.state(s, adjust); err != nil {
+		reported[state.Box] = true
+		if err := builder.addState(state, corrections); err != nil {
 			return Statement{}, err
 		}
 	}
-	if a == nil {
+	if builder == nil {
 		return Statement{}, fmt.Errorf("%w %q", ErrPeriod, name)
 	}
-	state := Closed
-	through, gone := maps.Clone(p.closed), maps.Clone(p.gone)
-	for _, d := range own {
-		through[p.self], gone[p.self] = d.Closed, d.Gone
+	periodState := Closed
+	through, gone := maps.Clone(p.closedThrough), maps.Clone(p.droppedThrough)
+	for _, digest := range own {
+		through[p.self], gone[p.self] = digest.Closed, digest.Gone
 	}
 	for _, box := range append([]string{p.self}, boxes...) {
-		if through[box] < a.period.End {
-			state = Open
-			a.note("%s has not closed the period", box)
-		} else if !told[box] && gone[box] >= a.period.End {
-			a.note("%s may have forgotten the period before it was asked", box)
+		if through[box] < builder.period.End {
+			periodState = Open
+			builder.addReason("%s has not closed the period", box)
+		} else if !reported[box] && gone[box] >= builder.period.End {
+			builder.addReason("%s may have forgotten the period before it was asked", box)
 		}
 	}
-	a.why = append(a.why, p.Doubts()...)
-	return a.statement(state)
+	builder.reasons = append(builder.reasons, p.Doubts()...)
+	return builder.build(periodState)
 }
 
-// state adds what a box has sealed.
-func (a *account) state(s *PeriodState, adjust map[string]Correction) error {
-	for _, l := range s.Lines {
-		if err := a.use(Row{l.Stand, l.Class, l.End.String(), l.Replay, l.Late, l.Figures}); err != nil {
+// addState adds the sealed state of a server.
+func (a *statementBuilder) addState(state *PeriodState, corrections map[string]Correction) error {
+	for _, line := range state.Lines {
+		if err := a.addRow(Row{line.Stand, line.Class, line.End.String(), line.Replay, line.Late, line.Figures}); err != nil {
 			return err
 		}
 	}
-	for _, x := range s.Adjustments {
-		had, ok := adjust[x.Correction.ID]
+	for _, adjustment := range state.Adjustments {
+		known, ok := corrections[adjustment.Correction.ID]
 		if !ok {
-			adjust[x.Correction.ID] = x.Correction
-			a.adjust = append(a.adjust, x)
-		} else if had != x.Correction {
-			a.note("correction %s is there with two contents", x.Correction.ID)
+			corrections[adjustment.Correction.ID] = adjustment.Correction
+			a.adjustments = append(a.adjustments, adjustment)
+		} else if known != adjustment.Correction {
+			a.addReason("correction %s is there with two contents", adjustment.Correction.ID)
 		}
 	}
-	for _, m := range s.Missing {
-		a.missing[m.Stand] += m.Entries
+	for _, missing := range state.Missing {
+		a.missing[missing.Stand] += missing.Entries
 	}
-	for _, u := range s.Unclean {
-		a.unclean(s.Box, u)
+	for _, unclean := range state.Unclean {
+		a.addUnclean(state.Box, unclean)
 	}
 	return nil
 }
--- a/internal/ledger/peers_test.go
+++ b/internal/ledger/peers_test.go
@@ -10,42 +10,44 @@
 	"pgregory.net/rapid"
 )
 
-const fifteen = "2026-12-01T15+0530"
+// firstPeriod is the name of the period that starts at 15:00 local time, which contains start.
+const firstPeriod = "2026-12-01T15+0530"
 
-func named(t testing.TB, box string) *Book {
+// newPeerBook returns the ledger of a server, which retains 10 periods.
+func newPeerBook(t testing.TB, box string) *Book {
 	t.Helper()
-	p := policy(t, "hour", "Asia/Kolkata")
+	p := testPolicy(t, "hour", "Asia/Kolkata")
 	p.Keep = 10
 	b := NewBook(box, ID{box[1]}, p, start)
 	names, err := b.ProposeNames([]string{"", "north", "south"}, []string{"quote", "book"})
-	apply1(t, b, names, err)
-	apply1(t, b, b.ProposeStart(Start{At: start, Strict: true, Boot: "x"}), nil)
+	mustApply(t, b, names, err)
+	mustApply(t, b, b.ProposeStart(Start{At: start, Strict: true, Boot: "x"}), nil)
 	return b
 }
 
-// sync has to ask from, as the network would.
-func sync(to *Peers, from *Book, others []Digest) error {
-	digests, states := from.PeriodStates()
-	fetch, err := to.Compare(from.Box, append(slices.Clone(digests), others...))
+// fetchStates fetches the states of one server into the table of another, as package peers does over the network.
+func fetchStates(peers *Peers, ledger *Book, others []Digest) error {
+	digests, states := ledger.PeriodStates()
+	fetch, err := peers.Compare(ledger.Box, append(slices.Clone(digests), others...))
 	for _, d := range fetch {
 		i := slices.Index(digests, d)
 		if err == nil {
-			err = to.Take(from.Box, d, states[i])
+			err = peers.Take(ledger.Box, d, states[i])
 		}
 	}
 	return err
 }
 
-// However use, seals and rounds follow each other, boxes that asked everybody last hold the same statement, and
-// it is what the exports say.
+// Use, corrections, batches and exchanges between three servers come in random order. After a last exchange with all
+// others, every server has the same statement, and the exported batches yield it too.
 func TestPeersHoldTheSameStatement(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		books := []*Book{named(t, "n1"), named(t, "n2"), named(t, "n3")}
+		books := []*Book{newPeerBook(t, "n1"), newPeerBook(t, "n2"), newPeerBook(t, "n3")}
 		tables := []*Peers{NewPeers("n1"), NewPeers("n2"), NewPeers("n3")}
 		var exports Exports
 		round := func(i, j int) {
 			if i != j {
-				if err := sync(tables[i], books[j], tables[j].Digests()); err != nil {
+				if err := fetchStates(tables[i], books[j], tables[j].Digests()); err != nil {
 					r.Fatal(err)
 				}
 			}
@@ -53,15 +55,15 @@
 		r.Repeat(map[string]func(*rapid.T){
 			"use": func(r *rapid.T) {
 				b := rapid.SampledFrom(books).Draw(r, "box")
-				apply1(t, b, EntriesRecord([]Entry{entry(start+rapid.Int64Range(1000, 3*hour).Draw(r, "at"), uint16(rapid.IntRange(0, 2).Draw(r, "stand")), ServedInAim)}), nil)
+				mustApply(t, b, EntriesRecord([]Entry{entry(start+rapid.Int64Range(1000, 3*hour).Draw(r, "at"), uint16(rapid.IntRange(0, 2).Draw(r, "stand")), ServedInAim)}), nil)
 			},
-			"seal": func(r *rapid.T) { exports.Add(seal(t, rapid.SampledFrom(books).Draw(r, "box"), start)) },
+			"seal": func(r *rapid.T) { exports.Add(sealBatch(t, rapid.SampledFrom(books).Draw(r, "box"), start)) },
 			"correct": func(r *rapid.T) {
 				b := rapid.SampledFrom(books).Draw(r, "box")
 				id := fmt.Sprint("c", rapid.IntRange(0, 3).Draw(r, "id"))
-				rec, err := b.ProposeCorrection(Correction{ID: id, Reason: "r", Period: fifteen, Stand: "north", Figures: Figures{0, 1}}, start)
+				rec, err := b.ProposeCorrection(Correction{ID: id, Reason: "r", Period: firstPeriod, Stand: "north", Figures: Figures{0, 1}}, start)
 				if rec != nil {
-					apply1(t, b, rec, err)
+					mustApply(t, b, rec, err)
 				}
 			},
 			"round": func(r *rapid.T) {
@@ -69,9 +71,9 @@
 			},
 		})
 		for _, b := range books {
-			apply1(t, b, EntriesRecord([]Entry{entry(start+1000, 1, ServedLate)}), nil)
-			apply1(t, b, b.ProposeClose(start+5*hour), nil)
-			exports.Add(seal(t, b, start))
+			mustApply(t, b, EntriesRecord([]Entry{entry(start+1000, 1, ServedLate)}), nil)
+			mustApply(t, b, b.ProposeClose(start+5*hour), nil)
+			exports.Add(sealBatch(t, b, start))
 		}
 		for i := range 3 {
 			for j := range 3 {
@@ -90,107 +92,108 @@
 				if err != nil {
 					r.Fatal(err)
 				}
-				// An adjustment that two boxes have is either's: only when it was booked differs.
+				// A correction recorded at two servers appears once, from either of them.
 				if diff := cmp.Diff(want, got); diff != "" {
-					r.Fatalf("%s at %s: exports -, peers +\n%s", p.Name, b.Box, diff)
+					r.Fatalf("statement of %s at %s (-exports +peers):\n%s", p.Name, b.Box, diff)
 				}
 			}
 		}
 	})
 }
 
-// A peer that is old, speaks for another, changes what it closed, or tells one thing and hands out another is
-// found out; what was held of the others stays.
-func TestPeersThatLie(t *testing.T) {
-	n2 := named(t, "n2")
-	apply1(t, n2, EntriesRecord([]Entry{entry(start+1000, 1, ServedInAim)}), nil)
-	seal(t, n2, start)
+// A peer whose files are older than before, that reports another server's state, changes a closed period or serves a
+// state other than its digest is detected. The states received before are kept.
+func TestInconsistentPeers(t *testing.T) {
+	n2 := newPeerBook(t, "n2")
+	mustApply(t, n2, EntriesRecord([]Entry{entry(start+1000, 1, ServedInAim)}), nil)
+	sealBatch(t, n2, start)
 	old := n2.Snapshot()
-	apply1(t, n2, EntriesRecord([]Entry{entry(start+2000, 1, ServedInAim)}), nil)
-	seal(t, n2, start)
-	apply1(t, n2, n2.ProposeClose(start+2*hour), nil)
-	seal(t, n2, start)
+	mustApply(t, n2, EntriesRecord([]Entry{entry(start+2000, 1, ServedInAim)}), nil)
+	sealBatch(t, n2, start)
+	mustApply(t, n2, n2.ProposeClose(start+2*hour), nil)
+	sealBatch(t, n2, start)
 	digests, states := n2.PeriodStates()
-	fresh := func() *Peers {
+	newPeers := func() *Peers {
 		p := NewPeers("n1")
-		if err := sync(p, n2, nil); err != nil {
+		if err := fetchStates(p, n2, nil); err != nil {
 			t.Fatal(err)
 		}
 		return p
 	}
-	lie := digests[0]
-	lie.Hash = Hash{1}
+	wrong := digests[0]
+	wrong.Hash = Hash{1}
 	foreign := digests[0]
 	foreign.Box = "n3"
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		do    func(*Peers) error
 		want  error
 		doubt string
 	}{
-		"old files": {func(p *Peers) error {
-			b := named(t, "n2")
-			apply1(t, b, old, nil)
-			return sync(p, b, nil)
+		"older files": {func(p *Peers) error {
+			b := newPeerBook(t, "n2")
+			mustApply(t, b, old, nil)
+			return fetchStates(p, b, nil)
 		}, ErrOld, "n2 tells batch 1 after batch 3: its files are older than they were"},
-		"speaks for another": {func(p *Peers) error { return p.Take("n3", foreign, states[0]) }, ErrNotIts, "n3 speaks for n2"},
+		"reports another server's state": {func(p *Peers) error { return p.Take("n3", foreign, states[0]) }, ErrNotIts, "n3 speaks for n2"},
 		"changes a closed period": {func(p *Peers) error {
-			b := named(t, "n2")
-			apply1(t, b, n2.Snapshot(), nil)
+			b := newPeerBook(t, "n2")
+			mustApply(t, b, n2.Snapshot(), nil)
 			for _, s := range b.cells {
 				s.total[Worth]++
 			}
-			return sync(p, b, nil)
-		}, ErrChange, "n2 changed its closed period " + fifteen},
-		"another state than told": {func(p *Peers) error { return p.Take("n2", lie, states[0]) }, ErrRecord, ""},
-		"lies about another": {func(p *Peers) error {
-			_, err := p.Compare("n3", []Digest{lie})
+			return fetchStates(p, b, nil)
+		}, ErrChange, "n2 changed its closed period " + firstPeriod},
+		"a state that does not match its digest": {func(p *Peers) error { return p.Take("n2", wrong, states[0]) }, ErrRecord, ""},
+		"a wrong digest of another server": {func(p *Peers) error {
+			_, err := p.Compare("n3", []Digest{wrong})
 			return err
 		}, nil, "n3 says of n2 what n2 did not say"},
 		"garbage": {func(p *Peers) error { return p.Take("n2", digests[0], []byte("x")) }, ErrRecord, ""},
 	} {
-		p := fresh()
-		was := p.Digests()
-		if err := x.do(p); !errors.Is(err, x.want) {
+		p := newPeers()
+		before := p.Digests()
+		if err := test.do(p); !errors.Is(err, test.want) {
 			t.Errorf("%s: %v", name, err)
 		}
 		want := []string(nil)
-		if x.doubt != "" {
-			want = []string{x.doubt}
+		if test.doubt != "" {
+			want = []string{test.doubt}
 		}
-		if !cmp.Equal(want, p.Doubts()) || !cmp.Equal(was, p.Digests()) {
+		if !cmp.Equal(want, p.Doubts()) || !cmp.Equal(before, p.Digests()) {
 			t.Errorf("%s: %v", name, p.Doubts())
 		}
-		s, err := p.Statement(fifteen, nil, nil, nil)
-		if err != nil || s.Complete || // n1 itself has not closed it
+		s, err := p.Statement(firstPeriod, nil, nil, nil)
+		if err != nil || s.Complete || // n1 itself has not closed the period
 			s.Total.Used[Requests] != 2 {
 			t.Errorf("%s: %+v, %v", name, s, err)
 		}
 	}
 }
 
-// A box that has forgotten a period before anybody asked leaves the statement incomplete.
-func TestPeerThatHasForgotten(t *testing.T) {
-	n1, n2 := named(t, "n1"), named(t, "n2")
+// The statement is incomplete if a server dropped the period before its state was fetched.
+func TestPeerDroppedThePeriod(t *testing.T) {
+	n1, n2 := newPeerBook(t, "n1"), newPeerBook(t, "n2")
 	for _, b := range []*Book{n1, n2} {
-		apply1(t, b, EntriesRecord([]Entry{entry(start+1000, 1, ServedInAim)}), nil)
-		apply1(t, b, b.ProposeClose(start+2*hour), nil)
-		seal(t, b, start)
+		mustApply(t, b, EntriesRecord([]Entry{entry(start+1000, 1, ServedInAim)}), nil)
+		mustApply(t, b, b.ProposeClose(start+2*hour), nil)
+		sealBatch(t, b, start)
 	}
 	n2.policy.Keep = 0
-	n2.forget()
+	n2.dropOldPeriods()
 	p := NewPeers("n1")
-	if err := sync(p, n2, nil); err != nil {
+	if err := fetchStates(p, n2, nil); err != nil {
 		t.Fatal(err)
 	}
 	own, states := n1.PeriodStates()
-	s, err := p.Statement(fifteen, own, states, []string{"n2"})
+	s, err := p.Statement(firstPeriod, own, states, []string{"n2"})
 	if want := []string{"n2 may have forgotten the period before it was asked"}; err != nil || !cmp.Equal(s.Why, want) {
 		t.Errorf("%v, %v", s.Why, err)
 	}
 }
 
+// Arbitrary bytes from a peer cause no panic.
 func FuzzPeers(f *testing.F) {
-	digests, states := named(f, "n2").PeriodStates()
+	digests, states := newPeerBook(f, "n2").PeriodStates()
 	f.Add(EncodeDigests(digests))
 	for _, s := range states {
 		f.Add(s)
--- a/internal/ledger/reconcile.go
+++ b/internal/ledger/reconcile.go
@@ -7,43 +7,43 @@
 	"slices"
 )
 
-// Span is a run of batches that are not there, and how many requests they hold.
+// Span is a range of missing batches, and the number of requests in them.
 type Span struct {
 	From     uint64 `json:"from"`
 	To       uint64 `json:"to"`
-	Requests int64  `json:"requests"` // -1 = not known
+	Requests int64  `json:"requests"` // -1 = unknown
 }
 
-// Chain is what the exports hold of one ledger of one box.
+// Chain holds the exported batches of one ledger of one server, and what is wrong with them.
 type Chain struct {
 	Box      string   `json:"box"`
 	Ledger   ID       `json:"ledger"`
-	Last     uint64   `json:"last"` // highest sequence
-	Head     Hash     `json:"head"` // its hash
-	Closed   int64    `json:"closed_ms"`
-	Requests int64    `json:"requests"` // counted
+	Last     uint64   `json:"last"`      // highest sequence number found
+	Head     Hash     `json:"head"`      // hash of the last counted batch
+	Closed   int64    `json:"closed_ms"` // all periods that end by then are closed
+	Requests int64    `json:"requests"`  // in the batches that are counted
 	Missing  []Span   `json:"missing,omitempty"`
-	Doubled  []uint64 `json:"doubled,omitempty"` // there more than once with the same bytes: counted once
+	Doubled  []uint64 `json:"doubled,omitempty"` // found more than once with the same bytes: counted once
 	Forked   []uint64 `json:"forked,omitempty"`  // claimed by two incarnations with different bytes: not counted
-	Broken   []uint64 `json:"broken,omitempty"`  // does not follow from the batch before: not counted
-	batches  []*Batch // counted
+	Broken   []uint64 `json:"broken,omitempty"`  // does not follow the previous batch: not counted
+	batches  []*Batch // those that are counted, in order
 	unclean  []Unclean
 }
 
-// Sound tells that all batches up to the last are there and speak of one history.
+// Sound reports whether all batches up to the last one are present and form one chain.
 func (c *Chain) Sound() bool { return len(c.Missing)+len(c.Forked)+len(c.Broken) == 0 }
 
-// Fleet is what the exports of several boxes say together.
+// Fleet is the reconciled exports of several servers.
 type Fleet struct {
-	Chains  []*Chain
-	periods map[string][]Period // by name; more than one = the boxes do not agree
-	adjust  map[string]Adjustment
-	clashes []Adjustment // under an id that another box has with other content
+	Chains      []*Chain
+	periods     map[string][]Period   // by name; more than one = the servers disagree on its bounds
+	corrections map[string]Adjustment // by the ID of the correction
+	conflicts   []Adjustment          // have the ID of another correction with other content
 }
 
-// Exports gathers batches from files in any order.
+// Exports collects batches, in any order.
 type Exports struct {
-	chains map[chainKey]map[uint64][]copyOf
+	chains map[chainKey]map[uint64][]batchCopy
 }
 
 type chainKey struct {
@@ -51,211 +51,216 @@
 	ledger ID
 }
 
-type copyOf struct {
+// batchCopy is one content that was found for a sequence number, and how often.
+type batchCopy struct {
 	hash  Hash
 	batch *Batch
 	count int
 }
 
-// Add takes a batch's bytes.
+// Add decodes and adds a batch.
 func (x *Exports) Add(bytes []byte) error {
-	b, err := DecodeBatch(bytes)
+	batch, err := DecodeBatch(bytes)
 	if err != nil {
 		return err
 	}
 	if x.chains == nil {
-		x.chains = map[chainKey]map[uint64][]copyOf{}
+		x.chains = map[chainKey]map[uint64][]batchCopy{}
 	}
-	k, h := chainKey{b.Box, b.Ledger}, SumOf(bytes)
-	if x.chains[k] == nil {
-		x.chains[k] = map[uint64][]copyOf{}
+	key, hash := chainKey{batch.Box, batch.Ledger}, SumOf(bytes)
+	if x.chains[key] == nil {
+		x.chains[key] = map[uint64][]batchCopy{}
 	}
-	copies := x.chains[k][b.Seq]
+	copies := x.chains[key][batch.Seq]
 	for i := range copies {
-		if copies[i].hash == h {
+		if copies[i].hash == hash {
 			copies[i].count++
 			return nil
 		}
 	}
-	x.chains[k][b.Seq] = append(copies, copyOf{h, b, 1})
+	x.chains[key][batch.Seq] = append(copies, batchCopy{hash, batch, 1})
 	return nil
 }
 
-// Reconcile holds the batches of each box against each other. What does not follow is left out and named.
+// Reconcile checks the batches of each ledger against each other. Batches that do not form a chain are listed in their
+// Chain and not counted.
 func (x *Exports) Reconcile() *Fleet {
-	f := &Fleet{periods: map[string][]Period{}, adjust: map[string]Adjustment{}}
-	for k, batches := range x.chains {
-		f.Chains = append(f.Chains, chain(k, batches))
+	fleet := &Fleet{periods: map[string][]Period{}, corrections: map[string]Adjustment{}}
+	for key, batches := range x.chains {
+		fleet.Chains = append(fleet.Chains, newChain(key, batches))
 	}
-	slices.SortFunc(f.Chains, func(a, b *Chain) int {
+	slices.SortFunc(fleet.Chains, func(a, b *Chain) int {
 		return cmp.Or(cmp.Compare(a.Box, b.Box), slices.Compare(a.Ledger[:], b.Ledger[:]))
 	})
-	for _, c := range f.Chains {
-		for _, b := range c.batches {
-			for _, p := range b.Periods {
-				f.know(p)
+	for _, chain := range fleet.Chains {
+		for _, batch := range chain.batches {
+			for _, period := range batch.Periods {
+				fleet.addPeriod(period)
 			}
-			for _, x := range b.Adjustments { // one sent to two boxes counts once
-				f.know(x.Lands)
-				if had, ok := f.adjust[x.Correction.ID]; !ok {
-					f.adjust[x.Correction.ID] = x
-				} else if had.Correction != x.Correction {
-					f.clashes = append(f.clashes, x)
+			for _, x := range batch.Adjustments { // a correction sent to two servers counts once
+				fleet.addPeriod(x.Lands)
+				if known, ok := fleet.corrections[x.Correction.ID]; !ok {
+					fleet.corrections[x.Correction.ID] = x
+				} else if known.Correction != x.Correction {
+					fleet.conflicts = append(fleet.conflicts, x)
 				}
 			}
 		}
 	}
-	return f
+	return fleet
 }
 
-func (f *Fleet) know(p Period) {
-	if !slices.Contains(f.periods[p.Name], p) {
-		f.periods[p.Name] = append(f.periods[p.Name], p)
+// addPeriod adds the bounds of a period, unless they are known.
+func (f *Fleet) addPeriod(period Period) {
+	if !slices.Contains(f.periods[period.Name], period) {
+		f.periods[period.Name] = append(f.periods[period.Name], period)
 	}
 }
 
-func chain(k chainKey, batches map[uint64][]copyOf) *Chain {
-	c := &Chain{Box: k.box, Ledger: k.ledger}
+// newChain checks the batches of one ledger, by sequence number.
+func newChain(key chainKey, batches map[uint64][]batchCopy) *Chain {
+	result := &Chain{Box: key.box, Ledger: key.ledger}
 	next := uint64(1)
-	var prev Hash   // of the batch before, if that is there
-	known := true   // prev and sum are
-	sum := int64(0) // requests up to the batch before
+	var prev Hash   // hash of the previous batch, if known
+	known := true   // whether prev and sum are known
+	sum := int64(0) // requests up to and including the previous batch
 	for _, seq := range slices.Sorted(maps.Keys(batches)) {
 		copies := batches[seq]
 		if seq != next {
 			known = false
-			c.Missing = append(c.Missing, Span{next, seq - 1, -1})
+			result.Missing = append(result.Missing, Span{next, seq - 1, -1})
 		}
 		next = seq + 1
-		c.Last = seq
+		result.Last = seq
 		if len(copies) > 1 {
-			c.Forked = append(c.Forked, seq)
+			result.Forked = append(result.Forked, seq)
 			known = false
 			continue
 		}
-		b, h := copies[0].batch, copies[0].hash
+		batch, hash := copies[0].batch, copies[0].hash
 		if copies[0].count > 1 {
-			c.Doubled = append(c.Doubled, seq)
+			result.Doubled = append(result.Doubled, seq)
 		}
-		own := int64(0)
-		fine := true
-		for _, l := range b.Lines {
-			own, fine = addTo(own, l.Figures[Requests], fine)
+		requests := int64(0)
+		ok := true
+		for _, line := range batch.Lines {
+			requests, ok = checkedAddIf(requests, line.Figures[Requests], ok)
 		}
-		before, fine := addTo(b.Requests, -own, fine)
-		if n := len(c.Missing); n > 0 && c.Missing[n-1].To == seq-1 && fine {
-			c.Missing[n-1].Requests = before - sum
+		before, ok := checkedAddIf(batch.Requests, -requests, ok)
+		if missing := len(result.Missing); missing > 0 && result.Missing[missing-1].To == seq-1 && ok {
+			result.Missing[missing-1].Requests = before - sum
 		}
-		if !fine || known && (b.Prev != prev || before != sum) {
-			c.Broken = append(c.Broken, seq)
+		if !ok || known && (batch.Prev != prev || before != sum) {
+			result.Broken = append(result.Broken, seq)
 			known = false
 			continue
 		}
-		prev, sum, known = h, b.Requests, true
-		c.Head, c.Closed = h, max(c.Closed, b.Closed)
-		c.Requests += own
-		c.batches = append(c.batches, b)
-		c.unclean = append(c.unclean, b.Unclean...)
+		prev, sum, known = hash, batch.Requests, true
+		result.Head, result.Closed = hash, max(result.Closed, batch.Closed)
+		result.Requests += requests
+		result.batches = append(result.batches, batch)
+		result.unclean = append(result.unclean, batch.Unclean...)
 	}
-	return c
+	return result
 }
 
-func addTo(a, b int64, ok bool) (int64, bool) {
-	sum, fine := add(a, b)
-	return sum, ok && fine
+// checkedAddIf returns a + b; false if the sum overflows or ok is false.
+func checkedAddIf(a, b int64, ok bool) (int64, bool) {
+	sum, added := checkedAdd(a, b)
+	return sum, ok && added
 }
 
-// Periods are the names of all periods in the exports, in order of time.
+// Periods returns all periods in the exports, in order of time.
 func (f *Fleet) Periods() []Period {
-	var out []Period
-	for _, list := range f.periods {
-		out = append(out, list...)
+	var all []Period
+	for _, periods := range f.periods {
+		all = append(all, periods...)
 	}
-	slices.SortFunc(out, func(a, b Period) int {
+	slices.SortFunc(all, func(a, b Period) int {
 		return cmp.Or(cmp.Compare(a.Start, b.Start), cmp.Compare(a.End, b.End))
 	})
-	return out
+	return all
 }
 
-// Expect says which boxes a statement needs. Boxes that are gone need not have closed the period.
+// Expect names the servers that a statement has to cover.
 type Expect struct {
-	Boxes []string // that must be there; none = those that are
-	Gone  []string
+	Boxes []string // their exports must be present; empty = none must
+	Gone  []string // removed servers: they need not have closed the period
 }
 
-// Statement is the fleet's statement of a period, from all that follows.
-func (f *Fleet) Statement(name string, e Expect) (Statement, error) {
-	list := f.periods[name]
-	if len(list) == 0 {
+// Statement returns the statement of a period over all servers, from the batches that are counted.
+func (f *Fleet) Statement(name string, expect Expect) (Statement, error) {
+	periods := f.periods[name]
+	if len(periods) == 0 {
 		return Statement{}, fmt.Errorf("%w %q", ErrPeriod, name)
 	}
-	p := list[0]
-	a := newAccount(p)
-	if len(list) > 1 {
-		a.note("the boxes do not agree on the bounds of %s", name)
+	period := periods[0]
+	builder := newStatementBuilder(period)
+	if len(periods) > 1 {
+		builder.addReason("the boxes do not agree on the bounds of %s", name)
 	}
-	there := map[string]bool{}
+	present := map[string]bool{}
 	state := Closed
-	for _, c := range f.Chains {
-		there[c.Box] = true
-		if err := f.add(a, c); err != nil {
+	for _, chain := range f.Chains {
+		present[chain.Box] = true
+		if err := f.addChain(builder, chain); err != nil {
 			return Statement{}, err
 		}
-		if c.Closed < p.End && !slices.Contains(e.Gone, c.Box) {
+		if chain.Closed < period.End && !slices.Contains(expect.Gone, chain.Box) {
 			state = Open
-			a.note("%s has not closed the period", c.Box)
+			builder.addReason("%s has not closed the period", chain.Box)
 		}
 	}
-	for _, x := range f.adjust {
-		if x.Lands.Name == name {
-			a.adjust = append(a.adjust, x)
+	for _, adjustment := range f.corrections {
+		if adjustment.Lands.Name == name {
+			builder.adjustments = append(builder.adjustments, adjustment)
 		}
 	}
-	for _, x := range f.clashes {
-		if x.Lands.Name == name {
-			a.note("correction %s is there with two contents", x.Correction.ID)
+	for _, adjustment := range f.conflicts {
+		if adjustment.Lands.Name == name {
+			builder.addReason("correction %s is there with two contents", adjustment.Correction.ID)
 		}
 	}
-	for _, box := range e.Boxes {
-		if !there[box] {
-			a.note("nothing of %s is there", box)
+	for _, box := range expect.Boxes {
+		if !present[box] {
+			builder.addReason("nothing of %s is there", box)
 		}
 	}
-	return a.statement(state)
+	return builder.build(state)
 }
 
-// add puts a chain's part of a period into an account.
-func (f *Fleet) add(a *account, c *Chain) error {
-	for _, s := range c.Missing {
-		if s.Requests < 0 {
-			a.note("%s: batches %d to %d are missing", c.Box, s.From, s.To)
+// addChain adds a chain's use in the period of an account, and what is wrong with the chain.
+func (f *Fleet) addChain(a *statementBuilder, chain *Chain) error {
+	for _, span := range chain.Missing {
+		if span.Requests < 0 {
+			a.addReason("%s: batches %d to %d are missing", chain.Box, span.From, span.To)
 		} else {
-			a.note("%s: batches %d to %d are missing, with %d requests", c.Box, s.From, s.To, s.Requests)
+			a.addReason("%s: batches %d to %d are missing, with %d requests", chain.Box, span.From, span.To, span.Requests)
 		}
 	}
-	for _, seq := range c.Forked {
-		a.note("%s: two incarnations claim batch %d", c.Box, seq)
+	for _, seq := range chain.Forked {
+		a.addReason("%s: two incarnations claim batch %d", chain.Box, seq)
 	}
-	for _, seq := range c.Broken {
-		a.note("%s: batch %d does not follow from the one before", c.Box, seq)
+	for _, seq := range chain.Broken {
+		a.addReason("%s: batch %d does not follow from the one before", chain.Box, seq)
 	}
-	for _, b := range c.batches {
-		for _, l := range b.Lines {
-			if b.Periods[l.Period].Name != a.period.Name {
+	for _, batch := range chain.batches {
+		for _, line := range batch.Lines {
+			if batch.Periods[line.Period].Name != a.period.Name {
 				continue
 			}
-			if err := a.use(Row{l.Stand, l.Class, l.End.String(), l.Replay, l.Late, l.Figures}); err != nil {
+			if err := a.addRow(Row{line.Stand, line.Class, line.End.String(), line.Replay, line.Late, line.Figures}); err != nil {
 				return err
 			}
 		}
-		for _, m := range b.Missing {
-			if b.Periods[m.Period].Name == a.period.Name {
-				a.missing[m.Stand] += m.Entries
+		for _, missing := range batch.Missing {
+			if batch.Periods[missing.Period].Name == a.period.Name {
+				a.missing[missing.Stand] += missing.Entries
 			}
 		}
 	}
-	for _, u := range c.unclean {
-		a.unclean(c.Box, u)
+	for _, unclean := range chain.unclean {
+		a.addUnclean(chain.Box, unclean)
 	}
 	return nil
 }
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -8,8 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// The kinds of record: the first byte. A record is applied whole or is an error; a kind that is not known is
-// of a newer version.
+// The kinds of record, which is its first byte. An unknown kind was written by a newer version.
 const (
 	kindEntries byte = iota + 1
 	kindNames
@@ -22,19 +21,19 @@
 	kindSeal
 	kindAck
 	kindSnapshot
-	kindKept
+	kindPendingBatch
 )
 
-// ErrNewer is a record or batch of a version that this program does not know.
+// ErrNewer is returned for a record or batch of a version that this program does not know.
 var ErrNewer = errors.New("written by a newer version")
 
-// ErrRecord is a record that no ledger wrote, or that does not fit the state it meets.
+// ErrRecord is returned for a record that is malformed or does not fit the state that it is applied to.
 var ErrRecord = errors.New("not a record of this ledger")
 
 var (
-	loose   = mustMode(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 17}.DecMode())
-	encoder = mustMode(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, IndefLength: cbor.IndefLengthForbidden}.EncMode())
-	decoder = mustMode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
+	versionDecoder = mustMode(cbor.DecOptions{MaxNestedLevels: 8, MaxArrayElements: 1 << 17}.DecMode())
+	encoder        = mustMode(cbor.EncOptions{Sort: cbor.SortCoreDeterministic, IndefLength: cbor.IndefLengthForbidden}.EncMode())
+	decoder        = mustMode(cbor.DecOptions{DupMapKey: cbor.DupMapKeyEnforcedAPF, IndefLength: cbor.IndefLengthForbidden,
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField, MaxNestedLevels: 8, MaxArrayElements: 1 << 17}.DecMode())
 )
 
@@ -45,12 +44,12 @@
 	return m
 }
 
-// record is a kind and a value in CBOR.
+// record returns a record: its kind and a value in CBOR.
 func record(kind byte, v any) []byte { return append([]byte{kind}, encode(v)...) }
 
 func encode(v any) []byte {
 	b, err := encoder.Marshal(v)
-	if err != nil { // all values are plain structures of this package
+	if err != nil { // all values are structures of this package that can be encoded
 		panic(err)
 	}
 	return b
@@ -63,48 +62,49 @@
 	return v, nil
 }
 
-// Entry is the use of one request that ended, or of several that ended alike within one quarter of an hour
-// (Figures[Requests] tells how many). One that takes an earlier entry back is negative.
+// Entry is the use of one request that ended, or of several that ended in the same way within a quarter of an hour
+// (Figures[Requests] is their number). An entry with negative amounts takes back an earlier one.
 type Entry struct {
 	Began, Ended int64 // Unix milliseconds
 	Stand, Class uint16
 	End          End
-	Replay       bool // served with the result of another try: no second cost
+	Replay       bool // answered with the result of another try, without a run of its own
 	Figures
 }
 
-// encodeEntries writes a group: kind, a base time and each entry as varints. About 20 bytes an entry.
-func encodeEntries(list []Entry) []byte {
-	b := append(make([]byte, 0, 16+24*len(list)), kindEntries)
-	base := list[0].Ended
-	b = binary.AppendVarint(b, base)
-	b = binary.AppendUvarint(b, uint64(len(list)))
-	for i := range list {
-		e := &list[i]
-		flags := byte(e.End) << 2
-		if e.Replay {
+// encodeEntries returns the record of a group of entries: the kind, a base time and each entry as varints, about 20
+// bytes per entry.
+func encodeEntries(entries []Entry) []byte {
+	rec := append(make([]byte, 0, 16+24*len(entries)), kindEntries)
+	base := entries[0].Ended
+	rec = binary.AppendVarint(rec, base)
+	rec = binary.AppendUvarint(rec, uint64(len(entries)))
+	for i := range entries {
+		entry := &entries[i]
+		flags := byte(entry.End) << 2
+		if entry.Replay {
 			flags |= 1
 		}
-		if e.Figures[Requests] != 1 {
+		if entry.Figures[Requests] != 1 {
 			flags |= 2
 		}
-		b = append(b, flags)
-		b = binary.AppendUvarint(b, uint64(e.Stand))
-		b = binary.AppendUvarint(b, uint64(e.Class))
-		b = binary.AppendVarint(b, e.Ended-base)
-		b = binary.AppendVarint(b, e.Ended-e.Began)
-		from := Worth
+		rec = append(rec, flags)
+		rec = binary.AppendUvarint(rec, uint64(entry.Stand))
+		rec = binary.AppendUvarint(rec, uint64(entry.Class))
+		rec = binary.AppendVarint(rec, entry.Ended-base)
+		rec = binary.AppendVarint(rec, entry.Ended-entry.Began)
+		first := Worth
 		if flags&2 != 0 {
-			from = Requests
+			first = Requests
 		}
-		for _, x := range e.Figures[from:] {
-			b = binary.AppendVarint(b, x)
+		for _, amount := range entry.Figures[first:] {
+			rec = binary.AppendVarint(rec, amount)
 		}
 	}
-	return b
+	return rec
 }
 
-// reader takes varints off a record; bad stays true after one that is none.
+// reader reads varints from a record. bad is set by the first malformed one and stays set.
 type reader struct {
 	b   []byte
 	bad bool
@@ -113,7 +113,7 @@
 func (r *reader) int() int64   { return take(r, binary.Varint) }
 func (r *reader) uint() uint64 { return take(r, binary.Uvarint) }
 
-// take reads a number off the record by decode, which returns 0 or fewer bytes for what is no number.
+// take reads a number from the record with decode, which returns a size of 0 or less for a malformed number.
 func take[T int64 | uint64](r *reader, decode func([]byte) (T, int)) T {
 	number, size := decode(r.b)
 	if size <= 0 {
@@ -124,31 +124,31 @@
 	return number
 }
 
-// decodeEntries gives each entry of a group to do.
-func decodeEntries(b []byte, do func(Entry) error) error {
+// decodeEntries calls do with each entry of a group.
+func decodeEntries(b []byte, apply func(Entry) error) error {
 	r := reader{b: b}
-	base, n := r.int(), r.uint()
-	for range n {
+	base, count := r.int(), r.uint()
+	for range count {
 		if len(r.b) == 0 {
-			return fmt.Errorf("%w: entries are cut short", ErrRecord)
+			return fmt.Errorf("%w: the entries are truncated", ErrRecord)
 		}
 		flags := r.b[0]
 		r.b = r.b[1:]
-		e := Entry{End: End(flags >> 2), Replay: flags&1 != 0}
+		entry := Entry{End: End(flags >> 2), Replay: flags&1 != 0}
 		stand, class := r.uint(), r.uint()
-		e.Ended = base + r.int()
-		e.Began = e.Ended - r.int()
-		from := Requests
+		entry.Ended = base + r.int()
+		entry.Began = entry.Ended - r.int()
+		first := Requests
 		if flags&2 == 0 {
-			e.Figures[Requests], from = 1, Worth
+			entry.Figures[Requests], first = 1, Worth
 		}
-		for i := from; i < figures; i++ {
-			e.Figures[i] = r.int()
+		for i := first; i < figureCount; i++ {
+			entry.Figures[i] = r.int()
 		}
-		if e.Stand, e.Class = uint16(stand), uint16(class); r.bad || e.End >= Ends || stand > 1<<16-1 || class > 1<<16-1 {
-			return fmt.Errorf("%w: an entry cannot be", ErrRecord)
+		if entry.Stand, entry.Class = uint16(stand), uint16(class); r.bad || entry.End >= Ends || stand > 1<<16-1 || class > 1<<16-1 {
+			return fmt.Errorf("%w: malformed entry", ErrRecord)
 		}
-		if err := do(e); err != nil {
+		if err := apply(entry); err != nil {
 			return err
 		}
 	}
@@ -158,26 +158,26 @@
 	return nil
 }
 
-// The other records. Integer keys keep them small and let fields be added.
+// The other records. Integer keys keep them small and allow fields to be added.
 type (
 	namesRecord struct {
 		Stands  []string `cbor:"1,keyasint"`
 		Classes []string `cbor:"2,keyasint"`
 	}
-	// Start begins an incarnation of a box: one start of its program on these files.
+	// Start begins an incarnation of a server: one start of its process on these files.
 	Start struct {
 		Incarnation uint32 `cbor:"1,keyasint"`
-		Nonce       uint64 `cbor:"2,keyasint"`
-		At          int64  `cbor:"3,keyasint"`
-		Boot        string `cbor:"4,keyasint"` // of the machine: a new one may have lost what was not synced
-		Strict      bool   `cbor:"5,keyasint"` // answers wait for their entries
-		AtMost      int64  `cbor:"6,keyasint"` // entries that may wait to be written
+		Nonce       uint64 `cbor:"2,keyasint"` // random
+		At          int64  `cbor:"3,keyasint"` // Unix milliseconds
+		Boot        string `cbor:"4,keyasint"` // boot ID of the machine; unsynced writes may be lost if it changes
+		Strict      bool   `cbor:"5,keyasint"` // answers wait until their entries are written
+		AtMost      int64  `cbor:"6,keyasint"` // bound of the entries that wait to be written
 	}
 	stopRecord struct {
 		At int64 `cbor:"1,keyasint"`
 	}
 	closeRecord struct {
-		Through int64 `cbor:"1,keyasint"`
+		Through int64 `cbor:"1,keyasint"` // closes the periods that end by then
 	}
 	gapRecord struct {
 		Gaps []Gap `cbor:"1,keyasint"`
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// Row is the use of one stand in one class that ended in one way.
+// Row is the use of one stand in one class by requests that ended in one way.
 type Row struct {
 	Stand   string  `json:"stand"`
 	Class   string  `json:"class"`
 	End     string  `json:"end"`
 	Replay  bool    `json:"replay,omitempty"`
-	Late    bool    `json:"late,omitempty"` // its own period was closed when it came
+	Late    bool    `json:"late,omitempty"` // its own period was closed when it was recorded
 	Figures Figures `json:"figures"`
 }
 
 func (r Row) compare(s Row) int {
 	return cmp.Or(cmp.Compare(r.Stand, s.Stand), cmp.Compare(r.Class, s.Class), cmp.Compare(r.End, s.End),
-		order(r.Replay, s.Replay), order(r.Late, s.Late))
+		compareBool(r.Replay, s.Replay), compareBool(r.Late, s.Late))
 }
 
-// Share is the sum of a stand: what it used, its adjustments, and both.
+// Share is the total of a stand: its use, its adjustments, and the sum of both.
 type Share struct {
 	Stand    string  `json:"stand"`
 	Used     Figures `json:"used"`
 	Adjusted Figures `json:"adjusted"`
 	Net      Figures `json:"net"`
-	Missing  int64   `json:"missing"` // entries known to be missing
+	Missing  int64   `json:"missing"` // number of entries known to be missing
 }
 
-// Statement is the use of a period. Complete is false where anything is missing, or may be: Why says what.
+// Statement is the use in a period. Complete is false if anything is missing or may be missing; Why has the reasons.
 type Statement struct {
 	Period      Period       `json:"period"`
 	State       string       `json:"state"`
@@ -43,128 +43,132 @@
 	Adjustments []Adjustment `json:"adjustments"`
 }
 
-// account gathers what a statement is made of.
-type account struct {
-	period  Period
-	rows    map[Row]Figures // by a row without figures
-	adjust  []Adjustment
-	missing map[string]int64
-	why     []string
+// statementBuilder accumulates the contents of a statement.
+type statementBuilder struct {
+	period      Period
+	rows        map[Row]Figures // by the row with its amounts set to 0
+	adjustments []Adjustment
+	missing     map[string]int64
+	reasons     []string
 }
 
-func newAccount(p Period) *account {
-	return &account{period: p, rows: map[Row]Figures{}, missing: map[string]int64{}}
+func newStatementBuilder(period Period) *statementBuilder {
+	return &statementBuilder{period: period, rows: map[Row]Figures{}, missing: map[string]int64{}}
 }
 
-func (a *account) use(r Row) error {
-	f := r.Figures
-	r.Figures = Figures{}
-	sum, err := a.rows[r].Add(f)
+// addRow adds a row to the use.
+func (a *statementBuilder) addRow(row Row) error {
+	amounts := row.Figures
+	row.Figures = Figures{}
+	sum, err := a.rows[row].Add(amounts)
 	if err != nil {
-		return fmt.Errorf("%s, %s of %s: %w", a.period.Name, r.Class, r.Stand, err)
+		return fmt.Errorf("%s, %s of %s: %w", a.period.Name, row.Class, row.Stand, err)
 	}
-	a.rows[r] = sum
+	a.rows[row] = sum
 	return nil
 }
 
-// note adds what makes the statement incomplete.
-func (a *account) note(f string, x ...any) { a.why = append(a.why, fmt.Sprintf(f, x...)) }
+// addReason adds a reason why the statement is incomplete.
+func (a *statementBuilder) addReason(format string, args ...any) {
+	a.reasons = append(a.reasons, fmt.Sprintf(format, args...))
+}
 
-func (a *account) unclean(box string, u Unclean) {
-	if u.Whole() || u.To < a.period.Start || u.From >= a.period.End {
+// addUnclean notes an unclean stop if it may have lost entries of the period.
+func (a *statementBuilder) addUnclean(box string, stop Unclean) {
+	if stop.Whole() || stop.To < a.period.Start || stop.From >= a.period.End {
 		return
 	}
-	a.note("%s: incarnation %d ended without notice: up to %d entries may be missing", box, u.Incarnation, u.AtMost)
+	a.addReason("%s: incarnation %d ended without notice: up to %d entries may be missing", box, stop.Incarnation, stop.AtMost)
 }
 
-// statement adds up.
-func (a *account) statement(state State) (Statement, error) {
-	s := Statement{Period: a.period, State: state.String(), Adjustments: a.adjust}
+// build returns the statement with its totals.
+func (a *statementBuilder) build(state State) (Statement, error) {
+	statement := Statement{Period: a.period, State: state.String(), Adjustments: a.adjustments}
 	shares := map[string]*Share{}
-	of := func(stand string) *Share {
+	shareOf := func(stand string) *Share {
 		if shares[stand] == nil {
 			shares[stand] = &Share{Stand: stand}
 		}
 		return shares[stand]
 	}
 	var err error
-	sum := func(to *Figures, f Figures) {
+	sum := func(total *Figures, amounts Figures) {
 		if err == nil {
-			*to, err = to.Add(f)
+			*total, err = total.Add(amounts)
 		}
 	}
-	for r, f := range a.rows {
-		if f.Zero() { // booked and taken back
+	for row, amounts := range a.rows {
+		if amounts.Zero() { // recorded and taken back
 			continue
 		}
-		r.Figures = f
-		s.Rows = append(s.Rows, r)
-		sum(&of(r.Stand).Used, f)
+		row.Figures = amounts
+		statement.Rows = append(statement.Rows, row)
+		sum(&shareOf(row.Stand).Used, amounts)
 	}
-	slices.SortFunc(s.Rows, Row.compare)
-	slices.SortFunc(s.Adjustments, func(x, y Adjustment) int { return cmp.Compare(x.Correction.ID, y.Correction.ID) })
-	for _, x := range s.Adjustments {
-		sum(&of(x.Correction.Stand).Adjusted, x.Correction.Figures)
+	slices.SortFunc(statement.Rows, Row.compare)
+	slices.SortFunc(statement.Adjustments, func(x, y Adjustment) int { return cmp.Compare(x.Correction.ID, y.Correction.ID) })
+	for _, adjustment := range statement.Adjustments {
+		sum(&shareOf(adjustment.Correction.Stand).Adjusted, adjustment.Correction.Figures)
 	}
-	for stand, n := range a.missing {
-		of(stand).Missing = n
+	for stand, entries := range a.missing {
+		shareOf(stand).Missing = entries
 	}
 	for _, stand := range slices.Sorted(maps.Keys(shares)) {
-		h := shares[stand]
-		h.Net = h.Used
-		sum(&h.Net, h.Adjusted)
-		sum(&s.Total.Used, h.Used)
-		sum(&s.Total.Adjusted, h.Adjusted)
-		sum(&s.Total.Net, h.Net)
-		s.Total.Missing += h.Missing
-		s.Stands = append(s.Stands, *h)
-		if h.Missing > 0 {
-			a.note("%d entries of %s are missing", h.Missing, display(stand))
+		share := shares[stand]
+		share.Net = share.Used
+		sum(&share.Net, share.Adjusted)
+		sum(&statement.Total.Used, share.Used)
+		sum(&statement.Total.Adjusted, share.Adjusted)
+		sum(&statement.Total.Net, share.Net)
+		statement.Total.Missing += share.Missing
+		statement.Stands = append(statement.Stands, *share)
+		if share.Missing > 0 {
+			a.addReason("%d entries of %s are missing", share.Missing, standLabel(stand))
 		}
 	}
 	if err != nil {
 		return Statement{}, fmt.Errorf("period %s: %w", a.period.Name, err)
 	}
-	s.Why = a.why
-	s.Complete = len(a.why) == 0
-	return s, nil
+	statement.Why = a.reasons
+	statement.Complete = len(a.reasons) == 0
+	return statement, nil
 }
 
-// display is a stand's name on paper; requests of no stand have none.
-func display(stand string) string {
+// standLabel returns the name of a stand for a statement; requests without a stand have an empty one.
+func standLabel(stand string) string {
 	if stand == "" {
 		return "no stand"
 	}
 	return stand
 }
 
-// Statement is the box's own statement of a period. It is whole for what this box served.
+// Statement returns the statement of a period for the requests of this server alone.
 func (b *Book) Statement(name string, now int64) (Statement, error) {
-	p, ok := b.named(name, now)
+	period, ok := b.periodNamed(name, now)
 	if !ok {
 		return Statement{}, fmt.Errorf("%w %q", ErrPeriod, name)
 	}
-	a := newAccount(p)
-	for c, s := range b.cells {
-		if c.Period != p.Start {
+	builder := newStatementBuilder(period)
+	for cell, sum := range b.cells {
+		if cell.Period != period.Start {
 			continue
 		}
-		if err := a.use(Row{b.stands[c.Stand], b.classes[c.Class], c.End.String(), c.Replay, c.Late, s.total}); err != nil {
+		if err := builder.addRow(Row{b.stands[cell.Stand], b.classes[cell.Class], cell.End.String(), cell.Replay, cell.Late, sum.total}); err != nil {
 			return Statement{}, err
 		}
 	}
-	for _, x := range b.corrections {
-		if x.Lands.Start == p.Start {
-			a.adjust = append(a.adjust, *x)
+	for _, adjustment := range b.corrections {
+		if adjustment.Lands.Start == period.Start {
+			builder.adjustments = append(builder.adjustments, *adjustment)
 		}
 	}
-	for g, n := range b.gaps {
-		if g.period == p.Start {
-			a.missing[b.stands[g.stand]] += n[0]
+	for key, counts := range b.gaps {
+		if key.period == period.Start {
+			builder.missing[b.stands[key.stand]] += counts[0]
 		}
 	}
-	for _, u := range b.unclean {
-		a.unclean(b.Box, u)
+	for _, unclean := range b.unclean {
+		builder.addUnclean(b.Box, unclean)
 	}
-	return a.statement(b.StateOf(p, now))
+	return builder.build(b.StateOf(period, now))
 }
