--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -141,13 +141,13 @@
 	case wire.Done:
 		w.controller.Done(now, e.Request, duration(e.RttUs), outcomeOf(e.Reason))
 	case wire.Aborted:
-		w.controller.Gone(now, e.Request)
+		w.controller.Canceled(now, e.Request)
 	case wire.Blocked:
-		w.controller.AtCall(now, e.Request)
+		w.controller.Blocked(now, e.Request)
 	case wire.Called:
 		w.controller.CallDone(now, e.Request, duration(e.RttUs), outcomeOf(e.Reason))
 	case wire.Notice:
-		w.controller.Leave(now, duration(e.LeftUs))
+		w.controller.Drain(now, duration(e.LeftUs))
 	case wire.Due:
 		w.controller.Tick(now, settings.Gauges(w.gauges, e.Gauges))
 	}
@@ -176,11 +176,11 @@
 	case 502:
 		return control.Unreachable
 	case 598:
-		return control.Broken
+		return control.Interrupted
 	case 499:
 		return control.Stopped
 	case 410:
-		return control.Moot
+		return control.NotStarted
 	}
 	return control.Errored
 }
@@ -190,8 +190,8 @@
 	r := control.Request{
 		ID: e.Request, Class: int(e.Class), Tenant: int(e.Group),
 		Rank: float64(e.Standing), Memory: float64(e.Footprint),
-		Left: duration(e.LeftUs), Waited: duration(e.WaitedUs),
-		Caller: e.Origin, Subject: e.Affinity, Repeat: e.DupOf,
+		TimeLeft: duration(e.LeftUs), Waited: duration(e.WaitedUs),
+		Caller: e.Origin, Subject: e.Affinity, RepeatOf: e.DupOf,
 		Retry: e.Options&wire.IsRetry != 0,
 	}
 	if e.Options&wire.HasHint != 0 {
--- a/control/api.go
+++ b/control/api.go
@@ -17,9 +17,9 @@
 
 // The ways in which a run stops.
 const (
-	StopNever Stopping = iota // a run cannot be stopped
-	StopDrops                 // the progress is lost and the request is held again
-	StopHolds                 // the request keeps its progress and its memory
+	StopNever    Stopping = iota // a run cannot be stopped
+	StopRequeues                 // the progress is lost and the request is held again
+	StopPauses                   // the request keeps its progress and its memory
 )
 
 // Advert is how callers interpret the value of Worker.SetLevel.
@@ -43,9 +43,9 @@
 	Rejected                   // call refused by the service before it ran
 	TimedOut                   // call abandoned; it may have taken effect
 	Unreachable                // call that reached no service, so it never ran
-	Broken                     // call interrupted; it may have taken effect
+	Interrupted                // call interrupted; it may have taken effect
 	Stopped                    // run stopped, or ended because nobody waits for it
-	Moot                       // run that never started, as the request was concluded before
+	NotStarted                 // run that never started, as the request was concluded before
 )
 
 // Class describes one class of requests.
@@ -69,51 +69,51 @@
 // Config holds the settings of a worker at its start. A zero field means that the value is not known; the
 // controller then uses a safe default, which the field's comment gives where it is not obvious.
 type Config struct {
-	Seed        uint64
-	Servers     int // workers in the fleet; 0 = 1
-	Callers     int // callers of the fleet; 0 = 1
-	Cores       int // 0 = 1
-	Classes     []Class
-	Tenants     []Tenant
-	Advert      Advert
-	Stopping    Stopping
-	Cold        bool          // the worker has just started and is not at full speed
-	ColdFrom    float64       // least speed of a cold worker, as a fraction of full speed
-	ColdFor     time.Duration // time after which the worker is warm at the latest
-	Memory      float64       // kilobytes; 0 = no limit known
-	RunFactor   float64       // memory of a running request as a multiple of that of a held one; 0 = 1
-	KeyMemory   float64       // kilobytes that one remembered key takes
-	Crowd       float64       // mean requests on the cores, per core, that a warm worker survives; 0 = 2
-	CrowdFor    time.Duration // time over which that mean is taken
-	CallShare   float64       // mean calls in flight that this worker may have; 0 = 1, but see the next field
-	CallsTier   bool          // the downstream service refuses calls by itself; CallShare 0 then means no limit
-	CallWindow  time.Duration // time over which the mean of CallShare is taken
-	CallLingers time.Duration // time for which an abandoned call still counts as in flight
-	DrainGrace  time.Duration // time after the notice from which arriving requests are not run
-	Slack       time.Duration // time after the due time within which an answer still counts
-	HeardFor    time.Duration // time for which callers remember the level
-	MaxAdvice   time.Duration // longest advice to stay away that callers follow; 0 = they follow none
-	IdleMax     time.Duration // time after which callers close idle connections
-	Quantum     time.Duration // least time between two calls of Decide
-	HearsGone   bool          // the worker learns when a caller cancels a request
-	DearChecks  bool          // a health check does real work unless it is answered from a stored result
-	OverWorth   float64       // fraction of the worth that traffic over a tenant's quota has
+	Seed            uint64
+	Servers         int // workers in the fleet; 0 = 1
+	Callers         int // callers of the fleet; 0 = 1
+	Cores           int // 0 = 1
+	Classes         []Class
+	Tenants         []Tenant
+	Advert          Advert
+	Stopping        Stopping
+	Cold            bool          // the worker has just started and is not at full speed
+	ColdFrom        float64       // least speed of a cold worker, as a fraction of full speed
+	ColdFor         time.Duration // time after which the worker is warm at the latest
+	Memory          float64       // kilobytes; 0 = no limit known
+	RunFactor       float64       // memory of a running request as a multiple of that of a held one; 0 = 1
+	KeyMemory       float64       // kilobytes that one remembered key takes
+	Crowd           float64       // mean requests on the cores, per core, that a warm worker survives; 0 = 2
+	CrowdFor        time.Duration // time over which that mean is taken
+	CallShare       float64       // mean calls in flight that this worker may have; 0 = 1, but see the next field
+	DownstreamSheds bool          // the downstream service refuses calls by itself; CallShare 0 then means no limit
+	CallWindow      time.Duration // time over which the mean of CallShare is taken
+	CallLingers     time.Duration // time for which an abandoned call still counts as in flight
+	DrainGrace      time.Duration // time after the notice from which arriving requests are not run
+	Slack           time.Duration // time after the due time within which an answer still counts
+	HeardFor        time.Duration // time for which callers remember the level
+	MaxAdvice       time.Duration // longest advice to stay away that callers follow; 0 = they follow none
+	IdleMax         time.Duration // time after which callers close idle connections
+	Quantum         time.Duration // least time between two calls of Decide
+	ReportsCanceled bool          // the worker learns when a caller cancels a request
+	ExpensiveChecks bool          // a health check does real work unless it is answered from a stored result
+	OverWorth       float64       // fraction of the worth that traffic over a tenant's quota has
 }
 
 // Request is a request that the worker has read and now holds.
 type Request struct {
-	ID      uint32
-	Class   int
-	Tenant  int
-	Rank    float64       // from 0 to below 1; orders by worth, then by user
-	Left    time.Duration // how long the caller still waits; 0 = not known
-	Waited  time.Duration // time since it reached the machine, spent unread
-	Memory  float64       // kilobytes while held
-	Work    time.Duration // expected work on a standard core, the request's hint; 0 = none
-	Caller  uint32
-	Subject uint64 // hash of the object that the request is about, for affinity; 0 = none
-	Repeat  uint32 // ID of the remembered request that this one repeats; 0 = none
-	Retry   bool   // marked as a further try
+	ID       uint32
+	Class    int
+	Tenant   int
+	Rank     float64       // from 0 to below 1; orders by worth, then by user
+	TimeLeft time.Duration // how long the caller still waits; 0 = not known
+	Waited   time.Duration // time since it reached the machine, spent unread
+	Memory   float64       // kilobytes while held
+	Work     time.Duration // expected work on a standard core, the request's hint; 0 = none
+	Caller   uint32
+	Subject  uint64 // hash of the object that the request is about, for affinity; 0 = none
+	RepeatOf uint32 // ID of the remembered request that this one repeats; 0 = none
+	Retry    bool   // marked as a further try
 }
 
 // Gauges are the worker's own readings. A value that is negative or NaN is unknown.
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -38,18 +38,18 @@
 				b.Fatal(err)
 			}
 			for id := uint32(1); id <= uint32(cfg.Cores+size.held); id++ { // some run, the rest is held behind them
-				c.Request(0, Request{ID: id, Rank: 0.9, Left: 99 * time.Hour, Memory: 1})
+				c.Request(0, Request{ID: id, Rank: 0.9, TimeLeft: 99 * time.Hour, Memory: 1})
 			}
 			c.Decide(0)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				now, id := time.Duration(i)*time.Millisecond, uint32(1000+i)
-				q := Request{ID: id, Rank: 0.5, Left: time.Minute, Memory: 1, Caller: uint32(i * 7919 % size.callers)}
+				q := Request{ID: id, Rank: 0.5, TimeLeft: time.Minute, Memory: 1, Caller: uint32(i * 7919 % size.callers)}
 				c.Tick(now, Gauges{CoreUse: 0.5, OnCores: 2})
 				c.Request(now, q)
 				c.Decide(now)
-				c.Gone(now, id)
+				c.Canceled(now, id)
 				c.Done(now, id, time.Millisecond, OK)
 			}
 		})
--- a/control/check.go
+++ b/control/check.go
@@ -63,7 +63,7 @@
 	if c.Advert > AdvertWeight {
 		invalid("Advert", c.Advert)
 	}
-	if c.Stopping > StopHolds {
+	if c.Stopping > StopPauses {
 		invalid("Stopping", c.Stopping)
 	}
 	fraction("ColdFrom", c.ColdFrom)
--- a/control/check_test.go
+++ b/control/check_test.go
@@ -17,7 +17,7 @@
 		"control: Config.Classes[1].Effect is 3":    func(c *Config) { c.Classes[1].Effect = Unsafe + 1 },
 		"control: Config.Tenants[2].Share is 1.5":   func(c *Config) { c.Tenants[2].Share = 1.5 },
 		"control: Config.Tenants[1].Quota is +Inf":  func(c *Config) { c.Tenants[1].Quota = math.Inf(1) },
-		"control: Config.Stopping is 3":             func(c *Config) { c.Stopping = StopHolds + 1 },
+		"control: Config.Stopping is 3":             func(c *Config) { c.Stopping = StopPauses + 1 },
 		"control: Config.ColdFrom is -0.5":          func(c *Config) { c.ColdFrom = -0.5 },
 		"control: Config.Quantum is -1ns":           func(c *Config) { c.Quantum = -1 },
 	} {
--- a/control/cold_test.go
+++ b/control/cold_test.go
@@ -118,7 +118,7 @@
 				w.Run(id)
 				continue
 			}
-			c.Request(now, Request{ID: id, Rank: rank, Left: 3 * time.Second, Memory: 10})
+			c.Request(now, Request{ID: id, Rank: rank, TimeLeft: 3 * time.Second, Memory: 10})
 		}
 		if w.wake -= coldStep; w.wake <= 0 {
 			c.Tick(now, Gauges{CoreUse: coreUse, OnCores: float64(len(w.running))})
--- a/control/control.go
+++ b/control/control.go
@@ -231,7 +231,7 @@
 		shortestAim: math.MaxInt64, leastWorth: math.MaxFloat64, healthy: true, advertisedValue: -1,
 		readSeconds: math.Inf(1)}
 	c.cfg.Cores, c.cfg.RunFactor, c.cfg.Crowd = max(1, cfg.Cores), max(1, cfg.RunFactor), cmp.Or(cfg.Crowd, 2)
-	if c.cfg.CallShare = cmp.Or(cfg.CallShare, 1); cfg.CallShare <= 0 && cfg.CallsTier {
+	if c.cfg.CallShare = cmp.Or(cfg.CallShare, 1); cfg.CallShare <= 0 && cfg.DownstreamSheds {
 		// Only the crowd bounds the calls.
 		c.cfg.CallShare = c.cfg.Crowd * float64(c.cfg.Cores) / maxCallFraction
 	}
@@ -285,8 +285,8 @@
 	}
 	q.Rank, q.Waited = min(q.Rank, 1), max(0, q.Waited)
 	r := &request{Request: q, class: &c.classes[q.Class], arrived: now - q.Waited}
-	r.due = now + q.Left
-	if q.Left <= 0 {
+	r.due = now + q.TimeLeft
+	if q.TimeLeft <= 0 {
 		r.due = max(now, r.arrived+r.class.Deadline)
 	}
 	r.aim = min(r.arrived+r.class.Aim, r.due)
@@ -296,7 +296,7 @@
 	c.recordReuse(q.Caller)
 	c.memoryKB += q.Memory
 	c.dueTimes.set(q.ID, r.due-dueQuanta*c.cfg.Quantum)
-	if q.Repeat != 0 { // prevents effects that happen twice
+	if q.RepeatOf != 0 { // prevents effects that happen twice
 		r.state = replaying
 		r.ran = true // an earlier try may have run, so this one is never refused
 		c.w.Replay(r.ID)
@@ -564,7 +564,7 @@
 		return
 	}
 	if how == Stopped && !r.answered && r.state != replaying {
-		if c.cfg.Stopping == StopHolds {
+		if c.cfg.Stopping == StopPauses {
 			c.setState(r, paused)
 			return
 		}
@@ -573,7 +573,7 @@
 		c.heldQueue.add(r)
 		return
 	}
-	if how == Moot {
+	if how == NotStarted {
 		r.ran = false // no run started, so its key is free again
 	}
 	if how == OK && r.state == running {
@@ -592,8 +592,8 @@
 	c.remove(r)
 }
 
-// Gone reports that nobody waits for a request any longer.
-func (c *Controller) Gone(now time.Duration, id uint32) {
+// Canceled reports that nobody waits for a request any longer.
+func (c *Controller) Canceled(now time.Duration, id uint32) {
 	c.advance(now)
 	if r := c.requests[id]; r != nil && !r.answered {
 		c.finish(r)
@@ -615,8 +615,8 @@
 	}
 }
 
-// AtCall reports that a running request waits for a downstream call.
-func (c *Controller) AtCall(now time.Duration, id uint32) {
+// Blocked reports that a running request waits for a downstream call.
+func (c *Controller) Blocked(now time.Duration, id uint32) {
 	c.advance(now)
 	if r := c.requests[id]; r != nil && r.state == running {
 		c.setState(r, blocked)
@@ -642,7 +642,7 @@
 		r.callTries = 0
 		c.setState(r, running)
 		return
-	case TimedOut, Broken, Errored:
+	case TimedOut, Interrupted, Errored:
 		r.uncertain = true
 		c.abandoned.set(id, now+c.cfg.CallLingers)
 	case Rejected, Unreachable:
@@ -684,11 +684,11 @@
 	c.callBound = min(maxBound, max(c.cfg.CallShare*minCallFraction, c.callBound))
 }
 
-// Leave reports that the worker has just been given notice, and is stopped after in.
-func (c *Controller) Leave(now time.Duration, in time.Duration) { c.LeaveSince(now, now, in) }
+// Drain reports that the worker has just been given notice, and is stopped after in.
+func (c *Controller) Drain(now time.Duration, in time.Duration) { c.DrainSince(now, now, in) }
 
-// LeaveSince does the same for a controller that is created after the notice: the grace begins at the notice.
-func (c *Controller) LeaveSince(now, notice, in time.Duration) {
+// DrainSince does the same for a controller that is created after the notice: the grace begins at the notice.
+func (c *Controller) DrainSince(now, notice, in time.Duration) {
 	c.advance(now)
 	c.draining, c.noticeAt, c.stopAt = true, notice, now+in
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -76,7 +76,7 @@
 
 // newRequest returns a request of middle rank with three seconds left.
 func newRequest(id uint32, class int) Request {
-	return Request{ID: id, Class: class, Rank: 0.5, Left: 3 * time.Second, Memory: 10}
+	return Request{ID: id, Class: class, Rank: 0.5, TimeLeft: 3 * time.Second, Memory: 10}
 }
 
 func TestStartsTheWorthiestUpToTheCores(t *testing.T) {
@@ -117,7 +117,7 @@
 	c, w := newController(t, baseConfig())
 	c.Request(0, newRequest(1, 1))
 	q := newRequest(2, 1)
-	q.Repeat = 1
+	q.RepeatOf = 1
 	c.Request(0, q)
 	c.Decide(0)
 	if !contains(w.kept, 1) || !contains(w.replayed, 2) || contains(w.ran, 2) || contains(w.refused, 2) {
@@ -127,7 +127,7 @@
 
 func TestRequestsAfterTheGraceAreNotRun(t *testing.T) {
 	c, w := newController(t, baseConfig())
-	c.Leave(0, 4*time.Second)
+	c.Drain(0, 4*time.Second)
 	c.Decide(0)
 	if !w.healthy || w.level != 0 { // it keeps accepting, as callers may not know its successor yet
 		t.Fatalf("healthy %v, level %v after the notice", w.healthy, w.level)
@@ -173,11 +173,11 @@
 	for _, test := range []struct {
 		how   Outcome
 		again bool
-	}{{Rejected, true}, {Unreachable, true}, {TimedOut, false}, {Broken, false}, {Errored, false}} {
+	}{{Rejected, true}, {Unreachable, true}, {TimedOut, false}, {Interrupted, false}, {Errored, false}} {
 		c, w := newController(t, baseConfig())
 		c.Request(0, newRequest(1, 1))
 		c.Decide(0)
-		c.AtCall(10*ms, 1)
+		c.Blocked(10*ms, 1)
 		c.Decide(10 * ms)
 		c.CallDone(20*ms, 1, 10*ms, test.how)
 		c.Decide(20 * ms)
@@ -241,7 +241,7 @@
 	c.Request(0, q)
 	c.Decide(0)
 	q = newRequest(2, 0)
-	q.Left = 1200 * ms
+	q.TimeLeft = 1200 * ms
 	c.Request(0, q)
 	c.Decide(0)
 	if !contains(w.ran, 2) {
@@ -457,7 +457,7 @@
 		now := time.Duration(id) * time.Second
 		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
-		c.AtCall(now+10*ms, id)
+		c.Blocked(now+10*ms, id)
 		c.Decide(now + 10*ms)
 		c.CallDone(now+210*ms, id, 200*ms, OK)
 		c.Done(now+220*ms, id, 220*ms, OK)
@@ -476,7 +476,7 @@
 	for id := uint32(10); id < 14; id++ {
 		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
-		c.AtCall(now, id)
+		c.Blocked(now, id)
 		c.Decide(now)
 	}
 	if !contains(w.ran, 10) || !contains(w.refused, 13) {
@@ -560,7 +560,7 @@
 	c.Request(0, newRequest(1, 0))
 	c.Decide(0)
 	stop := 2 * time.Second
-	c.Leave(0, stop)
+	c.Drain(0, stop)
 	now := time.Duration(0)
 	for now < stop {
 		c.Tick(now, Gauges{CoreUse: 1, OnCores: 2})
@@ -743,7 +743,7 @@
 		for id := 20 + test.calls; id > 20; id-- {
 			c.Request(now, newRequest(id, 2))
 			c.Decide(now)
-			c.AtCall(now, id)
+			c.Blocked(now, id)
 			c.Decide(now)
 		}
 		now += test.age
@@ -762,7 +762,7 @@
 		now += time.Second
 		c.Request(now, newRequest(id, class))
 		c.Decide(now)
-		c.AtCall(now, id)
+		c.Blocked(now, id)
 		c.Decide(now)
 		c.CallDone(now+took, id, took, OK)
 		c.Done(now+took, id, took, OK)
@@ -796,7 +796,7 @@
 	c.Request(now, newRequest(100, 2))
 	c.Decide(now)
 	w.called = nil
-	c.AtCall(now+750*ms, 100)
+	c.Blocked(now+750*ms, 100)
 	c.Decide(now + 750*ms)
 	if len(w.called) > 0 || !contains(w.failed, 100) {
 		t.Fatalf("called %v, failed %v, with 250 ms left for a call of 400 ms", w.called, w.failed)
@@ -812,7 +812,7 @@
 		now += 50 * ms
 		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
-		c.AtCall(now, id)
+		c.Blocked(now, id)
 		c.Decide(now)
 		took := 50 * ms
 		if id%3 == 0 {
@@ -832,7 +832,7 @@
 	}
 	c.Request(now, newRequest(101, 2))
 	c.Decide(now)
-	c.AtCall(now, 101)
+	c.Blocked(now, 101)
 	c.Decide(now)
 	if w.patience > 600*ms {
 		t.Errorf("a call is given up only after %v", w.patience)
@@ -850,10 +850,10 @@
 		c, w := newController(t, cfg)
 		call := func(now time.Duration, id uint32) {
 			q := newRequest(id, 1)
-			q.Left = 10 * time.Second
+			q.TimeLeft = 10 * time.Second
 			c.Request(now, q)
 			c.Decide(now)
-			c.AtCall(now, id)
+			c.Blocked(now, id)
 			c.Decide(now)
 		}
 		reply := func(now time.Duration, id uint32) {
@@ -897,7 +897,7 @@
 	for id := uint32(101); id <= 116; id++ { // a bound of 2 for 16 calls of 200 ms, within a second
 		c.Request(now, newRequest(id, 2))
 		c.Decide(now)
-		c.AtCall(now, id)
+		c.Blocked(now, id)
 		c.Decide(now)
 	}
 	if contains(w.skipped, 103) || !contains(w.skipped, 115) {
@@ -976,7 +976,7 @@
 			now := time.Duration(id) * time.Second
 			c.Request(now, newRequest(id, 2))
 			c.Decide(now)
-			c.AtCall(now, id)
+			c.Blocked(now, id)
 			c.Decide(now)
 			c.CallDone(now+50*ms, id, 50*ms, OK)
 			c.Done(now+60*ms, id, 60*ms, OK)
@@ -984,10 +984,10 @@
 		w.called = nil
 		now := time.Duration(test.known)*time.Second + 100*ms
 		q := newRequest(30, test.class)
-		q.Left = 9 * time.Second
+		q.TimeLeft = 9 * time.Second
 		c.Request(now, q)
 		c.Decide(now)
-		c.AtCall(now, 30)
+		c.Blocked(now, 30)
 		c.Decide(now)
 		first := w.patience.Round(50 * ms)
 		w.called = nil
@@ -1088,7 +1088,7 @@
 					t.Fatalf("%s: rank %v from %v, outside the band of its worth or not demoted",
 						test.name, r.Rank, q.Rank)
 				}
-				c.Gone(now, id)
+				c.Canceled(now, id)
 			}
 			c.Decide(now)
 		}
@@ -1105,14 +1105,14 @@
 func TestCallsToASheddingServiceAreBoundedByTheCrowdAlone(t *testing.T) {
 	for _, sheds := range []bool{false, true} {
 		cfg := baseConfig()
-		cfg.CallShare, cfg.CallsTier, cfg.Cores = 0, sheds, 6
+		cfg.CallShare, cfg.DownstreamSheds, cfg.Cores = 0, sheds, 6
 		c, w := newController(t, cfg)
 		for id := uint32(1); id <= 6; id++ {
 			c.Request(0, newRequest(id, 2))
 		}
 		c.Decide(0)
 		for _, id := range w.ran {
-			c.AtCall(10*ms, id)
+			c.Blocked(10*ms, id)
 		}
 		c.Decide(10 * ms)
 		if want := map[bool]int{false: 1, true: 6}[sheds]; len(w.called) != want {
@@ -1137,10 +1137,10 @@
 				now := time.Duration(i) * 10 * ms
 				if i%20 == 0 {
 					q := newRequest(uint32(i), 1)
-					q.Left = 25 * time.Second
+					q.TimeLeft = 25 * time.Second
 					c.Request(now, q)
 					c.Decide(now)
-					c.AtCall(now, q.ID)
+					c.Blocked(now, q.ID)
 				}
 				if until > 0 && now >= until {
 					how := OK
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -40,15 +40,15 @@
 		fmt.Println(err)
 		return
 	}
-	c.Request(now, control.Request{ID: 1, Class: 0, Rank: 0.2, Left: 3 * time.Second})
-	c.Request(now, control.Request{ID: 2, Class: 1, Rank: 0.8, Left: 3 * time.Second})
+	c.Request(now, control.Request{ID: 1, Class: 0, Rank: 0.2, TimeLeft: 3 * time.Second})
+	c.Request(now, control.Request{ID: 2, Class: 1, Rank: 0.8, TimeLeft: 3 * time.Second})
 	c.Decide(now)
 
 	now += 300 * time.Millisecond
 	c.Done(now, 2, 300*time.Millisecond, control.OK)
 	c.Decide(now)
 
-	c.Leave(now, 2*time.Second)
+	c.Drain(now, 2*time.Second)
 	c.Decide(now)
 	// Output:
 	// health true
--- a/control/stream_test.go
+++ b/control/stream_test.go
@@ -57,8 +57,8 @@
 	if s.effect(r) != Safe && r.ran && r.state == "held" {
 		s.t.Fatalf("%v: %d run twice", s.now, id)
 	}
-	if r.q.Repeat != 0 && s.requests[r.q.Repeat].ran {
-		s.t.Fatalf("%v: %d run after %d, which it repeats", s.now, id, r.q.Repeat)
+	if r.q.RepeatOf != 0 && s.requests[r.q.RepeatOf].ran {
+		s.t.Fatalf("%v: %d run after %d, which it repeats", s.now, id, r.q.RepeatOf)
 	}
 	if s.noticeAt > 0 && r.arrived > s.noticeAt+s.cfg.DrainGrace {
 		s.t.Fatalf("%v: %d run, although it arrived after the grace", s.now, id)
@@ -79,7 +79,7 @@
 		switch {
 		case r.answered:
 			r.state = "over"
-		case s.cfg.Stopping == StopHolds:
+		case s.cfg.Stopping == StopPauses:
 			r.state = "paused"
 		default:
 			r.state = "held"
@@ -158,7 +158,7 @@
 
 func (s *eventStream) Replay(id uint32) {
 	s.record("replay %d", id)
-	if s.requests[id].q.Repeat == 0 {
+	if s.requests[id].q.RepeatOf == 0 {
 		s.t.Fatal("replay of a request that repeats nothing")
 	}
 	s.requests[id].state = "replaying"
@@ -192,7 +192,7 @@
 	}
 	if s.noticeAt == 0 && s.random.Intn(900) == 0 {
 		s.noticeAt, s.stopAt = s.now, s.now+3*time.Second
-		s.c.Leave(s.now, 3*time.Second)
+		s.c.Drain(s.now, 3*time.Second)
 	}
 	for _, id := range s.openIDs {
 		s.advance(id, s.requests[id])
@@ -229,7 +229,7 @@
 func (s *eventStream) request() {
 	s.lastID++
 	q := Request{ID: s.lastID, Class: s.random.Intn(len(s.cfg.Classes)), Tenant: s.random.Intn(4),
-		Rank: s.random.Float64(), Left: time.Duration(s.random.Intn(3000)) * ms,
+		Rank: s.random.Float64(), TimeLeft: time.Duration(s.random.Intn(3000)) * ms,
 		Waited: time.Duration(s.random.Intn(400)) * ms, Memory: 5 + 20*s.random.Float64(),
 		Caller: uint32(s.random.Intn(max(1, s.cfg.Callers))), Subject: s.random.Uint64() >> 60}
 	switch s.random.Intn(40) {
@@ -243,14 +243,14 @@
 		q.Rank = 7
 	}
 	r := &trackedRequest{q: q, arrived: s.now - q.Waited, state: "held"}
-	r.due = s.now + q.Left
-	if q.Left == 0 {
+	r.due = s.now + q.TimeLeft
+	if q.TimeLeft == 0 {
 		r.due = max(s.now, r.arrived+s.cfg.Classes[q.Class].Deadline)
 	}
 	if s.effect(r) == Keyed && s.random.Intn(3) == 0 {
 		for _, id := range s.openIDs {
 			if at, ok := s.keys[id]; ok && at > s.now && s.requests[id].q.Class == q.Class {
-				r.q.Repeat = id
+				r.q.RepeatOf = id
 				break
 			}
 		}
@@ -262,10 +262,10 @@
 
 // advance passes a random event of a request, or none.
 func (s *eventStream) advance(id uint32, r *trackedRequest) {
-	outcomes := []Outcome{OK, OK, OK, Errored, Rejected, TimedOut, Unreachable, Broken}
-	if !r.answered && s.cfg.HearsGone && r.state != "over" && s.random.Intn(300) == 0 {
+	outcomes := []Outcome{OK, OK, OK, Errored, Rejected, TimedOut, Unreachable, Interrupted}
+	if !r.answered && s.cfg.ReportsCanceled && r.state != "over" && s.random.Intn(300) == 0 {
 		s.answer(id, r)
-		s.c.Gone(s.now, id)
+		s.c.Canceled(s.now, id)
 		return
 	}
 	if s.random.Intn(12) != 0 {
@@ -275,7 +275,7 @@
 	case "running":
 		if s.cfg.Classes[r.q.Class].Calls && s.random.Intn(2) == 0 && !r.answered {
 			r.state = "blocked"
-			s.c.AtCall(s.now, id)
+			s.c.Blocked(s.now, id)
 			return
 		}
 		r.state, r.answered = "over", true
@@ -286,16 +286,16 @@
 		if how == OK {
 			r.state = "running"
 		}
-		r.uncertain = r.uncertain || how == Errored || how == TimedOut || how == Broken
+		r.uncertain = r.uncertain || how == Errored || how == TimedOut || how == Interrupted
 		s.c.CallDone(s.now, id, 50*ms, how)
 	case "replaying":
 		r.state, r.answered = "over", true
 		s.c.Done(s.now, id, 0, OK)
 	}
 	if s.random.Intn(50) == 0 { // events of unknown requests are ignored
-		s.c.Done(s.now, id+1<<20, 0, Moot)
-		s.c.AtCall(s.now, id+1<<20)
-		s.c.Gone(s.now, id+1<<20)
+		s.c.Done(s.now, id+1<<20, 0, NotStarted)
+		s.c.Blocked(s.now, id+1<<20)
+		s.c.Canceled(s.now, id+1<<20)
 	}
 }
 
@@ -373,11 +373,11 @@
 // Whatever the settings, unusual events break none of the four rules that eventStream checks, and equal events lead to
 // equal actions.
 func TestTheFourRulesUnderUnusualEvents(t *testing.T) {
-	for stopping := StopNever; stopping <= StopHolds; stopping++ {
+	for stopping := StopNever; stopping <= StopPauses; stopping++ {
 		for advert := AdvertNone; advert <= AdvertWeight; advert++ {
 			for calls := 0; calls < 4; calls++ {
 				cfg := baseConfig()
-				cfg.Stopping, cfg.Advert, cfg.HearsGone, cfg.Cold = stopping, advert, calls%2 == 0, calls == 1
+				cfg.Stopping, cfg.Advert, cfg.ReportsCanceled, cfg.Cold = stopping, advert, calls%2 == 0, calls == 1
 				cfg.ColdFrom, cfg.ColdFor, cfg.CallLingers = 0.2, 5*time.Second, 200*ms
 				cfg.Memory = 2500
 				cfg.Classes = []Class{
@@ -449,7 +449,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			cfg := baseConfig()
-			cfg.Memory, cfg.IdleMax, cfg.HearsGone = 2500, 30*time.Second, true
+			cfg.Memory, cfg.IdleMax, cfg.ReportsCanceled = 2500, 30*time.Second, true
 			test.set(&cfg)
 			for seed := int64(1); seed <= 5; seed++ {
 				first, second := playEvents(t, cfg, seed), playEvents(t, cfg, seed)
--- a/internal/core/calls_test.go
+++ b/internal/core/calls_test.go
@@ -37,7 +37,7 @@
 		w.Send(callOK("a", secondCall, "reply to second call"), runBlocked("a", "next"))
 		w.Expect(ms, "supply a reply to second call", "call a quote 100ms next")
 		w.Send(callOK("a", firstCall, "reply to first call"), callOK("a", secondCall, "reply to second call"),
-			core.CallEnded{Handle: "a", Number: firstCall, Outcome: control.Broken})
+			core.CallEnded{Handle: "a", Number: firstCall, Outcome: control.Interrupted})
 		w.Expect(ms)
 		w.Send(callOK("a", nextCall, "reply to next call"))
 		w.Expect(ms, "supply a reply to next call")
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -58,7 +58,7 @@
 		return
 	}
 	r.resendCommand = nil
-	c.controller.Gone(c.now, r.id)
+	c.controller.Canceled(c.now, r.id)
 	if c.site.Control.Stopping != control.StopNever {
 		c.stopRun(r)
 	}
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -167,7 +167,7 @@
 			always(claimWon()), "failed a; failed b", "failed a; failed b"},
 		"held":    {hold, always(runSucceeded("x", "1")), "served x 1; failed a; failed b", "failed a; failed b"},
 		"running": {startRun, always(runSucceeded("a", "x")), "failed a; failed b", "failed a; stop a; failed b"},
-		"failing": {startRun, always(runFinished("a", control.Moot, "")), "failed a; failed b",
+		"failing": {startRun, always(runFinished("a", control.NotStarted, "")), "failed a; failed b",
 			"failed a; stop a; failed b"},
 		"run not begun": {startRun, always(core.PoolUnknown{Command: "spawn", Handle: "a"}), "failed a; failed b",
 			"failed a; stop a; failed b"},
@@ -175,7 +175,7 @@
 			"failed a; stop a; failed b"},
 		"during a call": {startCall, always(core.CallEnded{Handle: "a", Body: []byte("r")}),
 			"failed a; stop a; failed b", "failed a; abandon a; stop a; failed b"},
-		"before continuing without a call": {startCall, always(core.CallEnded{Handle: "a", Outcome: control.Broken}),
+		"before continuing without a call": {startCall, always(core.CallEnded{Handle: "a", Outcome: control.Interrupted}),
 			"failed a; stop a; failed b", "failed a; abandon a; stop a; failed b"},
 		"no link": {func(w *scenario.World) { startRun(w); w.Send(core.PoolLost{}) },
 			always(core.PoolBound{Age: time.Hour}), "failed a; failed b; stop a", "failed a; failed b"},
@@ -227,7 +227,7 @@
 
 // A run whose claim was lost must not occupy a downstream call slot, even if its notice crosses the stop command.
 func TestRunWithLostClaimMakesNoCall(t *testing.T) {
-	oneCall := func(s *core.Site) { s.Control.CallsTier, s.Control.CallShare = false, 1 }
+	oneCall := func(s *core.Site) { s.Control.DownstreamSheds, s.Control.CallShare = false, 1 }
 	withConfirmingStore(t, false, oneCall, func(w *scenario.World) {
 		expectAfter(w, "run x quote body", w.Ask("x", "quote", ""))
 		expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), claimWon())
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -432,7 +432,7 @@
 	c.metricsChanged()
 	c.log.Info("draining", "open", len(c.byHandle), "stop_ms", c.site.Stop.Milliseconds())
 	if c.controller != nil {
-		c.controller.Leave(c.now, max(0, c.site.Stop-answerAllMargin))
+		c.controller.Drain(c.now, max(0, c.site.Stop-answerAllMargin))
 	}
 	c.reportAvailability()
 	grace := c.gracePeriod()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -55,10 +55,10 @@
 	for outcome, want := range map[control.Outcome][]string{
 		control.Rejected:    {"call a book 4s x"},
 		control.Unreachable: {"call a book 4s x"},
-		control.Broken:      {"failed a"},
+		control.Interrupted: {"failed a"},
 		control.Errored:     {"failed a"},
 		control.TimedOut:    {"failed a"},
-		control.Moot:        nil,
+		control.NotStarted:  nil,
 	} {
 		play(t, false, func(w *scenario.World) {
 			w.Send(w.Ask("a", "book", "k"))
@@ -245,7 +245,7 @@
 // the next try. A run that was requested twice may have run.
 func TestRunThatNeverBegan(t *testing.T) {
 	for name, event := range map[string]core.Event{"unknown": core.PoolUnknown{Command: "spawn", Handle: "a"},
-		"moot": runFinished("a", control.Moot, "")} {
+		"moot": runFinished("a", control.NotStarted, "")} {
 		t.Run(name, func(t *testing.T) {
 			play(t, false, func(w *scenario.World) {
 				w.Send(w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
@@ -255,7 +255,7 @@
 				w.Send(core.PoolUnknown{Command: "supply", Handle: "b"}, core.PoolLost{},
 					core.PoolBound{Age: time.Hour})
 				w.Expect(ms, "run b book body")
-				w.Send(runFinished("b", control.Moot, ""), w.Ask("c", "book", "k"))
+				w.Send(runFinished("b", control.NotStarted, ""), w.Ask("c", "book", "k"))
 				w.Expect(ms, "failed b", "failed c")
 			})
 		})
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -168,7 +168,7 @@
 		c.abandonCall(r)
 	}
 	controllerDone := r.state == stateHeld || r.state == stateReplaying
-	c.controller.Gone(c.now, r.id)
+	c.controller.Canceled(c.now, r.id)
 	if controllerDone { // the controller is done with it
 		c.discard(r)
 	}
--- a/internal/core/links_test.go
+++ b/internal/core/links_test.go
@@ -18,7 +18,7 @@
 			w.Expect(ms, "run a "+class+" body")
 			w.Send(runBlocked("a", "x"))
 			w.Expect(ms, map[string]string{"quote": "call a quote 3s x", "book": "call a book 4s x"}[class])
-			w.Send(core.CallEnded{Handle: "a", Outcome: control.Broken})
+			w.Send(core.CallEnded{Handle: "a", Outcome: control.Interrupted})
 			w.Expect(6*ms, want...)
 		})
 	}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -18,7 +18,7 @@
 	r.resendCommand = nil
 	r.state = stateBlocked
 	r.callBody, r.callNotice = e.Body, e.Notice
-	c.controller.AtCall(c.now, r.id)
+	c.controller.Blocked(c.now, r.id)
 }
 
 // startCall makes the call that r waits for.
@@ -62,7 +62,7 @@
 // of the call in flight.
 func (c *Core) callEnded(e CallEnded) {
 	r := c.byHandle[e.Handle]
-	if r == nil || r.state != stateCalling || r.callNumber != e.Number || e.Outcome == control.Moot {
+	if r == nil || r.state != stateCalling || r.callNumber != e.Number || e.Outcome == control.NotStarted {
 		return
 	}
 	c.timers.remove(&r.waitTimer)
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -161,9 +161,9 @@
 		repeatOf = r.entry.owner.id
 	}
 	c.controller.Request(c.now, control.Request{ID: r.id, Class: r.Class, Tenant: r.Tenant, Rank: r.Rank,
-		Memory: r.Memory, Work: r.Work, Left: max(r.due-c.now,
+		Memory: r.Memory, Work: r.Work, TimeLeft: max(r.due-c.now,
 			time.Millisecond), Waited: c.now - r.arrived, Caller: r.Caller, Subject: r.Subject,
-		Repeat: repeatOf, Retry: r.Retry})
+		RepeatOf: repeatOf, Retry: r.Retry})
 }
 
 // replay serves a repeat with the result of the try it repeats, now or when that is over.
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -211,7 +211,7 @@
 	c.metricsChanged()
 	c.log.Info("worker pool up", "cold", cold, "age_ms", (c.now - started).Milliseconds())
 	if c.draining {
-		c.controller.LeaveSince(c.now, c.drainStart, max(0, c.drainStart+c.site.Stop-answerAllMargin-c.now))
+		c.controller.DrainSince(c.now, c.drainStart, max(0, c.drainStart+c.site.Stop-answerAllMargin-c.now))
 	}
 	c.reportAvailability()
 }
@@ -285,7 +285,7 @@
 		c.answer(r, Answer{Kind: Invalid, Why: "the worker pool does not know this request"})
 		c.undoRun(r)
 	}
-	c.finish(r, control.Moot, 0)
+	c.finish(r, control.NotStarted, 0)
 }
 
 // undoRun records that a run of r never began after all, and passes its key to the next try.
@@ -325,7 +325,7 @@
 	switch {
 	case r.entry == nil:
 		c.answer(r, answer)
-	case e.End == control.Moot && r.runCommands == 1:
+	case e.End == control.NotStarted && r.runCommands == 1:
 		c.answer(r, answer)
 		c.undoRun(r)
 	default:
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -19,11 +19,11 @@
 	once := control.Class{Aim: 2600 * ms, Deadline: 6400 * ms, Worth: 3, Effect: control.Unsafe, Calls: true}
 	skipping := read
 	skipping.SkipWorth, skipping.Aim, skipping.Deadline = 0.6, 1900*ms, 4500*ms
-	tier := func(site *core.Site) { site.Control.CallsTier = true }
+	tier := func(site *core.Site) { site.Control.DownstreamSheds = true }
 	shared := func(site *core.Site) {
-		site.Control.CallsTier, site.Control.CallShare, site.Control.CallWindow,
+		site.Control.DownstreamSheds, site.Control.CallShare, site.Control.CallWindow,
 			site.Control.CallLingers = false, 8, 5*time.Second, 200*ms
-		site.Control.DearChecks = true
+		site.Control.ExpensiveChecks = true
 	}
 	deployments := map[string]core.Site{}
 	for name, kind := range map[string]struct {
@@ -92,7 +92,7 @@
 
 // A write whose call may have had its effect fails; neither the call nor the run is repeated.
 func TestWriteOfUnknownOutcomeIsNotRepeated(t *testing.T) {
-	for _, outcome := range []control.Outcome{control.Broken, control.Errored, control.TimedOut} {
+	for _, outcome := range []control.Outcome{control.Interrupted, control.Errored, control.TimedOut} {
 		onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
 			w.Send(ask("a", "k"))
 			w.Expect(ms, "run a "+class+" body")
@@ -128,9 +128,9 @@
 		w.Expect(ms, "run a read body")
 		w.Send(core.PoolBlocked{Handle: "a", Notice: 7, Body: []byte("x")})
 		w.Expect(ms, "call a read 1.9s x")
-		w.Send(core.CallEnded{Handle: "a", Outcome: control.Broken})
+		w.Send(core.CallEnded{Handle: "a", Outcome: control.Interrupted})
 		w.Expect(ms, "call a read 1.9s x") // the class is safe: one more call
-		w.Send(core.CallEnded{Handle: "a", Outcome: control.Broken})
+		w.Send(core.CallEnded{Handle: "a", Outcome: control.Interrupted})
 		w.Expect(ms, "pass a 7")
 		w.Send(core.PoolLost{}, core.PoolBound{Age: time.Hour})
 		w.Expect(10*ms, "pass a 7")
--- a/internal/fleet/replycache/cache.go
+++ b/internal/fleet/replycache/cache.go
@@ -246,7 +246,7 @@
 		case control.OK:
 			k.put(ctx, w.key, c.Body, at)
 			k.tell(ctx, k.kept.Got(at, w.key, c.Body), control.OK)
-		case control.Moot: // its own run is over, which says nothing of the service
+		case control.NotStarted: // its own run is over, which says nothing of the service
 			k.tell(ctx, k.kept.Leave(w.key, w.who), control.TimedOut)
 		default:
 			k.tell(ctx, k.kept.Failed(w.key, w.who), c.Outcome)
--- a/internal/fleet/replycache/cache_test.go
+++ b/internal/fleet/replycache/cache_test.go
@@ -38,7 +38,7 @@
 		case 0:
 			outcome = control.Errored
 		case 1:
-			outcome = control.Moot
+			outcome = control.NotStarted
 		case 2:
 			return
 		}
--- a/internal/index/crossing_test.go
+++ b/internal/index/crossing_test.go
@@ -194,7 +194,7 @@
 	peer2 := c.stand.Accept()
 	peer2.Expect(`^GET c `)
 	peer2.Close()
-	c.expect("c", control.Broken, nil)
+	c.expect("c", control.Interrupted, nil)
 	if rest := peer.Rest(); rest != "" {
 		t.Errorf("read %q", rest)
 	}
@@ -289,7 +289,7 @@
 	peer := c.stand.Accept()
 	peer.Expect(`^GET a `)
 	peer.Send("nonsense\r\n")
-	c.expect("a", control.Broken, nil)
+	c.expect("a", control.Interrupted, nil)
 	defer close(goOn)
 	if rest := peer.Rest(); rest != "\r\n" { // the connection ends while the call's outcome is being reported
 		t.Errorf("read %q", rest)
@@ -373,7 +373,7 @@
 				peer.Expect(`^GET b `)
 				peer.Close()
 			}
-			c.expect("b", control.Broken, nil)
+			c.expect("b", control.Interrupted, nil)
 			c.call("z", true) // no other connection was opened before it
 			c.stand.Accept().Bytes("GET z ")
 			c.expectNoMore()
@@ -390,22 +390,22 @@
 		how  control.Outcome
 		body []byte
 	}{
-		"no reply, then closed":              {nil, true, control.Broken, nil},
-		"in the head":                        {[]string{"a HI"}, true, control.Broken, nil},
-		"after the head":                     {[]string{"a HIT 4\r\n"}, true, control.Broken, nil},
-		"in the body":                        {[]string{"a HIT 4\r\nta"}, true, control.Broken, nil},
-		"before the line end":                {[]string{"a HIT 4\r\ntaxi"}, true, control.Broken, nil},
-		"in the line end":                    {[]string{"a HIT 4\r\ntaxi\r"}, true, control.Broken, nil},
+		"no reply, then closed":              {nil, true, control.Interrupted, nil},
+		"in the head":                        {[]string{"a HI"}, true, control.Interrupted, nil},
+		"after the head":                     {[]string{"a HIT 4\r\n"}, true, control.Interrupted, nil},
+		"in the body":                        {[]string{"a HIT 4\r\nta"}, true, control.Interrupted, nil},
+		"before the line end":                {[]string{"a HIT 4\r\ntaxi"}, true, control.Interrupted, nil},
+		"in the line end":                    {[]string{"a HIT 4\r\ntaxi\r"}, true, control.Interrupted, nil},
 		"complete, then closed":              {[]string{"a HIT 4\r\ntaxi\r\n"}, true, control.OK, []byte("taxi")},
 		"a byte at a time":                   {strings.Split("a HIT 4\r\ntaxi\r\n", ""), false, control.OK, []byte("taxi")},
 		"duplicate reply":                    {[]string{"a HIT 4\r\ntaxi\r\na HIT 4\r\nlate\r\n"}, false, control.OK, []byte("taxi")},
 		"another call's reply, then its own": {[]string{"b HIT 4\r\nlate\r\na HIT 4\r\ntaxi\r\n"}, false, control.OK, []byte("taxi")},
-		"another call's reply only":          {[]string{"b HIT 4\r\nlate\r\n"}, true, control.Broken, nil},
-		"line too long":                      {[]string{strings.Repeat("x", 10_000)}, false, control.Broken, nil},
-		"a longer body":                      {[]string{"a HIT 4\r\ntaxis\r\n"}, false, control.Broken, nil},
-		"too long a body":                    {[]string{fmt.Sprintf("a HIT %d\r\n", maxReplyBytes+1)}, false, control.Broken, nil},
+		"another call's reply only":          {[]string{"b HIT 4\r\nlate\r\n"}, true, control.Interrupted, nil},
+		"line too long":                      {[]string{strings.Repeat("x", 10_000)}, false, control.Interrupted, nil},
+		"a longer body":                      {[]string{"a HIT 4\r\ntaxis\r\n"}, false, control.Interrupted, nil},
+		"too long a body":                    {[]string{fmt.Sprintf("a HIT %d\r\n", maxReplyBytes+1)}, false, control.Interrupted, nil},
 		"shed, then extra bytes":             {[]string{"a SHED\r\ntaxi\r\n"}, false, control.Rejected, nil},
-		"unknown word":                       {[]string{"a LATER\r\n"}, false, control.Broken, nil},
+		"unknown word":                       {[]string{"a LATER\r\n"}, false, control.Interrupted, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newRaceTest(t, 2)
@@ -478,7 +478,7 @@
 		1: core.CallEnded{Handle: "a", Number: 1, Outcome: control.OK, Body: []byte("1")},
 		2: core.CallEnded{Handle: "a", Number: 2, Outcome: control.OK, Body: []byte("2")},
 		3: core.CallEnded{Handle: "a", Number: 3, Outcome: control.Rejected},
-		4: core.CallEnded{Handle: "a", Number: 4, Outcome: control.Broken},
+		4: core.CallEnded{Handle: "a", Number: 4, Outcome: control.Interrupted},
 	}, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -208,7 +208,7 @@
 	if pending != nil || !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 		c.log.Warn("link down", "to", "index", "err", err)
 	}
-	c.connectionEnded(tracked, pending, control.Broken)
+	c.connectionEnded(tracked, pending, control.Interrupted)
 }
 
 // connectionEnded handles the end of a connection, or of the attempt to open one, and of the call that it carried.
@@ -307,7 +307,7 @@
 	case "SLOW":
 		reply.Outcome = control.TimedOut
 	case "NOBODY":
-		reply.Outcome = control.Moot
+		reply.Outcome = control.NotStarted
 	default:
 		return reply, fmt.Errorf("%w: %q", errMalformedReply, word)
 	}
--- a/internal/index/index_test.go
+++ b/internal/index/index_test.go
@@ -58,7 +58,7 @@
 		how           control.Outcome
 		body          []byte
 	}{{"b", "HIT 0\r\n", control.OK, []byte{}}, {"c", "SHED", control.Rejected, nil}, {"d", "BROKEN", control.Errored, nil},
-		{"e", "SLOW", control.TimedOut, nil}, {"f", "NOBODY", control.Moot, nil}} {
+		{"e", "SLOW", control.TimedOut, nil}, {"f", "NOBODY", control.NotStarted, nil}} {
 		c.make(tc.handle, time.Microsecond, false, nil)
 		peer.Expect("^GET " + tc.handle + " 1 0$")
 		peer.Send(tc.handle, " ", tc.reply, "\r\n")
@@ -86,7 +86,7 @@
 		peer.Expect(`^GET a`)
 		peer2.Expect(`^GET b`)
 		peer.Send(malformed)
-		c.expect("a", control.Broken, nil)
+		c.expect("a", control.Interrupted, nil)
 		peer2.Send("zz HIT 2\r\nno\r\nb HIT 1\r\n1\r\nb HIT 1\r\n1\r\n")
 		c.expect("b", control.OK, []byte("1"))
 		c.call("b", false)
@@ -125,7 +125,7 @@
 	peer = backend.Accept()
 	peer.Expect(`^GET c`)
 	peer.Close()
-	c.expect("c", control.Broken, nil)
+	c.expect("c", control.Interrupted, nil)
 }
 
 // Checks that a call beyond the connection limit waits for a free connection and can be abandoned while it waits.
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -274,7 +274,7 @@
 	case "cancelled":
 		return control.Stopped
 	case "unknown":
-		return control.Moot
+		return control.NotStarted
 	}
 	return control.Errored
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -62,7 +62,7 @@
 	for i, fate := range []string{"complete", "error", "cancelled", "unknown"} {
 		p.Send(`{"event":"finished","cursor":`, string(rune('3'+i)), `,"handle":"a","fate":"`, fate, `","lasted":2,"arg":""}`, "\n")
 	}
-	for _, outcome := range []control.Outcome{control.OK, control.Errored, control.Stopped, control.Moot} {
+	for _, outcome := range []control.Outcome{control.OK, control.Errored, control.Stopped, control.NotStarted} {
 		expect(core.PoolFinished{Handle: "a", End: outcome, Took: 2e6, Body: []byte{}})
 	}
 	p.Send("no notice\n") // a malformed notice closes the connection
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -25,9 +25,9 @@
 	return core.Site{Classes: []string{"quote", "book"}, Tenants: []string{"north", "south"}, Gauges: []string{"core_use", "on_cores"},
 		Stop: 4 * time.Second, Bounds: core.Bounds{Sessions: 8, Open: 100, Table: 1 << 20},
 		Control: control.Config{Seed: 1, Cores: 2, Servers: 1, Callers: 1, Advert: control.AdvertLevel,
-			Stopping: control.StopDrops, CallsTier: true, Memory: 100000, RunFactor: 8, KeyMemory: 1, Crowd: 8,
+			Stopping: control.StopRequeues, DownstreamSheds: true, Memory: 100000, RunFactor: 8, KeyMemory: 1, Crowd: 8,
 			CrowdFor: time.Second, DrainGrace: 2 * time.Second, Slack: 80 * time.Millisecond, HeardFor: time.Second,
-			MaxAdvice: time.Second, IdleMax: 30 * time.Second, Quantum: 5 * time.Millisecond, HearsGone: true,
+			MaxAdvice: time.Second, IdleMax: 30 * time.Second, Quantum: 5 * time.Millisecond, ReportsCanceled: true,
 			Classes: []control.Class{{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 1, Calls: true},
 				{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 3, Effect: control.Keyed, Window: 20 * time.Second, Calls: true}}}}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,11 +34,11 @@
 		Memory: family.MemoryKb, RunFactor: family.RunFactor, KeyMemory: family.KeyKb,
 		Crowd: safety.FallMultiple, CrowdFor: microseconds(safety.FallUs),
 		CallWindow: microseconds(family.DepWindowUs), CallLingers: microseconds(family.LingersUs),
-		CallShare: family.CallsOut, CallsTier: family.Below == "tier",
+		CallShare: family.CallsOut, DownstreamSheds: family.Below == "tier",
 		DrainGrace: microseconds(safety.DrainGraceUs), Slack: microseconds(safety.AnswerSlackUs),
 		HeardFor: microseconds(family.HeardForUs), IdleMax: microseconds(family.KeepaliveMaxUs),
-		Quantum:   cmp.Or(microseconds(s.QuantumUs), defaultQuantum),
-		HearsGone: family.HangupSeen, DearChecks: family.FullChecks, OverWorth: s.OverShareWorth,
+		Quantum:         cmp.Or(microseconds(s.QuantumUs), defaultQuantum),
+		ReportsCanceled: family.HangupSeen, ExpensiveChecks: family.FullChecks, OverWorth: s.OverShareWorth,
 	}
 	if limits.RetryAfter {
 		config.MaxAdvice = microseconds(limits.MaxRetryAfterUs)
@@ -53,9 +53,9 @@
 	}
 	switch family.Preemption {
 	case "drop":
-		config.Stopping = control.StopDrops
+		config.Stopping = control.StopRequeues
 	case "pause":
-		config.Stopping = control.StopHolds
+		config.Stopping = control.StopPauses
 	}
 	for i, request := range s.RequestClasses {
 		class := control.Class{Aim: microseconds(request.AimUs),
--- a/internal/uwsgi/client.go
+++ b/internal/uwsgi/client.go
@@ -121,7 +121,7 @@
 	case errors.Is(err, os.ErrDeadlineExceeded), errors.Is(err, context.DeadlineExceeded):
 		return control.TimedOut
 	}
-	return control.Broken
+	return control.Interrupted
 }
 
 var errResponse = errors.New("malformed response")
--- a/internal/uwsgi/client_test.go
+++ b/internal/uwsgi/client_test.go
@@ -34,9 +34,9 @@
 		"unmarked":      {"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n", control.Errored, ""},
 		"marked error":  {"HTTP/1.1 502 No\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", control.Errored, ""},
 		"out of time":   {"HTTP/1.1 504 Late\r\nContent-Length: 0\r\n\r\n", control.TimedOut, ""},
-		"cut short":     {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", control.Broken, ""},
-		"no answer":     {"", control.Broken, ""},
-		"no response":   {"hello\r\n", control.Broken, ""},
+		"cut short":     {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", control.Interrupted, ""},
+		"no answer":     {"", control.Interrupted, ""},
+		"no response":   {"hello\r\n", control.Interrupted, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := scenario.Listen(t)
