--- a/cmd/larchctl/main_test.go
+++ b/cmd/larchctl/main_test.go
@@ -50,7 +50,7 @@
 	}
 	go k.Run()
 	for i := range 30 {
-		k.Book(core.Use{Tenant: i % 3 / 2, Figures: ledger.Figures{1, 1_000_000, 100, 7, 0, 10, 20}})
+		k.Record(core.Usage{Tenant: i % 3 / 2, Figures: ledger.Figures{1, 1_000_000, 100, 7, 0, 10, 20}})
 	}
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		if s, err := k.Totals(t.Context()); err == nil && s.Sealed[ledger.Requests] == 30 {
--- a/cmd/larchscale/control.go
+++ b/cmd/larchscale/control.go
@@ -16,9 +16,9 @@
 	client, err := controlclient.New(s.operator.Control, controlclient.Server{
 		Name:      s.config.Name,
 		Pool:      s.config.Pool,
-		Body:      &body{figures: s.core.Figures, holder: s.holder, guess: guess(s.config)},
-		Applied:   func() uint64 { return s.core.Figures().Configured },
-		Configure: func(revision uint64, _ []watch.Update) { s.core.Send(core.Configured{Revision: revision}) },
+		Body:      &body{figures: s.core.Metrics, holder: s.holder, guess: guess(s.config)},
+		Applied:   func() uint64 { return s.core.Metrics().ConfigurationRevision },
+		Configure: func(revision uint64, _ []watch.Update) { s.core.Send(core.ConfigurationApplied{Revision: revision}) },
 	}, s.log)
 	if err != nil {
 		return err
--- a/cmd/larchscale/fleet.go
+++ b/cmd/larchscale/fleet.go
@@ -62,7 +62,7 @@
 
 // newMember makes this server's membership of the fleet, served at mux and reached over the link.
 func (s *server) newMember(ctx context.Context, peerLink *link.Link, mux *http.ServeMux) *driver.Part {
-	body := &body{figures: s.core.Figures, holder: s.holder, guess: guess(s.config)}
+	body := &body{figures: s.core.Metrics, holder: s.holder, guess: guess(s.config)}
 	modules := func() []driver.Module { return nil }
 	if s.claims != nil {
 		s.startTakeOver(ctx, peerLink, mux)
@@ -160,8 +160,8 @@
 }
 
 // newTrials makes what sends calls below where trials have them go.
-func newTrials(cfg *config.Config, own *config.Operator, calls core.Caller, g *ground.Ground, sink func(core.Event), log *slog.Logger) *trials.Trials {
-	classes, others := cfg.Site.Classes, map[string]core.Caller{}
+func newTrials(cfg *config.Config, own *config.Operator, calls core.Downstream, g *ground.Ground, sink func(core.Event), log *slog.Logger) *trials.Trials {
+	classes, others := cfg.Site.Classes, map[string]core.Downstream{}
 	if cfg.Index == "" { // no class makes calls here
 		classes = nil
 	}
@@ -207,7 +207,7 @@
 
 // body is this box as the fleet sees it, from what the core publishes.
 type body struct {
-	figures func() *core.Figures
+	figures func() *core.Metrics
 	holder  *admin.Holder
 	guess   float64
 	meter   takeout.Meter
@@ -225,10 +225,10 @@
 			served += n
 		}
 		b.read = now
-		b.load, b.most = b.meter.Read(now.UnixMilli(), served, f.Use, b.guess)
+		b.load, b.most = b.meter.Read(now.UnixMilli(), served, f.CoreUse, b.guess)
 	}
 	warm := !f.WarmAt.IsZero() && !now.Before(f.WarmAt)
-	return takeout.Report{Warm: warm, Open: f.Active, KeyedUntil: f.KeyedUntil.UnixMilli(), Load: b.load, Capacity: b.most, Failing: !f.Serves}
+	return takeout.Report{Warm: warm, Open: f.Active, KeyedUntil: f.KeyedUntil.UnixMilli(), Load: b.load, Capacity: b.most, Failing: !f.Serving}
 }
 
 // Hold implements driver.Body.
--- a/cmd/larchscale/handoff.go
+++ b/cmd/larchscale/handoff.go
@@ -35,7 +35,7 @@
 
 // leave hands off to the newer process of this server if there is one, and else drains.
 func (s *server) leave() {
-	found, err := s.startFile.Look()
+	found, err := s.startFile.Inspect()
 	if err != nil {
 		s.log.Warn("start file", "do", "look", "err", err)
 	}
@@ -44,12 +44,12 @@
 		s.core.Send(core.Drain{})
 		return
 	}
-	kill := handoff.Kill(s.deadlines())
+	kill := handoff.KillDelay(s.deadlines())
 	s.log.Info("handing off", "to", successor, "kill_ms", kill.Milliseconds())
 	if err := steer(s.listeners); err != nil {
 		s.log.Warn("handing off", "err", err)
 	}
-	s.core.Send(core.Handoff{Kill: kill})
+	s.core.Send(core.Handoff{KillAfter: kill})
 }
 
 // deadlines returns the deadline of each class of requests.
--- a/cmd/larchscale/leave_test.go
+++ b/cmd/larchscale/leave_test.go
@@ -187,7 +187,7 @@
 	if code := run([]string{"-config", path}, func(string) string { return "" }, io.Discard); code != 1 {
 		t.Fatalf("exit %d", code)
 	}
-	if found, _ := older.Look(); found.Holder != handoff.Nobody {
+	if found, _ := older.Inspect(); found.Holder != handoff.Nobody {
 		t.Errorf("after a start that failed at its address the start file's holder is %d", found.Holder)
 	}
 }
--- a/cmd/larchscale/ledger.go
+++ b/cmd/larchscale/ledger.go
@@ -36,7 +36,7 @@
 	if s.ledger == nil {
 		return nil
 	}
-	s.core.Keep(s.ledger)
+	s.core.AttachLedger(s.ledger)
 	s.ledger.Attach(s.core.Send, s.core.Start())
 	go s.ledger.Run()
 	if s.operator.Ledger.Collector.URL == "" {
--- a/cmd/larchscale/server.go
+++ b/cmd/larchscale/server.go
@@ -56,7 +56,7 @@
 	directory *directory.Client
 
 	index   *index.Client
-	backend core.Caller       // what calls of requests go through: the index or uwsgi, behind the reply cache and experiments
+	backend core.Downstream   // what calls of requests go through: the index or uwsgi, behind the reply cache and experiments
 	replies *replycache.Cache // the reply cache; nil = off
 
 	store      core.Store
@@ -184,7 +184,7 @@
 // newCore makes the core, and its links to the worker pool and the directory.
 func (s *server) newCore() {
 	site := s.config.Site
-	site.Stop = handoff.Earliest(site.Stop, s.deadlines())
+	site.StopTime = handoff.EarliestKill(site.StopTime, s.deadlines())
 	s.core = core.New(site, s.log)
 	s.workers = pool.New(s.config.Pool, s.core.Send, s.log)
 	s.directory = directory.New(s.config.Lookup, s.config.Name, s.log)
@@ -239,7 +239,7 @@
 		front := uwsgi.New(s.operator.UWSGI, site, s.core, s.log)
 		s.fronts = append(s.fronts, sock.NewServer(listener, s.operator.UWSGI.MaxConns, limits.Budget(), front.Handle))
 	}
-	s.core.Listen(s.fronts)
+	s.core.AttachListener(s.fronts)
 	for _, front := range s.fronts {
 		go front.Serve()
 	}
@@ -251,7 +251,7 @@
 	if s.adminListener == nil {
 		return
 	}
-	endpoint := admin.New(s.config.Site.Classes, s.core.Figures, s.holder, s.log)
+	endpoint := admin.New(s.config.Site.Classes, s.core.Metrics, s.holder, s.log)
 	endpoint.Also(s.metrics)
 	go endpoint.Serve(s.adminListener)
 	s.onClose(func() { endpoint.Close() })
--- a/cmd/larchscale/store.go
+++ b/cmd/larchscale/store.go
@@ -35,7 +35,7 @@
 	s.experiments = newTrials(s.config, s.operator, s.backend, s.membership, s.core.Send, s.log)
 	if len(s.operator.Fleet.TrialCalls) > 0 { // without any, no call goes through them
 		s.backend = s.experiments
-		s.core.Tell(s.experiments)
+		s.core.ObserveOutcomes(s.experiments)
 	}
 }
 
--- a/cmd/measure/forecast.go
+++ b/cmd/measure/forecast.go
@@ -6,10 +6,10 @@
 	"time"
 	"unsafe"
 
+	"larchscale/internal/callcache"
 	"larchscale/internal/fleet/forecast"
 	"larchscale/internal/fleet/forecast/plan"
 	"larchscale/internal/fleet/forecast/simboxes"
-	"larchscale/internal/kept"
 )
 
 type forecastCmd struct {
@@ -230,7 +230,7 @@
 	x.foretold += told
 	x.off += math.Abs(told - all)
 	x.nothing += math.Abs(all)
-	x.traffic += math.Abs(all - moved/kept.Slices*base.Wants/watch*1000*fleetWas)
+	x.traffic += math.Abs(all - moved/callcache.Shards*base.Wants/watch*1000*fleetWas)
 }
 
 func (x *score) rows(r *report) {
--- a/cmd/measure/ledger.go
+++ b/cmd/measure/ledger.go
@@ -68,9 +68,9 @@
 	kind   core.Kind
 }
 
-func site() core.Site {
+func site() core.Config {
 	k := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 1}
-	return core.Site{Classes: []string{"quote"}, Tenants: standin.Stands, Stop: 4 * time.Second,
+	return core.Config{Classes: []string{"quote"}, Tenants: standin.Stands, StopTime: 4 * time.Second,
 		Bounds: core.Bounds{Sessions: 8, Open: 4096, Table: 1 << 20},
 		Control: control.Config{Seed: 1, Cores: 64, Servers: 1, Callers: 1, Advert: control.AdvertLevel, Stopping: control.StopRequeues,
 			Memory: 1e9, RunFactor: 8, Crowd: 64, CrowdFor: time.Second, DrainGrace: 2 * time.Second, Slack: 80 * time.Millisecond,
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 		g.books = k
-		g.core.Keep(k)
+		g.core.AttachLedger(k)
 		k.Attach(g.core.Send, g.core.Start())
 		go k.Run()
 	}
@@ -101,10 +101,10 @@
 	go g.core.Run(ctx)
 	go func() {
 		for h := range g.pool {
-			g.core.Send(core.PoolFinished{Handle: h, End: control.OK, Took: time.Millisecond, Body: []byte("a result of some bytes")})
+			g.core.Send(core.PoolFinished{Handle: h, Outcome: control.OK, RunTime: time.Millisecond, Body: []byte("a result of some bytes")})
 		}
 	}()
-	g.core.Send(core.Opened{Session: g})
+	g.core.Send(core.SessionOpened{Session: g})
 	g.core.Send(core.PoolBound{Age: time.Hour})
 	return g, nil
 }
@@ -123,13 +123,13 @@
 func (g *rig) Run(handle, _ string, _ []byte)                                   { g.pool <- handle }
 func (g *rig) Stop(string)                                                      {}
 func (g *rig) Supply(string, []byte)                                            {}
-func (g *rig) Pass(string, uint64)                                              {}
+func (g *rig) SkipCall(string, uint64)                                          {}
 func (g *rig) Verify(string)                                                    {}
 func (g *rig) Poll(string)                                                      {}
 func (g *rig) Call(string, uint64, string, uint64, time.Duration, bool, []byte) {}
 func (g *rig) Abandon(string)                                                   {}
 func (g *rig) Report(bool)                                                      {}
-func (g *rig) Silence()                                                         {}
+func (g *rig) StopReporting()                                                   {}
 func (g *rig) Drain(time.Duration)                                              {}
 func (g *rig) Close(uint64, core.CloseReason)                                   {}
 
@@ -145,7 +145,7 @@
 	g.asked++
 	n := g.asked
 	h := strconv.Itoa(n)
-	g.core.Send(core.Arrive{Session: g, Reply: waiter{g, h}, Req: core.Incoming{Handle: h, Tenant: n % len(standin.Stands),
+	g.core.Send(core.RequestArrived{Session: g, Reply: waiter{g, h}, Req: core.IncomingRequest{Handle: h, Tenant: n % len(standin.Stands),
 		Arrived: time.Now(), Budget: 4 * time.Second, Rank: 0.9, Memory: 25, Body: []byte("a body of some bytes")}})
 }
 
@@ -322,7 +322,7 @@
 	go k.Run()
 	for i := range entries {
 		e := entry(i)
-		k.Book(core.Use{Tenant: i % 4, End: e.End, Figures: e.Figures})
+		k.Record(core.Usage{Tenant: i % 4, End: e.End, Figures: e.Figures})
 		if i%8 == 7 {
 			if _, err := k.Totals(context.Background()); err != nil { // after it a group is written
 				return err
@@ -402,7 +402,7 @@
 	defer cancel()
 	for i := range 100_000 { // batches gather, as nobody takes them yet
 		e := entry(i)
-		k.Book(core.Use{Tenant: i % 4, End: e.End, Figures: e.Figures})
+		k.Record(core.Usage{Tenant: i % 4, End: e.End, Figures: e.Figures})
 		if i%200 == 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -6,7 +6,7 @@
 //	PUT /healthcheck/ok    200; health reports the state of the process again
 //
 // The endpoint reads only what the core loop publishes and never waits for the loop: a change of the health is sent to
-// it as a core.Hold event by a goroutine of its own.
+// it as a core.OperatorDrain event by a goroutine of its own.
 package admin
 
 import (
@@ -42,7 +42,7 @@
 // Door is the HTTP server of the admin endpoint.
 type Door struct {
 	classes []string
-	figures func() *core.Figures
+	figures func() *core.Metrics
 	holder  *Holder
 	log     *slog.Logger
 	server  *http.Server
@@ -51,7 +51,7 @@
 
 // New returns a server for the metrics of classes, in the order of Site.Classes. Operators hold the health down and
 // release it through holder.
-func New(classes []string, figures func() *core.Figures, holder *Holder, log *slog.Logger) *Door {
+func New(classes []string, figures func() *core.Metrics, holder *Holder, log *slog.Logger) *Door {
 	d := &Door{classes: classes, figures: figures, log: log, holder: holder}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthcheck", d.getHealth)
@@ -96,7 +96,7 @@
 	switch {
 	case d.holder.Held():
 		http.Error(w, "draining", http.StatusServiceUnavailable)
-	case !d.figures().Serves:
+	case !d.figures().Serving:
 		http.Error(w, "not serving", http.StatusServiceUnavailable)
 	default:
 		w.Write([]byte("ok\n"))
@@ -134,7 +134,7 @@
 
 // Lines formats the metrics: svc.ok.C, svc.shed.C, svc.errors.C and svc.tries.C for each class C, then svc.active and
 // the metrics of downstream calls, one name=value per line.
-func Lines(classes []string, f *core.Figures) []byte {
+func Lines(classes []string, f *core.Metrics) []byte {
 	var out bytes.Buffer
 	out.Grow(len(classes) * linesPerClass * expectedLineLen)
 	for _, metric := range []struct {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,13 +16,13 @@
 )
 
 // start starts an endpoint for the metrics of f and returns its address.
-func start(t *testing.T, f *atomic.Pointer[core.Figures]) string {
+func start(t *testing.T, f *atomic.Pointer[core.Metrics]) string {
 	t.Helper()
 	return startWithSink(t, f, func(core.Event) {})
 }
 
 // startWithSink is start with a sink for the events to the core.
-func startWithSink(t *testing.T, f *atomic.Pointer[core.Figures], sink func(core.Event)) string {
+func startWithSink(t *testing.T, f *atomic.Pointer[core.Metrics], sink func(core.Event)) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -54,9 +54,9 @@
 }
 
 // metrics returns metrics with some counts.
-func metrics(serves bool) *atomic.Pointer[core.Figures] {
-	var p atomic.Pointer[core.Figures]
-	p.Store(&core.Figures{OK: []uint64{812, 3}, Shed: []uint64{1, 0}, Errors: []uint64{0, 2}, Tries: []uint64{815, 5}, Active: 14, Serves: serves})
+func metrics(serves bool) *atomic.Pointer[core.Metrics] {
+	var p atomic.Pointer[core.Metrics]
+	p.Store(&core.Metrics{OK: []uint64{812, 3}, Shed: []uint64{1, 0}, Errors: []uint64{0, 2}, Tries: []uint64{815, 5}, Active: 14, Serving: serves})
 	return &p
 }
 
@@ -78,12 +78,12 @@
 		{true, "PUT /healthcheck/ok HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n", "HTTP/1.1 200 OK"},
 		{true, get, "HTTP/1.1 200 OK"},
 	} {
-		f.Load().Serves = step.serves
+		f.Load().Serving = step.serves
 		if got := call(t, addr, step.call); got != step.want {
 			t.Fatalf("%q with serving %v: %s, want %s", step.call, step.serves, got, step.want)
 		}
 	}
-	for _, want := range []core.Hold{{On: true}, {On: false}} {
+	for _, want := range []core.OperatorDrain{{On: true}, {On: false}} {
 		if got := <-events; got != want {
 			t.Fatalf("the core received %#v, want %#v", got, want)
 		}
--- a/internal/admin/hold.go
+++ b/internal/admin/hold.go
@@ -28,7 +28,7 @@
 		for {
 			select {
 			case <-h.changed:
-				report(core.Hold{On: h.Held()})
+				report(core.OperatorDrain{On: h.Held()})
 			case <-h.stop:
 				return
 			}
--- a/internal/admin/hold_test.go
+++ b/internal/admin/hold_test.go
@@ -12,7 +12,7 @@
 func TestHealthIsHeldByEither(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reported []bool
-		h := admin.NewHolder(func(e core.Event) { reported = append(reported, e.(core.Hold).On) })
+		h := admin.NewHolder(func(e core.Event) { reported = append(reported, e.(core.OperatorDrain).On) })
 		for _, step := range []struct {
 			who           int
 			on            bool
--- a/internal/admin/lines_test.go
+++ b/internal/admin/lines_test.go
@@ -39,7 +39,7 @@
 }
 
 // manyClasses returns classes whose counts all differ.
-func manyClasses(count int) ([]string, *core.Figures) {
+func manyClasses(count int) ([]string, *core.Metrics) {
 	classes := make([]string, count)
 	counts := make([][]uint64, 4)
 	for i := range classes {
@@ -48,5 +48,5 @@
 			counts[metric] = append(counts[metric], uint64((metric+1)*10_000+i))
 		}
 	}
-	return classes, &core.Figures{OK: counts[0], Shed: counts[1], Errors: counts[2], Tries: counts[3]}
+	return classes, &core.Metrics{OK: counts[0], Shed: counts[1], Errors: counts[2], Tries: counts[3]}
 }
--- a/internal/kept/flight.go
+++ b/internal/callcache/flight.go
@@ -1,4 +1,4 @@
-package kept
+package callcache
 
 import (
 	"cmp"
@@ -7,37 +7,37 @@
 	"slices"
 )
 
-// Verb is what a waiter is asked to do.
-type Verb uint8
+// Action is what a waiter is asked to do.
+type Action uint8
 
 // The actions.
 const (
-	Hit       Verb = iota + 1 // the reply is in the answer
-	Wait                      // another waiter is fetching the reply already; a further Answer follows
-	AskHome                   // ask server Box until Until, then call HomeSaid or HomeFailed
-	CallBelow                 // make the downstream call and report its end
-	GiveUp                    // two downstream calls failed, or the waiter is out of time
+	Hit            Action = iota + 1 // the reply is in the answer
+	Wait                             // another waiter is fetching the reply already; a further Answer follows
+	AskOwner                         // ask server Box until Until, then call OwnerReplied or OwnerFailed
+	CallDownstream                   // make the downstream call and report its end
+	GiveUp                           // two downstream calls failed, or the waiter is out of time
 )
 
 // Answer is an instruction to one waiter.
 type Answer struct {
-	Who   uint64 // as passed to Want
-	Do    Verb
-	Reply []byte // shared, must not be modified
-	Box   uint16
-	Until int64
-	Why   string
+	Waiter uint64 // as passed to Want
+	Action Action
+	Reply  []byte // shared, must not be modified
+	Owner  uint16
+	Until  int64
+	Why    string
 }
 
-// Word is an owner's response for a key.
-type Word struct {
-	Epoch uint64 // of the placement that the owner has
-	Class string
-	Sum   [32]byte
-	Has   bool
-	Reply []byte
-	Born  int64 // when the downstream service returned the reply
-	Left  int64 // milliseconds until it expires
+// OwnerResponse is an owner's response for a key.
+type OwnerResponse struct {
+	Epoch     uint64 // of the placement that the owner has
+	Class     string
+	Sum       [32]byte
+	Found     bool
+	Reply     []byte
+	FetchedAt int64 // when the downstream service returned the reply
+	TTL       int64 // milliseconds until it expires
 }
 
 // waiter is a request that waits for a reply.
@@ -55,83 +55,83 @@
 	waiters     []waiter
 }
 
-// Want registers a waiter (who, unique among the waiters) with its due time and returns what it is to do for a key of
+// Lookup registers a waiter (who, unique among the waiters) with its due time and returns what it is to do for a key of
 // a cached class. For any other class, or beyond the limits, it is to make its own downstream call; reporting its end
 // is harmless.
-func (k *Kept) Want(now int64, key Key, who uint64, due int64) Answer {
-	k.metrics.Wants++
+func (k *Cache) Lookup(now int64, key Key, who uint64, due int64) Answer {
+	k.metrics.Lookups++
 	if k.lifetimes[key.Class] == 0 {
 		k.metrics.Calls++
-		return Answer{Who: who, Do: CallBelow, Why: "the class is not cached"}
+		return Answer{Waiter: who, Action: CallDownstream, Why: "the class is not cached"}
 	}
 	if e := k.fresh(now, key); e != nil {
 		k.metrics.Hits++
-		return Answer{Who: who, Do: Hit, Reply: e.reply, Why: "cached here"}
+		return Answer{Waiter: who, Action: Hit, Reply: e.reply, Why: "cached here"}
 	}
 	w := waiter{who, due}
 	if fetch := k.flights[key]; fetch != nil {
 		if len(fetch.waiters) >= MaxWaiters {
 			k.metrics.Calls++
-			return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d waiters already", MaxWaiters)}
+			return Answer{Waiter: who, Action: CallDownstream, Why: fmt.Sprintf("%d waiters already", MaxWaiters)}
 		}
 		k.metrics.Joined++
 		fetch.waiters = append(fetch.waiters, w)
-		return Answer{Who: who, Do: Wait, Why: "being fetched already"}
+		return Answer{Waiter: who, Action: Wait, Why: "being fetched already"}
 	}
 	if len(k.flights) >= MaxFlights {
 		k.metrics.Calls++
-		return Answer{Who: who, Do: CallBelow, Why: fmt.Sprintf("%d keys are being fetched already", MaxFlights)}
+		return Answer{Waiter: who, Action: CallDownstream, Why: fmt.Sprintf("%d keys are being fetched already", MaxFlights)}
 	}
 	fetch := &flight{waiters: []waiter{w}}
 	k.flights[key] = fetch
-	owner := k.owners[Slice(key.Hash())]
-	patience := int64(k.options.AskShare * float64(due-now))
+	owner := k.owners[ShardOf(key.Hash())]
+	patience := int64(k.options.OwnerTimeShare * float64(due-now))
 	switch {
-	case owner == k.options.Self || owner == Nobody:
+	case owner == k.options.Self || owner == NoOwner:
 		return k.callDownstream(fetch, "this server is the owner, or there is none")
 	case patience < 1:
 		return k.callDownstream(fetch, "no time to ask the owner")
 	}
-	k.metrics.Asks++
+	k.metrics.OwnerRequests++
 	fetch.askingOwner, fetch.owner, fetch.ownerDue = true, owner, now+patience
-	return Answer{Who: who, Do: AskHome, Box: owner, Until: fetch.ownerDue, Why: "the owner may have it"}
+	return Answer{Waiter: who, Action: AskOwner, Owner: owner, Until: fetch.ownerDue, Why: "the owner may have it"}
 }
 
 // callDownstream makes the first waiter of a flight make the downstream call.
-func (k *Kept) callDownstream(fetch *flight, why string) Answer {
+func (k *Cache) callDownstream(fetch *flight, why string) Answer {
 	k.metrics.Calls++
 	fetch.askingOwner = false
-	return Answer{Who: fetch.waiters[0].who, Do: CallBelow, Why: why}
+	return Answer{Waiter: fetch.waiters[0].who, Action: CallDownstream, Why: why}
 }
 
-// Got takes the reply to a downstream call and answers all waiters, including the one that made the call.
-func (k *Kept) Got(now int64, key Key, reply []byte) []Answer {
+// CallSucceeded takes the reply to a downstream call and answers all waiters, including the one that made the call.
+func (k *Cache) CallSucceeded(now int64, key Key, reply []byte) []Answer {
 	lifetime := k.lifetimes[key.Class]
 	if lifetime == 0 {
 		return nil
 	}
 	k.put(now, key, reply, now, now+lifetime)
-	return k.finish(key, Answer{Do: Hit, Reply: reply, Why: "downstream call succeeded"})
+	return k.finish(key, Answer{Action: Hit, Reply: reply, Why: "downstream call succeeded"})
 }
 
-// Failed takes the failure of who's downstream call. That waiter knows of the failure itself; the next waiter calls
+// CallFailed takes the failure of who's downstream call. That waiter knows of the failure itself; the next waiter calls
 // in its place. A second failure ends the wait of all others, so that a service that is down is not called once for
 // each.
-func (k *Kept) Failed(key Key, who uint64) []Answer {
+func (k *Cache) CallFailed(key Key, who uint64) []Answer {
 	fetch := k.flights[key]
 	switch {
 	case fetch == nil || fetch.askingOwner || fetch.waiters[0].who != who:
 		return nil
 	case fetch.callFailed:
 		fetch.waiters = fetch.waiters[1:]
-		return k.finish(key, Answer{Do: GiveUp, Why: "two downstream calls failed"})
+		return k.finish(key, Answer{Action: GiveUp, Why: "two downstream calls failed"})
 	}
 	fetch.callFailed = true
 	return k.nextWaiter(key, fetch, "the previous call failed")
 }
 
 // nextWaiter removes the waiter that fetches the reply; the next one makes the downstream call.
-func (k *Kept) nextWaiter(key Key, fetch *flight, why string) []Answer {
+func (k *Cache) nextWaiter(key Key, fetch *flight, why string) []Answer {
 	if fetch.waiters = fetch.waiters[1:]; len(fetch.waiters) == 0 {
 		delete(k.flights, key)
 		return nil
@@ -140,20 +140,20 @@
 }
 
 // finish ends a flight with the same answer for all waiters.
-func (k *Kept) finish(key Key, answer Answer) (out []Answer) {
+func (k *Cache) finish(key Key, answer Answer) (out []Answer) {
 	if fetch := k.flights[key]; fetch != nil {
 		delete(k.flights, key)
 		for _, w := range fetch.waiters {
-			answer.Who = w.who
+			answer.Waiter = w.who
 			out = append(out, answer)
 		}
 	}
 	return out
 }
 
-// HomeSaid takes an owner's response for a key. If anything is wrong with it (late, stale, empty, false), the waiter
+// OwnerReplied takes an owner's response for a key. If anything is wrong with it (late, stale, empty, false), the waiter
 // that asked makes the downstream call; Why names the fault.
-func (k *Kept) HomeSaid(now int64, key Key, server uint16, response Word) []Answer {
+func (k *Cache) OwnerReplied(now int64, key Key, server uint16, response OwnerResponse) []Answer {
 	fetch := k.flights[key]
 	if fetch == nil || !fetch.askingOwner || fetch.owner != server {
 		return nil // late: the downstream call has been started or has ended
@@ -169,35 +169,35 @@
 		fault = "of another class"
 	case response.Sum != key.Sum:
 		fault = "for another call"
-	case !response.Has:
+	case !response.Found:
 		fault = "empty"
 	case len(response.Reply) > k.options.MaxReply:
 		fault = fmt.Sprintf("of %d bytes", len(response.Reply))
-	case response.Left <= 0 || response.Left > lifetime || response.Born > now+maxClockSkewMillis ||
-		response.Born+lifetime <= now:
+	case response.TTL <= 0 || response.TTL > lifetime || response.FetchedAt > now+maxClockSkewMillis ||
+		response.FetchedAt+lifetime <= now:
 		fault = "expired, or valid for longer than its class"
 	}
 	if fault != "" {
-		k.metrics.HomeBad++
+		k.metrics.OwnerFailures++
 		return []Answer{k.callDownstream(fetch, "the response of the owner is "+fault)}
 	}
-	k.metrics.HomeHits++
-	k.put(now, key, response.Reply, response.Born, min(now+response.Left, response.Born+lifetime))
-	return k.finish(key, Answer{Do: Hit, Box: server, Reply: response.Reply, Why: "cached at the owner"})
+	k.metrics.OwnerHits++
+	k.put(now, key, response.Reply, response.FetchedAt, min(now+response.TTL, response.FetchedAt+lifetime))
+	return k.finish(key, Answer{Action: Hit, Owner: server, Reply: response.Reply, Why: "cached at the owner"})
 }
 
-// HomeFailed reports that an owner could not be asked.
-func (k *Kept) HomeFailed(key Key, server uint16) []Answer {
+// OwnerFailed reports that an owner could not be asked.
+func (k *Cache) OwnerFailed(key Key, server uint16) []Answer {
 	if fetch := k.flights[key]; fetch != nil && fetch.askingOwner && fetch.owner == server {
-		k.metrics.HomeBad++
+		k.metrics.OwnerFailures++
 		return []Answer{k.callDownstream(fetch, "the owner was not reached")}
 	}
 	return nil
 }
 
-// Leave removes a waiter that no longer wants the key. If it was the one that fetches the reply, the next one makes
+// RemoveWaiter removes a waiter that no longer wants the key. If it was the one that fetches the reply, the next one makes
 // the downstream call.
-func (k *Kept) Leave(key Key, who uint64) []Answer {
+func (k *Cache) RemoveWaiter(key Key, who uint64) []Answer {
 	fetch := k.flights[key]
 	if fetch == nil {
 		return nil
@@ -215,9 +215,9 @@
 	return nil
 }
 
-// Due handles expired waits: an owner that has not answered is replaced by a downstream call, and waiters past their
+// ExpireWaits handles expired waits: an owner that has not answered is replaced by a downstream call, and waiters past their
 // due time are told to give up. It must be called by the time the next wait expires.
-func (k *Kept) Due(now int64) (out []Answer) {
+func (k *Cache) ExpireWaits(now int64) (out []Answer) {
 	for key, fetch := range k.flights {
 		remaining := fetch.waiters[:0:0]
 		for _, w := range fetch.waiters {
@@ -225,7 +225,7 @@
 				remaining = append(remaining, w)
 				continue
 			}
-			out = append(out, Answer{Who: w.who, Do: GiveUp, Why: "out of time"})
+			out = append(out, Answer{Waiter: w.who, Action: GiveUp, Why: "out of time"})
 		}
 		leader := fetch.waiters[0]
 		switch fetch.waiters = remaining; {
@@ -234,16 +234,16 @@
 		case remaining[0] != leader:
 			out = append(out, k.callDownstream(fetch, "the fetching waiter ran out of time"))
 		case fetch.askingOwner && now >= fetch.ownerDue:
-			k.metrics.HomeBad++
+			k.metrics.OwnerFailures++
 			out = append(out, k.callDownstream(fetch, "the owner is late"))
 		}
 	}
-	slices.SortFunc(out, func(a, b Answer) int { return cmp.Compare(a.Who, b.Who) }) // map iteration order is random
+	slices.SortFunc(out, func(a, b Answer) int { return cmp.Compare(a.Waiter, b.Waiter) }) // map iteration order is random
 	return out
 }
 
-// Next returns the earliest time at which a wait expires; math.MaxInt64 = never in the current state.
-func (k *Kept) Next() int64 {
+// NextExpiry returns the earliest time at which a wait expires; math.MaxInt64 = never in the current state.
+func (k *Cache) NextExpiry() int64 {
 	earliest := int64(math.MaxInt64)
 	for _, fetch := range k.flights {
 		if fetch.askingOwner {
@@ -257,11 +257,11 @@
 }
 
 // Serve returns what is cached for a key, for another server: only an unexpired reply, with its remaining lifetime.
-func (k *Kept) Serve(now int64, key Key) Word {
-	response := Word{Epoch: k.epoch, Class: key.Class, Sum: key.Sum}
+func (k *Cache) Serve(now int64, key Key) OwnerResponse {
+	response := OwnerResponse{Epoch: k.epoch, Class: key.Class, Sum: key.Sum}
 	if e := k.fresh(now, key); e != nil {
 		k.metrics.Served++
-		response.Has, response.Reply, response.Born, response.Left = true, e.reply, e.fetched, e.expires-now
+		response.Found, response.Reply, response.FetchedAt, response.TTL = true, e.reply, e.fetched, e.expires-now
 	}
 	return response
 }
--- a/internal/kept/kept_test.go
+++ b/internal/callcache/kept_test.go
@@ -1,4 +1,4 @@
-package kept
+package callcache
 
 import (
 	"errors"
@@ -13,17 +13,17 @@
 
 const self, other = 1, 2
 
-func newCache(t interface{ Fatal(...any) }, limit int64) *Kept {
-	cache, err := New(Options{Self: self, Bytes: limit, MaxReply: 100, AskShare: 0.25,
-		Classes: []Class{{Name: "fare", For: 1000}, {Name: "map", For: 60_000}}})
+func newCache(t interface{ Fatal(...any) }, limit int64) *Cache {
+	cache, err := New(Options{Self: self, Bytes: limit, MaxReply: 100, OwnerTimeShare: 0.25,
+		Classes: []Class{{Name: "fare", TTL: 1000}, {Name: "map", TTL: 60_000}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	owners := make([]uint16, Slices)
+	owners := make([]uint16, Shards)
 	for i := range owners {
 		owners[i] = other
 	}
-	if err := cache.Place(7, owners); err != nil {
+	if err := cache.SetOwners(7, owners); err != nil {
 		t.Fatal(err)
 	}
 	return cache
@@ -31,12 +31,12 @@
 
 // A class that is not safe, or is named twice, is reported in one line that names it; so is any other invalid option.
 func TestOptions(t *testing.T) {
-	ok := Options{Bytes: 10_000, MaxReply: 100, AskShare: 0.2, Classes: []Class{{Name: "fare", For: 1}}}
+	ok := Options{Bytes: 10_000, MaxReply: 100, OwnerTimeShare: 0.2, Classes: []Class{{Name: "fare", TTL: 1}}}
 	for want, change := range map[string]func(*Options){
 		`"book" writes`: func(o *Options) { o.Classes = []Class{{"book", 5, control.Keyed}} },
 		`"fare" twice`:  func(o *Options) { o.Classes = append(o.Classes, o.Classes[0]) },
 		`for 0 ms`:      func(o *Options) { o.Classes = []Class{{Name: "x"}} },
-		`share of 1`:    func(o *Options) { o.AskShare = 1 },
+		`share of 1`:    func(o *Options) { o.OwnerTimeShare = 1 },
 		`300 bytes`:     func(o *Options) { o.Bytes = 300 },
 	} {
 		o := ok
@@ -47,7 +47,7 @@
 		}
 	}
 	cache := newCache(t, 10_000)
-	if err := cache.Place(6, make([]uint16, Slices)); !errors.Is(err, ErrEpoch) {
+	if err := cache.SetOwners(6, make([]uint16, Shards)); !errors.Is(err, ErrEpoch) {
 		t.Error("an older placement was accepted:", err)
 	}
 }
@@ -55,41 +55,41 @@
 // Every fault of an owner's response costs one downstream call, and all waiters get the right reply.
 func TestFaultyOwnerResponses(t *testing.T) {
 	key := KeyOf("fare", []byte("a"))
-	for name, corrupt := range map[string]func(*Word, *int64){
-		"epoch":         func(response *Word, _ *int64) { response.Epoch = 6 },
-		"another call":  func(response *Word, _ *int64) { response.Sum = KeyOf("fare", []byte("b")).Sum },
-		"another class": func(response *Word, _ *int64) { response.Class = "map" },
-		"empty":         func(response *Word, _ *int64) { response.Has = false },
-		"101 bytes":     func(response *Word, _ *int64) { response.Reply = make([]byte, 101) },
-		"late":          func(_ *Word, at *int64) { *at = 10_250 },
-		"expired":       func(response *Word, _ *int64) { response.Left = 0 },
-		"longer than":   func(response *Word, _ *int64) { response.Left = 1001 },
+	for name, corrupt := range map[string]func(*OwnerResponse, *int64){
+		"epoch":         func(response *OwnerResponse, _ *int64) { response.Epoch = 6 },
+		"another call":  func(response *OwnerResponse, _ *int64) { response.Sum = KeyOf("fare", []byte("b")).Sum },
+		"another class": func(response *OwnerResponse, _ *int64) { response.Class = "map" },
+		"empty":         func(response *OwnerResponse, _ *int64) { response.Found = false },
+		"101 bytes":     func(response *OwnerResponse, _ *int64) { response.Reply = make([]byte, 101) },
+		"late":          func(_ *OwnerResponse, at *int64) { *at = 10_250 },
+		"expired":       func(response *OwnerResponse, _ *int64) { response.TTL = 0 },
+		"longer than":   func(response *OwnerResponse, _ *int64) { response.TTL = 1001 },
 		// An hour old, by a clock that was stopped.
-		"valid for longer":      func(response *Word, _ *int64) { response.Born = 10_000 - 3600_000 },
-		"expired, or valid for": func(response *Word, _ *int64) { response.Born = 10_000 + 3*maxClockSkewMillis },
+		"valid for longer":      func(response *OwnerResponse, _ *int64) { response.FetchedAt = 10_000 - 3600_000 },
+		"expired, or valid for": func(response *OwnerResponse, _ *int64) { response.FetchedAt = 10_000 + 3*maxClockSkewMillis },
 	} {
 		cache := newCache(t, 10_000)
-		if a := cache.Want(10_000, key, 1, 11_000); a.Do != AskHome || a.Box != other || a.Until != 10_250 {
+		if a := cache.Lookup(10_000, key, 1, 11_000); a.Action != AskOwner || a.Owner != other || a.Until != 10_250 {
 			t.Fatal(a)
 		}
-		if a := cache.Want(10_001, key, 2, 11_000); a.Do != Wait {
+		if a := cache.Lookup(10_001, key, 2, 11_000); a.Action != Wait {
 			t.Fatal(a)
 		}
-		response, at := Word{7, "fare", key.Sum, true, []byte("wrong"), 9_500, 500}, int64(10_100)
+		response, at := OwnerResponse{7, "fare", key.Sum, true, []byte("wrong"), 9_500, 500}, int64(10_100)
 		corrupt(&response, &at)
-		out := cache.HomeSaid(at, key, other, response)
-		if len(out) != 1 || out[0].Do != CallBelow || out[0].Who != 1 || !strings.Contains(out[0].Why, name) {
+		out := cache.OwnerReplied(at, key, other, response)
+		if len(out) != 1 || out[0].Action != CallDownstream || out[0].Waiter != 1 || !strings.Contains(out[0].Why, name) {
 			t.Fatalf("%s: %+v", name, out)
 		}
-		if out := cache.HomeSaid(at, key, other,
-			Word{7, "fare", key.Sum, true, []byte("wrong"), 9_500, 500}); out != nil {
+		if out := cache.OwnerReplied(at, key, other,
+			OwnerResponse{7, "fare", key.Sum, true, []byte("wrong"), 9_500, 500}); out != nil {
 			t.Fatalf("%s: a second response was accepted: %+v", name, out)
 		}
-		if out := cache.Got(at, key, []byte("right")); len(out) != 2 || string(out[0].Reply) != "right" ||
+		if out := cache.CallSucceeded(at, key, []byte("right")); len(out) != 2 || string(out[0].Reply) != "right" ||
 			string(out[1].Reply) != "right" {
 			t.Fatalf("%s: %+v", name, out)
 		}
-		if counters := cache.Figures(); counters.Calls != 1 || counters.HomeBad != 1 || counters.HomeHits != 0 {
+		if counters := cache.Counters(); counters.Calls != 1 || counters.OwnerFailures != 1 || counters.OwnerHits != 0 {
 			t.Fatalf("%s: %+v", name, counters)
 		}
 	}
@@ -98,16 +98,16 @@
 // A valid reply of an owner is cached for its remaining lifetime, and served on with no more than that.
 func TestRemainingTime(t *testing.T) {
 	owner, cache, key := newCache(t, 10_000), newCache(t, 10_000), KeyOf("fare", []byte("a"))
-	owner.Got(10_000, key, []byte("r"))
-	cache.Want(10_600, key, 1, 20_000)
+	owner.CallSucceeded(10_000, key, []byte("r"))
+	cache.Lookup(10_600, key, 1, 20_000)
 	response := owner.Serve(10_600, key)
-	if out := cache.HomeSaid(10_600, key, other, response); response.Left != 400 || len(out) != 1 || out[0].Do != Hit {
+	if out := cache.OwnerReplied(10_600, key, other, response); response.TTL != 400 || len(out) != 1 || out[0].Action != Hit {
 		t.Fatal(response, out)
 	}
-	if response := cache.Serve(10_999, key); !response.Has || response.Left != 1 {
+	if response := cache.Serve(10_999, key); !response.Found || response.TTL != 1 {
 		t.Fatal(response)
 	}
-	if response := cache.Serve(11_000, key); response.Has || cache.Want(11_000, key, 2, 20_000).Do == Hit {
+	if response := cache.Serve(11_000, key); response.Found || cache.Lookup(11_000, key, 2, 20_000).Action == Hit {
 		t.Fatal("an expired reply was served", response)
 	}
 }
@@ -126,16 +126,16 @@
 		replyAt := func(k Key, at int64) []byte { return fmt.Appendf(nil, "%s %x %d", k.Class, k.Sum[:4], at) }
 		apply := func(key Key, out []Answer) {
 			for _, a := range out {
-				if a.Do != Wait && a.Do != AskHome && a.Do != CallBelow {
-					delete(waiting, a.Who)
+				if a.Action != Wait && a.Action != AskOwner && a.Action != CallDownstream {
+					delete(waiting, a.Waiter)
 				}
 				switch {
-				case a.Do == AskHome || a.Do == CallBelow:
-					if l, ok := leaders[key]; ok && l != a.Who && waiting[l] == key {
-						t.Fatalf("%d fetches at the same time as %d", a.Who, l)
+				case a.Action == AskOwner || a.Action == CallDownstream:
+					if l, ok := leaders[key]; ok && l != a.Waiter && waiting[l] == key {
+						t.Fatalf("%d fetches at the same time as %d", a.Waiter, l)
 					}
-					leaders[key], calling[key] = a.Who, a.Do == CallBelow
-				case a.Do == Hit:
+					leaders[key], calling[key] = a.Waiter, a.Action == CallDownstream
+				case a.Action == Hit:
 					var class string
 					var sum string
 					var at int64
@@ -148,9 +148,9 @@
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += rapid.Int64Range(0, 400).Draw(t, "later")
-			for _, a := range k.Due(now) {
-				key, ok := waiting[a.Who]
-				if !ok || a.Do == GiveUp && now < due[a.Who] {
+			for _, a := range k.ExpireWaits(now) {
+				key, ok := waiting[a.Waiter]
+				if !ok || a.Action == GiveUp && now < due[a.Waiter] {
 					t.Fatalf("%+v for an unknown waiter, or too early", a)
 				}
 				apply(key, []Answer{a})
@@ -160,7 +160,7 @@
 					t.Fatalf("waiter %d for %s waits past its due time", w, key.Class)
 				}
 			}
-			if k.Next() <= now {
+			if k.NextExpiry() <= now {
 				t.Fatal("a wait that is due remains")
 			}
 			key := KeyOf(rapid.SampledFrom([]string{"fare", "map"}).Draw(t, "class"),
@@ -171,24 +171,24 @@
 			case op <= 1:
 				who++
 				waiting[who], due[who] = key, now+rapid.Int64Range(1, 1000).Draw(t, "time")
-				apply(key, []Answer{k.Want(now, key, who, due[who])})
+				apply(key, []Answer{k.Lookup(now, key, who, due[who])})
 			case op == 2 && isLed && !calling[key]:
-				w := Word{rapid.Uint64Range(6, 8).Draw(t, "epoch"), key.Class, key.Sum, true, nil,
+				w := OwnerResponse{rapid.Uint64Range(6, 8).Draw(t, "epoch"), key.Class, key.Sum, true, nil,
 					now - rapid.Int64Range(0, 2000).Draw(t, "age"), 0}
-				w.Left = max(0, w.Born+k.lifetimes[key.Class]-now)
-				w.Reply = replyAt(key, w.Born)
+				w.TTL = max(0, w.FetchedAt+k.lifetimes[key.Class]-now)
+				w.Reply = replyAt(key, w.FetchedAt)
 				if rapid.Bool().Draw(t, "corrupt") {
 					w.Sum[0], w.Reply = w.Sum[0]+1, []byte("corrupt")
 				}
-				apply(key, k.HomeSaid(now, key, other, w))
+				apply(key, k.OwnerReplied(now, key, other, w))
 			case op == 3 && isLed && calling[key]:
-				apply(key, k.Got(now, key, replyAt(key, now)))
+				apply(key, k.CallSucceeded(now, key, replyAt(key, now)))
 			case op == 4 && isLed && calling[key]:
 				delete(waiting, leader)
-				apply(key, k.Failed(key, leader))
+				apply(key, k.CallFailed(key, leader))
 			case op == 5 && isLed:
 				delete(waiting, leader)
-				apply(key, k.Leave(key, leader))
+				apply(key, k.RemoveWaiter(key, leader))
 			}
 			if k.Bytes() > 600 || k.Bytes() < 0 {
 				t.Fatal("bytes", k.Bytes())
@@ -199,16 +199,16 @@
 
 // The memory is bounded, including the overhead of each reply, and the least recently used reply is dropped first.
 func TestMemoryLimit(t *testing.T) {
-	cache := newCache(t, 10*(Overhead+10))
+	cache := newCache(t, 10*(EntryOverhead+10))
 	for i := range 100 {
-		cache.Got(1000, KeyOf("map", []byte{byte(i)}), make([]byte, 10))
-		cache.Want(1000, KeyOf("map", []byte{0}), uint64(i), 2000)
+		cache.CallSucceeded(1000, KeyOf("map", []byte{byte(i)}), make([]byte, 10))
+		cache.Lookup(1000, KeyOf("map", []byte{0}), uint64(i), 2000)
 	}
 	if entries, first, second := cache.lru.Len(), cache.Serve(1000, KeyOf("map", []byte{0})), cache.Serve(1000,
-		KeyOf("map", []byte{1})); entries != 10 || cache.Bytes() != 10*(Overhead+10) || !first.Has || second.Has {
-		t.Fatal(entries, cache.Bytes(), first.Has, second.Has)
+		KeyOf("map", []byte{1})); entries != 10 || cache.Bytes() != 10*(EntryOverhead+10) || !first.Found || second.Found {
+		t.Fatal(entries, cache.Bytes(), first.Found, second.Found)
 	}
-	if cache.Resize(3 * (Overhead + 10)); cache.Bytes() != 3*(Overhead+10) || cache.lru.Len() != 3 {
+	if cache.Resize(3 * (EntryOverhead + 10)); cache.Bytes() != 3*(EntryOverhead+10) || cache.lru.Len() != 3 {
 		t.Fatal("after Resize:", cache.Bytes(), cache.lru.Len())
 	}
 }
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -168,5 +168,5 @@
 	for i := range counts {
 		counts[i] = 1_000_000
 	}
-	return float64(len(admin.Lines(routes, &core.Figures{OK: counts, Shed: counts, Errors: counts, Tries: counts})))
+	return float64(len(admin.Lines(routes, &core.Metrics{OK: counts, Shed: counts, Errors: counts, Tries: counts})))
 }
--- a/internal/capacity/counts_test.go
+++ b/internal/capacity/counts_test.go
@@ -47,7 +47,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	site := core.Site{Classes: []string{"fare"}, Control: control.Config{Classes: make([]control.Class, 1)}}
+	site := core.Config{Classes: []string{"fare"}, Control: control.Config{Classes: make([]control.Class, 1)}}
 	platform := config.Config{Listen: "127.0.0.1:3", Site: site, Limits: config.Limits{MemoryMB: 64, Sockets: 512}}
 	operator, err := config.LoadOperator(path, &platform)
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -26,7 +26,7 @@
 	Lookup string // the directory; empty = not listed anywhere
 	Index  string // calls below; empty = the last tier
 	Admin  string // the operators' door; empty = none
-	Site   core.Site
+	Site   core.Config
 	Limits Limits
 }
 
@@ -143,11 +143,11 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := settings.Check(s); err != nil {
+	if err := settings.Validate(s); err != nil {
 		return nil, err
 	}
 	c.Site = site(s, seed)
-	c.Site.Stop = time.Duration(stop * float64(time.Millisecond))
+	c.Site.StopTime = time.Duration(stop * float64(time.Millisecond))
 	if len(c.Site.Classes) == 0 {
 		return nil, errors.New("settings: no RequestClasses")
 	}
@@ -207,8 +207,8 @@
 	return nil
 }
 
-func site(s *wire.Settings, seed uint64) core.Site {
-	out := core.Site{Control: settings.Config(s, seed), Gauges: s.FamilyInfo.OwnStats}
+func site(s *wire.Settings, seed uint64) core.Config {
+	out := core.Config{Control: settings.Config(s, seed), Gauges: s.FamilyInfo.OwnStats}
 	out.Control.KeyMemory = 0 // on sockets keys lie in this process's memory, not in the site's
 	for _, k := range s.RequestClasses {
 		out.Classes = append(out.Classes, k.Name)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []any{c.Name, c.Listen, c.Pool, c.Lookup, c.Index, c.Site.Stop.Milliseconds(), c.Site.Classes, c.Site.Tenants, c.Site.Keyed(0),
+	got := []any{c.Name, c.Listen, c.Pool, c.Lookup, c.Index, c.Site.StopTime.Milliseconds(), c.Site.Classes, c.Site.Tenants, c.Site.Keyed(0),
 		c.Site.Control.Seed, c.Site.Control.Cores, c.Site.Control.DownstreamSheds, c.Site.Control.Classes[0].SkipWorth}
 	want := []any{"n3", "127.0.0.4:6565", "127.1.0.1:6100", "127.2.0.1:2379", "127.1.0.2:7700", int64(3200), []string{"book"}, []string{"north"}, true,
 		uint64(0x8c1f30d27a5be964), 6, true, 0.5}
@@ -184,7 +184,7 @@
 		if err := c.Within(kernel); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(parse(want), c, cmp.AllowUnexported(core.Site{})); diff != "" {
+		if diff := cmp.Diff(parse(want), c, cmp.AllowUnexported(core.Config{})); diff != "" {
 			t.Errorf("%d: %s", kernel, diff)
 		}
 	}
--- a/internal/config/names_test.go
+++ b/internal/config/names_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	c.Site.Tenants[99], c.Site.Classes[9] = "changed", "changed"
-	if tenant, class := c.Site.Tenant("tenant-00099"), c.Site.Class("class-00009"); tenant != 99 || class != 9 {
+	if tenant, class := c.Site.TenantIndex("tenant-00099"), c.Site.ClassIndex("class-00009"); tenant != 99 || class != 9 {
 		t.Errorf("the last tenant is at %d, the last class at %d", tenant, class)
 	}
 }
@@ -39,7 +39,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if place := c.Site.Tenant("north"); place != 1 || len(c.Site.Tenants) != 3 {
+	if place := c.Site.TenantIndex("north"); place != 1 || len(c.Site.Tenants) != 3 {
 		t.Errorf("north is at %d of %d tenants", place, len(c.Site.Tenants))
 	}
 }
--- a/internal/config/sites_test.go
+++ b/internal/config/sites_test.go
@@ -57,13 +57,13 @@
 		for i, x := range d.Class {
 			got := k.Classes[i]
 			got.Calls = false // by the day
-			if w := (control.Class{Aim: ms(x.AimMs), Deadline: ms(x.DeadlineMs), Window: ms(x.WindowMs), Worth: x.Worth, LateWorth: x.LateWorth, Effect: effects[x.Effect]}); got != w || c.Site.Class(x.Name) != i {
-				t.Errorf("%s: %s is %+v at %d, want %+v", name, x.Name, got, c.Site.Class(x.Name), w)
+			if w := (control.Class{Aim: ms(x.AimMs), Deadline: ms(x.DeadlineMs), Window: ms(x.WindowMs), Worth: x.Worth, LateWorth: x.LateWorth, Effect: effects[x.Effect]}); got != w || c.Site.ClassIndex(x.Name) != i {
+				t.Errorf("%s: %s is %+v at %d, want %+v", name, x.Name, got, c.Site.ClassIndex(x.Name), w)
 			}
 		}
 		for i, x := range d.Tenant {
-			if k.Tenants[i].Share != x.Share || c.Site.Tenant(x.Name) != i {
-				t.Errorf("%s: %s is %+v at %d", name, x.Name, k.Tenants[i], c.Site.Tenant(x.Name))
+			if k.Tenants[i].Share != x.Share || c.Site.TenantIndex(x.Name) != i {
+				t.Errorf("%s: %s is %+v at %d", name, x.Name, k.Tenants[i], c.Site.TenantIndex(x.Name))
 			}
 		}
 		if l := c.Limits; l.Conns(0) != want.conns || l.Calls != want.calls ||
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -54,7 +54,7 @@
 // reject answers a request that is known to nothing else.
 func (c *Core) reject(r *request, kind Kind, reason string) {
 	r.state = stateEnded
-	c.answer(r, Answer{Kind: kind, Why: reason, Away: c.site.Control.MaxAdvice})
+	c.answer(r, Answer{Kind: kind, Why: reason, RetryAfter: c.site.Control.MaxAdvice})
 	c.recordUsage(r)
 }
 
--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -47,13 +47,13 @@
 
 // Answer is what a front sends back to its caller. Every kind except Checked is final.
 type Answer struct {
-	Kind Kind
-	Body []byte        // Served: the result
-	Why  string        // every kind except Served: a short reason for people
-	Away time.Duration // Refused: the caller should not send again for this long
-	Last bool          // Refused: the caller should not try another server
-	Up   bool          // Checked: the server takes work
-	Hint float64       // the load hint that the controller sets; negative = not known yet
+	Kind       Kind
+	Body       []byte        // Served: the result
+	Why        string        // every kind except Served: a short reason for people
+	RetryAfter time.Duration // Refused: the caller should not send again for this long
+	Final      bool          // Refused: the caller should not try another server
+	Healthy    bool          // Checked: the server takes work
+	Hint       float64       // the load hint that the controller sets; negative = not known yet
 }
 
 // Reply receives the answer to one request or health check. It must not block.
@@ -75,15 +75,15 @@
 // The reasons for which the core closes a connection.
 const (
 	CloseIdle     CloseReason = "idle"
-	CloseRoom     CloseReason = "room for a newer connection"
+	CloseEvicted  CloseReason = "room for a newer connection"
 	CloseUnserved CloseReason = "too many unserved requests"
 	CloseShutdown CloseReason = "shutdown"
 )
 
 // Listener accepts connections. Its methods must not block.
 type Listener interface {
-	// Shut accepts the connections that are already established and then stops accepting.
-	Shut()
+	// StopAccepting accepts the connections that are already established and then stops accepting.
+	StopAccepting()
 	// Conns returns the number of connections that are open or being closed.
 	Conns() int
 }
@@ -93,24 +93,24 @@
 	Run(handle, class string, body []byte)
 	Stop(handle string)
 	Supply(handle string, body []byte)
-	// Pass lets a run continue without the call that the notice asked for.
-	Pass(handle string, notice uint64)
+	// SkipCall lets a run continue without the call that the notice asked for.
+	SkipCall(handle string, notice uint64)
 	Poll(ticket string)
 	// Verify asks the worker pool to do the work of a deep health check.
 	Verify(ticket string)
 }
 
-// Caller makes downstream calls; a subject of 0 means no subject. Its methods must not block. Each Call ends with one
+// Downstream makes downstream calls; a subject of 0 means no subject. Its methods must not block. Each Call ends with one
 // CallEnded event unless Abandon or a further Call for the same handle gives it up. A call with once set is not
 // repeated, whatever happens to its connection. Every Call has a new number, and its CallEnded carries that number: a
 // call that is given up may have ended already, and its end is still reported.
-type Caller interface {
+type Downstream interface {
 	Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte)
 	Abandon(handle string)
 }
 
-// Worth is the outcome of a request that made downstream calls.
-type Worth struct {
+// RequestOutcome is the outcome of a request that made downstream calls.
+type RequestOutcome struct {
 	// Value is the share of the worth that was earned: 1 within the aim, the class's LateWorth for a late result, or 0.
 	Value       float64
 	Served      bool
@@ -118,16 +118,16 @@
 	Calls, Lost int64 // calls made, and how many of them brought no reply
 }
 
-// Judge is called once for each request that made a downstream call, when the request has its final answer or is
+// OutcomeObserver is called once for each request that made a downstream call, when the request has its final answer or is
 // canceled by its caller. It must not block.
-type Judge interface {
-	Judge(handle string, w Worth)
+type OutcomeObserver interface {
+	RequestEnded(handle string, w RequestOutcome)
 }
 
-// Lister reports to the directory whether this server takes work. It must not block.
-type Lister interface {
+// AvailabilityReporter reports to the directory whether this server takes work. It must not block.
+type AvailabilityReporter interface {
 	Report(open bool)
-	Silence() // stops repeating what was reported, until the next Report
+	StopReporting() // stops repeating what was reported, until the next Report
 }
 
 // Key identifies one request that has an effect, whichever front its tries arrive at.
@@ -141,17 +141,17 @@
 
 // The states of a key.
 const (
-	ClaimWon    Claim = iota // this server, and no other, may run it
-	ClaimOther               // it is in flight at another server
-	ClaimDone                // it ran, and its result is known
-	ClaimFailed              // it ran or may have run, and failed
-	ClaimOff                 // the key belongs to a different body
-	ClaimDown                // the store did not answer
+	ClaimWon         Claim = iota // this server, and no other, may run it
+	ClaimOther                    // it is in flight at another server
+	ClaimDone                     // it ran, and its result is known
+	ClaimFailed                   // it ran or may have run, and failed
+	ClaimConflict                 // the key belongs to a different body
+	ClaimUnavailable              // the store did not answer
 )
 
-// Piece is a keyed request as kept in the shared store, with everything that another server needs to run it in place
+// KeyedRequest is a keyed request as kept in the shared store, with everything that another server needs to run it in place
 // of this one. Its body must not be modified.
-type Piece struct {
+type KeyedRequest struct {
 	Key     Key
 	Handle  string   // identifies its run at the worker pool, at whichever server that is
 	Sum     [32]byte // SHA-256 of the body
@@ -169,20 +169,20 @@
 // Store is the table of keys shared by several servers. Its methods must not block.
 type Store interface {
 	// Claim asks for a key. Each request that is accepted (true) is followed by one event with the answer.
-	Claim(p Piece) bool
+	Claim(p KeyedRequest) bool
 	// Finish reports how the run of a claimed key ended. If it returns wait, one event with the confirmation follows,
 	// and the result must not be sent to callers before it; after a Disown there is none.
 	Finish(k Key, sum [32]byte, ok bool, result []byte, life time.Duration) (wait bool)
 	// Release gives up the claim of a request that never ran. It does not affect claims made before a Disown.
 	Release(k Key)
-	// Holds reports whether the claims of this server are still its own. The loop calls it at the moment of acting,
+	// OwnsClaims reports whether the claims of this server are still its own. The loop calls it at the moment of acting,
 	// so it must cost no more than an atomic load and a clock read. Once claims may belong to another server it stays
 	// false until a Disown is processed; if ownership was only unknown for a while, it may become true again.
-	Holds() bool
+	OwnsClaims() bool
 }
 
-// Use is the resource usage of one request, reported when the request is over.
-type Use struct {
+// Usage is the resource usage of one request, reported when the request is over.
+type Usage struct {
 	Class        int
 	Tenant       int           // -1 = none
 	Began, Ended time.Duration // since Core.Start
@@ -191,29 +191,29 @@
 	Figures      ledger.Figures
 }
 
-// Booker records usage in the ledger. Its methods must not block. Events report how far the entries are written.
-type Booker interface {
-	// Book takes an entry and returns its ticket; tickets count up from 1.
-	Book(Use) uint64
+// UsageLedger records usage in the ledger. Its methods must not block. Events report how far the entries are written.
+type UsageLedger interface {
+	// Record takes an entry and returns its ticket; tickets count up from 1.
+	Record(Usage) uint64
 	// Flush marks the end of a loop iteration in which entries were recorded.
 	Flush()
 	// Ready reports whether new work may be accepted.
 	Ready() bool
 	// Strict reports whether a result is sent only after its entry is written.
 	Strict() bool
-	// Overdue decides what happens to a result whose entry is not written by its due time: true = the result is sent,
+	// SendOverdue decides what happens to a result whose entry is not written by its due time: true = the result is sent,
 	// false = the request fails.
-	Overdue() bool
+	SendOverdue() bool
 }
 
-// Site is the configuration of a server.
-type Site struct {
-	Control control.Config
-	Classes []string // class names, in the order of Control.Classes
-	Tenants []string
-	Gauges  []string
-	Stop    time.Duration // from the drain notice until the process is killed
-	Bounds  Bounds
+// Config is the configuration of a server.
+type Config struct {
+	Control  control.Config
+	Classes  []string // class names, in the order of Control.Classes
+	Tenants  []string
+	Gauges   []string
+	StopTime time.Duration // from the drain notice until the process is killed
+	Bounds   Bounds
 
 	classIndex, tenantIndex nameIndex
 }
@@ -227,22 +227,22 @@
 
 // IndexNames builds the indexes for lookups by name. It is called once Classes and Tenants are complete, and
 // again after any change to them; until then lookups search linearly.
-func (s *Site) IndexNames() {
+func (s *Config) IndexNames() {
 	s.classIndex = newNameIndex(s.Classes)
 	s.tenantIndex = newNameIndex(s.Tenants)
 }
 
-// Class returns the index of the class with this name; -1 = none.
-func (s *Site) Class(name string) int { return s.classIndex.find(s.Classes, name) }
+// ClassIndex returns the index of the class with this name; -1 = none.
+func (s *Config) ClassIndex(name string) int { return s.classIndex.find(s.Classes, name) }
 
-// Tenant returns the index of the tenant with this name; -1 = none.
-func (s *Site) Tenant(name string) int { return s.tenantIndex.find(s.Tenants, name) }
+// TenantIndex returns the index of the tenant with this name; -1 = none.
+func (s *Config) TenantIndex(name string) int { return s.tenantIndex.find(s.Tenants, name) }
 
 // Keyed reports whether requests of a class carry a token.
-func (s *Site) Keyed(class int) bool { return s.Control.Classes[class].Effect == control.Keyed }
+func (s *Config) Keyed(class int) bool { return s.Control.Classes[class].Effect == control.Keyed }
 
-// Incoming is one request as read by a front.
-type Incoming struct {
+// IncomingRequest is one request as read by a front.
+type IncomingRequest struct {
 	Handle  string // unique to this try
 	Class   int
 	Tenant  int // -1 = none
@@ -263,26 +263,26 @@
 
 // The events of fronts.
 type (
-	// Opened reports a new connection. A Single one carries one request and is never closed as idle.
-	Opened struct {
+	// SessionOpened reports a new connection. A Single one carries one request and is never closed as idle.
+	SessionOpened struct {
 		Session Session
 		Single  bool
 	}
-	// Closed reports that a connection has ended.
-	Closed struct{ Session Session }
-	// Arrive delivers a request.
-	Arrive struct {
+	// SessionClosed reports that a connection has ended.
+	SessionClosed struct{ Session Session }
+	// RequestArrived delivers a request.
+	RequestArrived struct {
 		Session Session
 		Reply   Reply
-		Req     Incoming
+		Req     IncomingRequest
 	}
-	// Withdraw reports that the caller canceled a request.
-	Withdraw struct {
+	// RequestCanceled reports that the caller canceled a request.
+	RequestCanceled struct {
 		Session Session
 		Handle  string
 	}
-	// Check asks for the health; a deep check also asks whether work is being completed.
-	Check struct {
+	// HealthCheck asks for the health; a deep check also asks whether work is being completed.
+	HealthCheck struct {
 		Session Session
 		Reply   Reply
 		Deep    bool
@@ -298,14 +298,14 @@
 	}
 	// PoolLost reports that the link ended; the last commands sent on it may not have arrived.
 	PoolLost struct{}
-	// PoolUnknown reports that a command was not carried out.
-	PoolUnknown struct{ Command, Handle string }
+	// PoolCommandUnknown reports that a command was not carried out.
+	PoolCommandUnknown struct{ Command, Handle string }
 	// PoolFinished reports the end of a run.
 	PoolFinished struct {
-		Handle string
-		End    control.Outcome // OK, Errored, Stopped or Moot
-		Took   time.Duration
-		Body   []byte
+		Handle  string
+		Outcome control.Outcome // OK, Errored, Stopped or Moot
+		RunTime time.Duration
+		Body    []byte
 	}
 	// PoolBlocked reports that a run waits for a downstream call.
 	PoolBlocked struct {
@@ -318,10 +318,10 @@
 		Ticket string
 		OK     bool
 	}
-	// PoolPolled delivers the gauges.
-	PoolPolled struct {
-		Ticket  string
-		Figures []float64
+	// PoolGauges delivers the gauges.
+	PoolGauges struct {
+		Ticket string
+		Values []float64
 	}
 )
 
@@ -333,8 +333,8 @@
 	Body    []byte // OK: the reply
 }
 
-// Claimed is the shared store's answer to a claim.
-type Claimed struct {
+// ClaimAnswered is the shared store's answer to a claim.
+type ClaimAnswered struct {
 	Key    Key
 	State  Claim
 	Result []byte // ClaimDone: the result
@@ -342,59 +342,59 @@
 
 // The events of a store that takes over the work of servers that fail.
 type (
-	// Finished reports the outcome of a Finish that the core was told to wait for.
-	Finished struct {
+	// FinishConfirmed reports the outcome of a Finish that the core was told to wait for.
+	FinishConfirmed struct {
 		Key Key
 		OK  bool // the result is stored where it survives this server; otherwise the request belongs to another server
 	}
 	// Adopt delivers a keyed request of a failed server, to be run here. Its key is already claimed for this server.
-	Adopt struct{ Piece Piece }
+	Adopt struct{ Request KeyedRequest }
 	// Disown reports that none of the claims belong to this server any longer. Claims requested before it are not
 	// reported as won after it.
 	Disown struct {
-		// Taken is called by the loop once all claims are given up; from then on the store's claims are new ones. It
+		// Done is called by the loop once all claims are given up; from then on the store's claims are new ones. It
 		// may be nil.
-		Taken func()
+		Done func()
 	}
 )
 
-// Booked reports that all ledger entries up to a ticket are written.
-type Booked struct{ Through uint64 }
+// LedgerWritten reports that all ledger entries up to a ticket are written.
+type LedgerWritten struct{ Through uint64 }
 
 // Drain tells the server to shut down.
 type Drain struct{}
 
-// Hold starts (On) or ends a drain by an operator. During it, health checks and reports to the directory say that
+// OperatorDrain starts (On) or ends a drain by an operator. During it, health checks and reports to the directory say that
 // this server takes no work, and requests that arrive are served as usual.
-type Hold struct{ On bool }
+type OperatorDrain struct{ On bool }
 
 // Handoff reports a SIGTERM while a newer process of this server serves the same address, so the server does not
 // leave the fleet. Open connections are asked at once to reconnect, open requests are finished, and the loop ends
 // before Kill, counted from the event.
-type Handoff struct{ Kill time.Duration }
-
-// Configured reports that the configuration documents of a revision are in effect.
-type Configured struct{ Revision uint64 }
-
-func (Opened) event()       {}
-func (Closed) event()       {}
-func (Arrive) event()       {}
-func (Withdraw) event()     {}
-func (Check) event()        {}
-func (PoolBound) event()    {}
-func (PoolLost) event()     {}
-func (PoolUnknown) event()  {}
-func (PoolFinished) event() {}
-func (PoolBlocked) event()  {}
-func (PoolPolled) event()   {}
-func (PoolVerified) event() {}
-func (CallEnded) event()    {}
-func (Claimed) event()      {}
-func (Finished) event()     {}
-func (Adopt) event()        {}
-func (Disown) event()       {}
-func (Booked) event()       {}
-func (Drain) event()        {}
-func (Handoff) event()      {}
-func (Hold) event()         {}
-func (Configured) event()   {}
+type Handoff struct{ KillAfter time.Duration }
+
+// ConfigurationApplied reports that the configuration documents of a revision are in effect.
+type ConfigurationApplied struct{ Revision uint64 }
+
+func (SessionOpened) event()        {}
+func (SessionClosed) event()        {}
+func (RequestArrived) event()       {}
+func (RequestCanceled) event()      {}
+func (HealthCheck) event()          {}
+func (PoolBound) event()            {}
+func (PoolLost) event()             {}
+func (PoolCommandUnknown) event()   {}
+func (PoolFinished) event()         {}
+func (PoolBlocked) event()          {}
+func (PoolGauges) event()           {}
+func (PoolVerified) event()         {}
+func (CallEnded) event()            {}
+func (ClaimAnswered) event()        {}
+func (FinishConfirmed) event()      {}
+func (Adopt) event()                {}
+func (Disown) event()               {}
+func (LedgerWritten) event()        {}
+func (Drain) event()                {}
+func (Handoff) event()              {}
+func (OperatorDrain) event()        {}
+func (ConfigurationApplied) event() {}
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -60,14 +60,14 @@
 	if c.observer == nil || r.usage.calls == 0 {
 		return
 	}
-	outcome := Worth{Served: kind == Served, Calls: r.usage.calls, Lost: r.usage.lostCalls}
+	outcome := RequestOutcome{Served: kind == Served, Calls: r.usage.calls, Lost: r.usage.lostCalls}
 	if outcome.Served {
 		outcome.Value = 1
 		if class := &c.site.Control.Classes[r.Class]; class.Aim > 0 && c.now-r.arrived > class.Aim {
 			outcome.Late, outcome.Value = true, class.LateWorth
 		}
 	}
-	c.observer.Judge(r.Handle, outcome)
+	c.observer.RequestEnded(r.Handle, outcome)
 }
 
 // detach removes an answered request from its connection.
@@ -86,7 +86,7 @@
 		c.fail(r)
 		return
 	}
-	c.answer(r, Answer{Kind: Refused, Why: "turned away", Away: retryAfter, Last: final})
+	c.answer(r, Answer{Kind: Refused, Why: "turned away", RetryAfter: retryAfter, Final: final})
 	if r.state == stateHeld {
 		c.discard(r)
 	}
--- a/internal/core/claims.go
+++ b/internal/core/claims.go
@@ -22,7 +22,7 @@
 // owns reports whether an entry still belongs to this server, as far as is known. If it may belong to another server,
 // its claim is dropped here.
 func (c *Core) owns(e *entry) bool {
-	if e == nil || e.phase != phaseLost && (!e.claimHeld || c.store.Holds()) {
+	if e == nil || e.phase != phaseLost && (!e.claimHeld || c.store.OwnsClaims()) {
 		return true
 	}
 	if e.phase != phaseLost {
@@ -73,7 +73,7 @@
 }
 
 // finishConfirmed handles the store's confirmation of the end of a run.
-func (c *Core) finishConfirmed(confirmation Finished) {
+func (c *Core) finishConfirmed(confirmation FinishConfirmed) {
 	e := c.keys.entries[confirmation.Key]
 	switch {
 	case e == nil || e.phase != phaseStoring:
@@ -116,15 +116,15 @@
 		}
 	}
 	c.log.Warn("disowned", "keys", len(lost))
-	if d.Taken != nil {
-		d.Taken()
+	if d.Done != nil {
+		d.Done()
 	}
 }
 
 // adopt takes over a keyed request of a failed server as a request that arrives now and has no waiting caller: its
 // caller repeats it. A request that cannot be accepted is released, since it never ran here.
-func (c *Core) adopt(p Piece) {
-	if c.store == nil || !c.store.Holds() {
+func (c *Core) adopt(p KeyedRequest) {
+	if c.store == nil || !c.store.OwnsClaims() {
 		return
 	}
 	reason := c.refusalReason()
@@ -132,9 +132,9 @@
 		reason = "its class is not keyed here"
 	}
 	if e := c.keys.entries[p.Key]; e != nil && e.phase == phaseClaiming { // the try that waits here is run in its place
-		claim := Claimed{Key: p.Key, State: ClaimWon}
+		claim := ClaimAnswered{Key: p.Key, State: ClaimWon}
 		if e.sum != p.Sum {
-			claim.State = ClaimOff
+			claim.State = ClaimConflict
 		}
 		c.applyClaim(claim)
 	}
@@ -149,7 +149,7 @@
 	} else if c.byHandle[p.Handle] != nil || c.recentHandles.has(p.Handle) { // indistinguishable from the other run
 		reason = "its handle is in use here"
 	}
-	r := &request{Incoming: Incoming{Handle: p.Handle, Class: p.Key.Class, Tenant: p.Tenant, Caller: p.Caller,
+	r := &request{IncomingRequest: IncomingRequest{Handle: p.Handle, Class: p.Key.Class, Tenant: p.Tenant, Caller: p.Caller,
 		Rank: p.Rank, Memory: p.Memory, Work: p.Work, Token: p.Key.Token, Subject: p.Subject, Body: p.Body},
 		arrived: c.now, due: c.now + p.Left, session: &session{single: true}, adopted: true}
 	r.waitTimer.callback = func() { c.waitExpired(r) }
--- a/internal/core/claims_test.go
+++ b/internal/core/claims_test.go
@@ -14,12 +14,12 @@
 
 var fleetKey = core.Key{Class: 1, Token: "k"}
 
-func claimWon() core.Event                { return core.Claimed{Key: fleetKey, State: core.ClaimWon} }
-func finishStored(ok bool) core.Event     { return core.Finished{Key: fleetKey, OK: ok} }
+func claimWon() core.Event                { return core.ClaimAnswered{Key: fleetKey, State: core.ClaimWon} }
+func finishStored(ok bool) core.Event     { return core.FinishConfirmed{Key: fleetKey, OK: ok} }
 func runSucceeded(h, r string) core.Event { return runFinished(h, control.OK, r) }
 
 func adoptRequest(body string) core.Adopt {
-	return core.Adopt{Piece: core.Piece{Key: fleetKey, Sum: sha256.Sum256([]byte(body)), Body: []byte(body), Tenant: 7,
+	return core.Adopt{Request: core.KeyedRequest{Key: fleetKey, Sum: sha256.Sum256([]byte(body)), Body: []byte(body), Tenant: 7,
 		Rank: 0.9, Memory: 10, Left: 4 * time.Second}}
 }
 
@@ -34,7 +34,7 @@
 }
 
 // withConfirmingStore runs f with a store that confirms stored results, and with a ledger.
-func withConfirmingStore(t *testing.T, strict bool, configure func(*core.Site), f func(w *scenario.World)) {
+func withConfirmingStore(t *testing.T, strict bool, configure func(*core.Config), f func(w *scenario.World)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		site := scenario.Site()
@@ -61,7 +61,7 @@
 		expectAfter(w, "book 1 "+servedA, finishStored(true))
 		loseClaim(w)
 		w.Expect(ms, "book 2 served[-1 -3000000 -10000 -90 0 -4 -1]", "book 3 "+failedA, "failed a")
-		expectAfter(w, "", core.Booked{Through: 3})
+		expectAfter(w, "", core.LedgerWritten{Through: 3})
 	}
 }
 
@@ -79,10 +79,10 @@
 		}},
 		"stored, then recorded": {true, func(w *scenario.World) {
 			expectAfter(w, "book 1 "+servedA, finishStored(true))
-			expectAfter(w, "served a x", core.Booked{Through: 1})
+			expectAfter(w, "served a x", core.LedgerWritten{Through: 1})
 		}},
 		"stored, lost before it is recorded": {true,
-			lostBeforeRecorded(func(w *scenario.World) { w.Lose(true); w.Send(core.Booked{Through: 1}) })},
+			lostBeforeRecorded(func(w *scenario.World) { w.Lose(true); w.Send(core.LedgerWritten{Through: 1}) })},
 		"stored, disowned before it is recorded": {true,
 			lostBeforeRecorded(func(w *scenario.World) { w.Send(core.Disown{}) })},
 		"taken over": {false, func(w *scenario.World) {
@@ -97,21 +97,21 @@
 				finishStored(true))
 		}},
 		"canceled by the caller": {false, func(w *scenario.World) {
-			expectAfter(w, "", core.Withdraw{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
+			expectAfter(w, "", core.RequestCanceled{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
 			expectAfter(w, "served b x; book 1 served replay[1 3000000 0 10 0 4 1]; book 2 withdrawn-ran[1 0 10000 100 0 4 0]",
 				finishStored(true))
 		}},
 		"failed": {false, func(w *scenario.World) {
 			expectAfter(w, "claim f; run f book body", w.Ask("f", "book", "f"),
-				core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
+				core.ClaimAnswered{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
 			expectAfter(w, "finish f false ", runFinished("f", control.Errored, ""))
-			expectAfter(w, "failed f; book 1 "+failedA, core.Finished{Key: core.Key{Class: 1, Token: "f"}, OK: true})
+			expectAfter(w, "failed f; book 1 "+failedA, core.FinishConfirmed{Key: core.Key{Class: 1, Token: "f"}, OK: true})
 		}},
 		"never confirmed": {false, func(w *scenario.World) {
 			expectAfter(w, "claim f; run f book body", w.Ask("f", "book", "f"),
-				core.Claimed{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
+				core.ClaimAnswered{Key: core.Key{Class: 1, Token: "f"}, State: core.ClaimWon})
 			expectAfter(w, "finish f true x; book 1 withdrawn-ran[1 0 10000 80 0 4 0]",
-				core.Withdraw{Session: w.Session("c"), Handle: "f"}, runSucceeded("f", "x"))
+				core.RequestCanceled{Session: w.Session("c"), Handle: "f"}, runSucceeded("f", "x"))
 			w.Expect(23*time.Second, "out of time a", "book 2 failed[1 0 10000 39870 0 4 0]")
 			expectAfter(w, "claim f; claim k", w.Ask("g", "book", "f"), w.Ask("b", "book", "k"))
 		}},
@@ -169,7 +169,7 @@
 		"running": {startRun, always(runSucceeded("a", "x")), "failed a; failed b", "failed a; stop a; failed b"},
 		"failing": {startRun, always(runFinished("a", control.NotStarted, "")), "failed a; failed b",
 			"failed a; stop a; failed b"},
-		"run not begun": {startRun, always(core.PoolUnknown{Command: "spawn", Handle: "a"}), "failed a; failed b",
+		"run not begun": {startRun, always(core.PoolCommandUnknown{Command: "spawn", Handle: "a"}), "failed a; failed b",
 			"failed a; stop a; failed b"},
 		"before a call": {startRun, always(runBlocked("a", "b")), "failed a; stop a; failed b",
 			"failed a; stop a; failed b"},
@@ -180,7 +180,7 @@
 		"no link": {func(w *scenario.World) { startRun(w); w.Send(core.PoolLost{}) },
 			always(core.PoolBound{Age: time.Hour}), "failed a; failed b; stop a", "failed a; failed b"},
 		"canceled by the caller": {hold, func(w *scenario.World) core.Event {
-			return core.Withdraw{Session: w.Session("c"), Handle: "a"}
+			return core.RequestCanceled{Session: w.Session("c"), Handle: "a"}
 		}, "failed b", "failed a; failed b"},
 		"waiting for confirmation": {storeResult, always(finishStored(true)), "failed a; failed b",
 			"failed a; failed b"},
@@ -206,7 +206,7 @@
 					w.Lose(true)
 					if disown {
 						expectAfter(w, strings.TrimPrefix(c.disownActions+"; claim k", "; "),
-							core.Disown{Taken: func() { w.Count("taken") }}, w.Ask("c", "book", "k"))
+							core.Disown{Done: func() { w.Count("taken") }}, w.Ask("c", "book", "k"))
 						if w.Counts()["taken"] != 1 {
 							t.Error("Disown.Taken was not called")
 						}
@@ -216,7 +216,7 @@
 						expectAfter(w, c.actions, c.event(w))
 					}
 					expectAfter(w, "failed c", w.Ask("c", "book", "k"))
-					if time.Sleep(200 * ms); name == "no link" && w.Core.Figures().Active != 0 {
+					if time.Sleep(200 * ms); name == "no link" && w.Core.Metrics().Active != 0 {
 						t.Error("a run of unknown state stays active")
 					}
 				})
@@ -227,7 +227,7 @@
 
 // A run whose claim was lost must not occupy a downstream call slot, even if its notice crosses the stop command.
 func TestRunWithLostClaimMakesNoCall(t *testing.T) {
-	oneCall := func(s *core.Site) { s.Control.DownstreamSheds, s.Control.CallShare = false, 1 }
+	oneCall := func(s *core.Config) { s.Control.DownstreamSheds, s.Control.CallShare = false, 1 }
 	withConfirmingStore(t, false, oneCall, func(w *scenario.World) {
 		expectAfter(w, "run x quote body", w.Ask("x", "quote", ""))
 		expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), claimWon())
@@ -259,7 +259,7 @@
 		},
 		"a try waits for its claim": func(w *scenario.World) {
 			expectAfter(w, "claim k; run a book body", w.Ask("a", "book", "k"), adoptRequest("body"))
-			w.Send(core.Claimed{Key: fleetKey, State: core.ClaimOther})
+			w.Send(core.ClaimAnswered{Key: fleetKey, State: core.ClaimOther})
 			w.Expect(200 * ms)
 		},
 		"a try with another body waits for its claim": func(w *scenario.World) {
@@ -281,24 +281,24 @@
 // valid is ignored.
 func TestAdoptReleases(t *testing.T) {
 	for name, c := range map[string]struct {
-		site  func(*core.Site)
-		piece func(*core.Piece)
+		site  func(*core.Config)
+		piece func(*core.KeyedRequest)
 		want  string
 	}{
-		"refused": {nil, func(p *core.Piece) { p.Memory = 1e5 },
+		"refused": {nil, func(p *core.KeyedRequest) { p.Memory = 1e5 },
 			"book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
-		"past due":          {nil, func(p *core.Piece) { p.Left = -1 }, "book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
-		"too many requests": {func(s *core.Site) { s.Bounds.Open = 0 }, nil, "release k"},
-		"key table full":    {func(s *core.Site) { s.Bounds.Table = 1000 }, nil, "release k"},
-		"no such class":     {nil, func(p *core.Piece) { p.Key.Class = 2 }, "release k"},
-		"class not keyed":   {nil, func(p *core.Piece) { p.Key.Class = 0 }, "release k"},
+		"past due":          {nil, func(p *core.KeyedRequest) { p.Left = -1 }, "book 1 withdrawn[1 0 0 0 0 4 0]; release k"},
+		"too many requests": {func(s *core.Config) { s.Bounds.Open = 0 }, nil, "release k"},
+		"key table full":    {func(s *core.Config) { s.Bounds.Table = 1000 }, nil, "release k"},
+		"no such class":     {nil, func(p *core.KeyedRequest) { p.Key.Class = 2 }, "release k"},
+		"class not keyed":   {nil, func(p *core.KeyedRequest) { p.Key.Class = 0 }, "release k"},
 		"claims not valid":  {nil, nil, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withConfirmingStore(t, false, c.site, func(w *scenario.World) {
 				p := adoptRequest("body")
 				if c.piece != nil {
-					c.piece(&p.Piece)
+					c.piece(&p.Request)
 				}
 				w.Lose(c.want == "")
 				expectAfter(w, c.want, p)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -30,14 +30,14 @@
 
 // Core owns the controller and the state of all requests. All fields belong to the goroutine that calls Run.
 type Core struct {
-	site      Site
+	site      Config
 	runner    Runner
-	caller    Caller
-	directory Lister
-	store     Store    // nil = keys are local to this server
-	ledger    Booker   // nil = no ledger
-	observer  Judge    // nil = no observer
-	listener  Listener // nil = none
+	caller    Downstream
+	directory AvailabilityReporter
+	store     Store           // nil = keys are local to this server
+	ledger    UsageLedger     // nil = no ledger
+	observer  OutcomeObserver // nil = no observer
+	listener  Listener        // nil = none
 	log       *slog.Logger
 	events    chan Event
 	stopped   chan struct{} // closed when the loop has ended
@@ -120,7 +120,7 @@
 
 // request is one try. Its answered field is set once, by the functions in book.go and intake.go.
 type request struct {
-	Incoming
+	IncomingRequest
 	id               uint32
 	arrived          time.Duration
 	due              time.Duration // when its answer is due
@@ -146,7 +146,7 @@
 }
 
 // New returns a core; Run starts its loop.
-func New(site Site, log *slog.Logger) *Core {
+func New(site Config, log *slog.Logger) *Core {
 	c := &Core{site: site, log: log, events: make(chan Event, maxQueuedEvents), stopped: make(chan struct{}),
 		start: time.Now(), healthy: true, level: -1,
 		byID: map[uint32]*request{}, byHandle: map[string]*request{}, sessions: map[Session]*session{},
@@ -164,21 +164,21 @@
 }
 
 // Attach sets the core's peers; the store may be nil. It is called before Run.
-func (c *Core) Attach(runner Runner, caller Caller, lister Lister, store Store) {
+func (c *Core) Attach(runner Runner, caller Downstream, lister AvailabilityReporter, store Store) {
 	c.runner, c.caller, c.directory, c.store = runner, caller, lister, store
 }
 
 // Start returns when the core was created; its times are relative to this.
 func (c *Core) Start() time.Time { return c.start }
 
-// Tell sets the observer of requests that made downstream calls. It is called before Run.
-func (c *Core) Tell(j Judge) { c.observer = j }
+// ObserveOutcomes sets the observer of requests that made downstream calls. It is called before Run.
+func (c *Core) ObserveOutcomes(j OutcomeObserver) { c.observer = j }
 
-// Keep sets the ledger. It is called before Run.
-func (c *Core) Keep(b Booker) { c.ledger = b }
+// AttachLedger sets the ledger. It is called before Run.
+func (c *Core) AttachLedger(b UsageLedger) { c.ledger = b }
 
-// Listen sets the listener of the server's connections. It is called before Run.
-func (c *Core) Listen(l Listener) { c.listener = l }
+// AttachListener sets the listener of the server's connections. It is called before Run.
+func (c *Core) AttachListener(l Listener) { c.listener = l }
 
 // Send queues an event for the loop and blocks while the queue is full. After the loop has ended, a request is
 // refused.
@@ -218,9 +218,9 @@
 // rejectLate answers an event that was read after the loop had ended. A request in it never ran.
 func rejectLate(e Event) {
 	switch e := e.(type) {
-	case Arrive:
+	case RequestArrived:
 		e.Reply.Answer(Answer{Kind: Refused, Why: "the server has ended", Hint: -1})
-	case Check:
+	case HealthCheck:
 		e.Reply.Answer(Answer{Kind: Checked, Hint: -1})
 	}
 }
@@ -336,21 +336,21 @@
 // handle dispatches one event.
 func (c *Core) handle(e Event) {
 	switch e := e.(type) {
-	case Opened:
+	case SessionOpened:
 		c.sessionOpened(e)
-	case Closed:
+	case SessionClosed:
 		c.sessionClosed(e.Session)
-	case Arrive:
+	case RequestArrived:
 		c.requestArrived(e)
-	case Withdraw:
+	case RequestCanceled:
 		c.cancel(e.Session, e.Handle)
-	case Check:
+	case HealthCheck:
 		c.healthCheck(e)
 	case PoolBound:
 		c.poolBound(e)
 	case PoolLost:
 		c.poolLinkLost()
-	case PoolUnknown:
+	case PoolCommandUnknown:
 		c.commandUnknown(e)
 	case PoolFinished:
 		c.runFinished(e)
@@ -358,28 +358,28 @@
 		c.runBlocked(e)
 	case PoolVerified:
 		c.poolVerified(e)
-	case PoolPolled:
+	case PoolGauges:
 		c.gaugesPolled(e)
 	case CallEnded:
 		c.callEnded(e)
-	case Claimed:
+	case ClaimAnswered:
 		c.claimAnswered(e)
-	case Finished:
+	case FinishConfirmed:
 		c.finishConfirmed(e)
 	case Adopt:
-		c.adopt(e.Piece)
+		c.adopt(e.Request)
 	case Disown:
 		c.disown(e)
-	case Booked:
+	case LedgerWritten:
 		c.ledgerWritten(e.Through)
 	case Drain:
 		c.drain()
 	case Handoff:
-		c.handoff(e.Kill)
-	case Hold:
+		c.handoff(e.KillAfter)
+	case OperatorDrain:
 		c.heldByOperator = e.On
 		c.reportAvailability()
-	case Configured:
+	case ConfigurationApplied:
 		c.setConfigured(e.Revision)
 	}
 }
@@ -395,17 +395,17 @@
 }
 
 // gaugesPolled passes the gauges to the controller.
-func (c *Core) gaugesPolled(e PoolPolled) {
+func (c *Core) gaugesPolled(e PoolGauges) {
 	if c.controller == nil {
 		return
 	}
 	if e.Ticket == c.resyncTicket {
 		c.resendCommands()
 	}
-	readings := gaugesOf(c.site.Gauges, e.Figures)
-	c.metrics.counts.Use = -1
+	readings := gaugesOf(c.site.Gauges, e.Values)
+	c.metrics.counts.CoreUse = -1
 	if readings.CoreUse >= 0 {
-		c.metrics.counts.Use = readings.CoreUse
+		c.metrics.counts.CoreUse = readings.CoreUse
 	}
 	c.controller.Tick(c.now, readings)
 }
@@ -416,7 +416,7 @@
 func (c *Core) reportAvailability() {
 	switch {
 	case c.handingOff:
-		c.directory.Silence()
+		c.directory.StopReporting()
 	case c.controller != nil:
 		c.directory.Report(c.healthy && !c.heldByOperator && !c.draining)
 	}
@@ -430,17 +430,17 @@
 	}
 	c.draining, c.drainStart = true, c.now
 	c.metricsChanged()
-	c.log.Info("draining", "open", len(c.byHandle), "stop_ms", c.site.Stop.Milliseconds())
+	c.log.Info("draining", "open", len(c.byHandle), "stop_ms", c.site.StopTime.Milliseconds())
 	if c.controller != nil {
-		c.controller.Drain(c.now, max(0, c.site.Stop-answerAllMargin))
+		c.controller.Drain(c.now, max(0, c.site.StopTime-answerAllMargin))
 	}
 	c.reportAvailability()
 	grace := c.gracePeriod()
 	c.timers.set(&timer{callback: c.announceDrain}, c.now+max(0, grace-drainNoticeMargin))
 	c.timers.set(&timer{callback: func() { c.logDrain("refusing all requests") }}, c.now+grace)
 	c.timers.set(&timer{callback: func() {}}, c.now+grace+earlyExitDelay)
-	c.timers.set(&timer{callback: c.closeConnections}, c.now+c.site.Stop-closeMargin)
-	c.timers.set(&timer{callback: func() { c.done = true }}, c.now+c.site.Stop-exitMargin)
+	c.timers.set(&timer{callback: c.closeConnections}, c.now+c.site.StopTime-closeMargin)
+	c.timers.set(&timer{callback: func() { c.done = true }}, c.now+c.site.StopTime-exitMargin)
 }
 
 // handoff leaves the address to a newer process, which from now on reports to the directory and accepts the
@@ -449,7 +449,7 @@
 	if c.draining {
 		return
 	}
-	c.site.Stop = min(c.site.Stop, kill)
+	c.site.StopTime = min(c.site.StopTime, kill)
 	c.handingOff = true
 	c.drain()
 	c.announceDrain()
@@ -461,7 +461,7 @@
 func (c *Core) closeListener() {
 	if c.listener != nil && !c.listenerClosed {
 		c.listenerClosed = true
-		c.listener.Shut()
+		c.listener.StopAccepting()
 	}
 }
 
@@ -502,7 +502,7 @@
 // gracePeriod is how long after the drain notice new requests may still be run. It ends no later than the time by
 // which everything must be answered.
 func (c *Core) gracePeriod() time.Duration {
-	return min(c.site.Control.DrainGrace, max(0, c.site.Stop-answerAllMargin))
+	return min(c.site.Control.DrainGrace, max(0, c.site.StopTime-answerAllMargin))
 }
 
 // checkFinished ends the loop early once the grace period is over, every request is answered and no connection is
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -25,7 +25,7 @@
 }
 
 func runFinished(handle string, outcome control.Outcome, result string) core.PoolFinished {
-	e := core.PoolFinished{Handle: handle, End: outcome, Took: 10 * ms}
+	e := core.PoolFinished{Handle: handle, Outcome: outcome, RunTime: 10 * ms}
 	if result != "" {
 		e.Body = []byte(result)
 	}
@@ -125,7 +125,7 @@
 		w.Expect(ms, "run 1 book body", "run 2 book body")
 		w.Send(w.Ask("a", "book", "k"), w.Ask("b", "book", "k"), w.Ask("c", "book", "k"))
 		w.Expect(ms)
-		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"})
+		w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: "a"})
 		w.Expect(ms)
 		w.Send(runFinished("1", control.OK, "x"))
 		w.Expect(ms, "served 1 x", "run b book body")
@@ -149,7 +149,7 @@
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, core.Withdraw{Session: w.Session("c"), Handle: "a"})
+		w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: "a"}, core.RequestCanceled{Session: w.Session("c"), Handle: "a"})
 		w.Expect(ms, "stop a")
 		w.Send(runFinished("a", control.Stopped, ""))
 		w.Expect(10 * time.Second)
@@ -165,11 +165,11 @@
 		w.Expect(ms, "closed")
 		w.Send(runFinished("b", control.OK, "x"), w.Ask("c", "quote", ""))
 		w.Expect(ms, "served b x", "run c quote body") // the server works until its grace period is nearly over
-		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
+		w.Send(core.HealthCheck{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
 		w.Expect(ms, "checked h true")
 		w.Expect(1800*ms, "draining to c")
-		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply},
-			core.Opened{Session: w.Session("last")}, w.AskOn("last", "e", "quote", ""))
+		w.Send(core.HealthCheck{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply},
+			core.SessionOpened{Session: w.Session("last")}, w.AskOn("last", "e", "quote", ""))
 		w.Expect(200*ms, "checked h false", "draining to last", "run e quote body")
 		w.Send(w.Ask("d", "book", "d"))
 		w.Expect(ms, "refused d")
@@ -181,7 +181,7 @@
 // A draining server with no open request and no connection does not wait for the end of its stop time.
 func TestDrainEndsEarlyWhenIdle(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		w.Send(core.Drain{}, core.Closed{Session: w.Session("c")})
+		w.Send(core.Drain{}, core.SessionClosed{Session: w.Session("c")})
 		start := time.Now()
 		<-w.Done
 		if elapsed := time.Since(start); elapsed > 2600*ms {
@@ -194,7 +194,7 @@
 func TestNothingRunsWithoutWorkerPool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := scenario.NewWorld(t, scenario.Site(), false)
-		w.Send(core.Check{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
+		w.Send(core.HealthCheck{Session: w.Session("c"), Reply: w.Ask("h", "quote", "").Reply})
 		w.Expect(ms, "checked h true")
 	})
 }
@@ -229,7 +229,7 @@
 		w.Send(core.PoolLost{}, core.PoolBlocked{Handle: "a", Body: []byte("ask")}) // the last notice that arrived
 		w.Expect(ms, "call a book 3.8s ask")
 		w.Send(core.CallEnded{Handle: "a", Outcome: control.OK, Body: []byte("r")},
-			core.Withdraw{Session: w.Session("c"), Handle: "b"})
+			core.RequestCanceled{Session: w.Session("c"), Handle: "b"})
 		w.Expect(200 * ms)
 		w.Send(core.PoolBound{Age: time.Hour})
 		w.Expect(ms, "supply a r", "run b quote body", "stop b")
@@ -244,7 +244,7 @@
 // A run that the worker pool never began is known not to have run: the request is not served, and its key is free for
 // the next try. A run that was requested twice may have run.
 func TestRunThatNeverBegan(t *testing.T) {
-	for name, event := range map[string]core.Event{"unknown": core.PoolUnknown{Command: "spawn", Handle: "a"},
+	for name, event := range map[string]core.Event{"unknown": core.PoolCommandUnknown{Command: "spawn", Handle: "a"},
 		"moot": runFinished("a", control.NotStarted, "")} {
 		t.Run(name, func(t *testing.T) {
 			play(t, false, func(w *scenario.World) {
@@ -252,7 +252,7 @@
 				w.Expect(ms, "run a book body")
 				w.Send(event)
 				w.Expect(ms, map[string]string{"unknown": "invalid a", "moot": "failed a"}[name], "run b book body")
-				w.Send(core.PoolUnknown{Command: "supply", Handle: "b"}, core.PoolLost{},
+				w.Send(core.PoolCommandUnknown{Command: "supply", Handle: "b"}, core.PoolLost{},
 					core.PoolBound{Age: time.Hour})
 				w.Expect(ms, "run b book body")
 				w.Send(runFinished("b", control.NotStarted, ""), w.Ask("c", "book", "k"))
@@ -266,7 +266,7 @@
 // idle for longest, and never one in use.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	play(t, false, func(w *scenario.World) { // c is the first of eight
-		open := func(name string) { w.Send(core.Opened{Session: w.Session(name)}) }
+		open := func(name string) { w.Send(core.SessionOpened{Session: w.Session(name)}) }
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
 		for i := range 7 {
@@ -274,7 +274,7 @@
 			open(name)
 			if name != "h" {
 				release := w.Block() // both events are handled in one iteration
-				w.Send(w.AskOn(name, name, "quote", ""), core.Withdraw{Session: w.Session(name), Handle: name})
+				w.Send(w.AskOn(name, name, "quote", ""), core.RequestCanceled{Session: w.Session(name), Handle: name})
 				release()
 			}
 			w.Expect(150 * ms)
@@ -294,13 +294,13 @@
 		w.Expect(ms, "run a quote body")
 		w.Send(runFinished("a", control.OK, "x"), w.Ask("a", "quote", ""))
 		w.Expect(ms, "served a x", "invalid a")
-		w.Send(core.Opened{Session: w.Session("d")}, w.AskOn("d", "b", "quote", ""), w.AskOn("d", "c", "quote", ""))
+		w.Send(core.SessionOpened{Session: w.Session("d")}, w.AskOn("d", "b", "quote", ""), w.AskOn("d", "c", "quote", ""))
 		w.Expect(ms, "run b quote body", "run c quote body") // both cores are busy: the rest is held
 		for i := range 64 {
 			h := fmt.Sprint("w", i)
 			// The first cancellation comes from another connection and is ignored.
-			w.Send(w.Ask(h, "quote", ""), core.Withdraw{Session: w.Session("d"), Handle: h})
-			w.Send(core.Withdraw{Session: w.Session("c"), Handle: h})
+			w.Send(w.Ask(h, "quote", ""), core.RequestCanceled{Session: w.Session("d"), Handle: h})
+			w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: h})
 		}
 		// The last request was sent before the connection could end: it is refused without reaching the controller.
 		w.Expect(ms, "draining to c", "refused w63", "close c")
@@ -316,7 +316,7 @@
 		const total, limit = 1000, 64
 		for i := range total { // all at once, so that none finds the connection idle
 			w.Send(w.Ask(fmt.Sprint("w", i), "quote", ""),
-				core.Withdraw{Session: w.Session("c"), Handle: fmt.Sprint("w", i)})
+				core.RequestCanceled{Session: w.Session("c"), Handle: fmt.Sprint("w", i)})
 		}
 		var want []string
 		for i := range total - limit {
@@ -369,7 +369,7 @@
 		start := time.Now()
 		w.Send(core.Drain{})
 		w.Await("failed a")
-		if elapsed := time.Since(start); elapsed >= scenario.Site().Stop {
+		if elapsed := time.Since(start); elapsed >= scenario.Site().StopTime {
 			t.Errorf("answered after %v", elapsed)
 		}
 		<-w.Done
@@ -400,7 +400,7 @@
 		w.Expect(ms, "run x quote body", "run y quote body") // both cores are busy
 		w.Send(w.Ask("a", "book", "k"))
 		w.Expect(ms)
-		w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
+		w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: "a"}, w.Ask("b", "book", "k"))
 		w.Expect(ms)
 		w.Send(runFinished("x", control.OK, "x"))
 		w.Expect(ms, "served x x", "run b book body")
@@ -423,7 +423,7 @@
 		w.Expect(29900 * ms)
 		release := w.Block()
 		for range 800 { // more than a few iterations handle
-			w.Send(core.Hold{})
+			w.Send(core.OperatorDrain{})
 		}
 		w.Send(w.Ask("a", "quote", ""))
 		time.Sleep(200 * ms) // the connection exceeds its idle timeout while its request is in the queue
@@ -437,8 +437,8 @@
 // With a shared store, a keyed request runs only with its claim. Without an answer of the store it is refused, and
 // safe classes continue.
 func TestSharedStore(t *testing.T) {
-	claimed := func(s core.Claim, result string) core.Claimed {
-		return core.Claimed{Key: core.Key{Class: 1, Token: "k"}, State: s, Result: []byte(result)}
+	claimed := func(s core.Claim, result string) core.ClaimAnswered {
+		return core.ClaimAnswered{Key: core.Key{Class: 1, Token: "k"}, State: s, Result: []byte(result)}
 	}
 	for name, steps := range map[string]func(w *scenario.World){
 		"won": func(w *scenario.World) {
@@ -462,15 +462,15 @@
 			w.Expect(ms, "served a x", "served b x")
 		},
 		"another body": func(w *scenario.World) {
-			w.Send(claimed(core.ClaimOff, ""))
+			w.Send(claimed(core.ClaimConflict, ""))
 			w.Expect(ms, "conflict a", "conflict b")
 		},
 		"down": func(w *scenario.World) {
-			w.Send(claimed(core.ClaimDown, ""))
+			w.Send(claimed(core.ClaimUnavailable, ""))
 			w.Expect(ms, "release k", "refused a", "refused b")
 		},
 		"down at once": func(w *scenario.World) {
-			w.Send(claimed(core.ClaimDown, ""))
+			w.Send(claimed(core.ClaimUnavailable, ""))
 			w.FullStore()
 			w.Expect(ms, "release k", "refused a", "refused b")
 			w.Send(w.Ask("d", "book", "k"))
@@ -483,15 +483,15 @@
 		},
 		// All in one iteration: nothing runs, and the next try claims again.
 		"won as the tries are canceled": func(w *scenario.World) {
-			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"},
-				core.Withdraw{Session: w.Session("c"), Handle: "b"}, claimed(core.ClaimWon, ""))
+			w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: "a"},
+				core.RequestCanceled{Session: w.Session("c"), Handle: "b"}, claimed(core.ClaimWon, ""))
 			w.Expect(ms, "release k")
 			w.Send(w.Ask("d", "book", "k"))
 			w.Expect(ms, "claim k")
 		},
 		"all tries canceled": func(w *scenario.World) {
-			w.Send(core.Withdraw{Session: w.Session("c"), Handle: "a"},
-				core.Withdraw{Session: w.Session("c"), Handle: "b"})
+			w.Send(core.RequestCanceled{Session: w.Session("c"), Handle: "a"},
+				core.RequestCanceled{Session: w.Session("c"), Handle: "b"})
 			w.Expect(ms)
 			w.Send(claimed(core.ClaimWon, ""))
 			w.Expect(ms, "release k")
--- a/internal/core/crowd_test.go
+++ b/internal/core/crowd_test.go
@@ -23,8 +23,8 @@
 		w.Expect(ms, "served a x")
 		for i := range 12 {
 			name := fmt.Sprint("checker ", i)
-			w.Send(core.Opened{Session: w.Session(name)},
-				core.Check{Session: w.Session(name), Reply: w.Ask("h", "quote", "").Reply})
+			w.Send(core.SessionOpened{Session: w.Session(name)},
+				core.HealthCheck{Session: w.Session(name), Reply: w.Ask("h", "quote", "").Reply})
 			want := []string{"checked h true"}
 			if i >= 7 {
 				want = []string{fmt.Sprint("close checker ", i-7), "checked h true"}
--- a/internal/core/figures.go
+++ b/internal/core/figures.go
@@ -8,9 +8,9 @@
 // publishInterval bounds the age of the published metrics: a change becomes visible within this time.
 const publishInterval = 100 * time.Millisecond
 
-// Figures are the counters and gauges of one process since its start, by class in the order of the configuration.
+// Metrics are the counters and gauges of one process since its start, by class in the order of the configuration.
 // The loop publishes a copy; readers on other goroutines get that copy and never access the loop's own counters.
-type Figures struct {
+type Metrics struct {
 	OK     []uint64 // served
 	Shed   []uint64 // refused, never ran
 	Errors []uint64 // failed, timed out, conflicts, invalid
@@ -18,24 +18,24 @@
 	Active int      // open requests
 	// Calls is the number of downstream calls in flight, Waiting the number of runs that wait to make one, and Lost
 	// counts the calls that were not answered in time.
-	Calls, Waiting int
-	Lost           uint64
-	Use            float64   // share of the worker pool's cores in use, as last reported; negative = unknown
-	WarmAt         time.Time // the worker pool is warm from then on; zero = it is not up
-	KeyedUntil     time.Time // until then a repeat may ask for a result that this process has
-	Configured     uint64    // revision of the configuration documents in effect; 0 = none yet
-	Serves         bool      // the worker pool is up and the server is not draining
+	Calls, Waiting        int
+	Lost                  uint64
+	CoreUse               float64   // share of the worker pool's cores in use, as last reported; negative = unknown
+	WarmAt                time.Time // the worker pool is warm from then on; zero = it is not up
+	KeyedUntil            time.Time // until then a repeat may ask for a result that this process has
+	ConfigurationRevision uint64    // revision of the configuration documents in effect; 0 = none yet
+	Serving               bool      // the worker pool is up and the server is not draining
 }
 
 // metricsPublisher holds the loop's counters and the copy that readers see.
 type metricsPublisher struct {
-	counts       Figures
-	published    atomic.Pointer[Figures]
+	counts       Metrics
+	published    atomic.Pointer[Metrics]
 	publishTimer timer
 }
 
 func (m *metricsPublisher) init(classes int) {
-	m.counts = Figures{OK: make([]uint64, classes), Shed: make([]uint64, classes),
+	m.counts = Metrics{OK: make([]uint64, classes), Shed: make([]uint64, classes),
 		Errors: make([]uint64, classes), Tries: make([]uint64, classes)}
 	m.publish(0)
 }
@@ -49,9 +49,9 @@
 	m.published.Store(&snapshot)
 }
 
-// Figures returns the last published copy, which is at most publishInterval older than the last change. It is safe
+// Metrics returns the last published copy, which is at most publishInterval older than the last change. It is safe
 // for concurrent use.
-func (c *Core) Figures() *Figures { return c.metrics.published.Load() }
+func (c *Core) Metrics() *Metrics { return c.metrics.published.Load() }
 
 // countAnswer counts a final answer of a class.
 func (c *Core) countAnswer(class int, kind Kind) {
@@ -71,7 +71,7 @@
 
 // setConfigured records the revision of the configuration in effect.
 func (c *Core) setConfigured(revision uint64) {
-	c.metrics.counts.Configured = revision
+	c.metrics.counts.ConfigurationRevision = revision
 	c.metricsChanged()
 }
 
@@ -84,7 +84,7 @@
 
 // publishMetrics publishes a copy of the metrics.
 func (c *Core) publishMetrics() {
-	c.metrics.counts.Serves = c.controller != nil && !c.draining && !c.done
+	c.metrics.counts.Serving = c.controller != nil && !c.draining && !c.done
 	if c.controller != nil {
 		c.metrics.counts.WarmAt = c.start.Add(c.poolWarm)
 	}
--- a/internal/core/figures_test.go
+++ b/internal/core/figures_test.go
@@ -12,7 +12,7 @@
 )
 
 // metricsOf returns the metrics that a reader outside the loop sees.
-func metricsOf(w *scenario.World) core.Figures { return *w.Core.Figures() }
+func metricsOf(w *scenario.World) core.Metrics { return *w.Core.Metrics() }
 
 // The metrics count each final answer under its class and each run handed to the worker pool. A reader sees them
 // within the publish interval, without a request to the loop.
@@ -21,8 +21,8 @@
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
 		time.Sleep(100 * ms)
-		want := core.Figures{OK: []uint64{0, 0}, Shed: []uint64{0, 0}, Errors: []uint64{0, 0}, Tries: []uint64{1, 0},
-			Active: 1, Serves: true, WarmAt: metricsOf(w).WarmAt}
+		want := core.Metrics{OK: []uint64{0, 0}, Shed: []uint64{0, 0}, Errors: []uint64{0, 0}, Tries: []uint64{1, 0},
+			Active: 1, Serving: true, WarmAt: metricsOf(w).WarmAt}
 		if up := want.WarmAt; up.IsZero() || up.After(time.Now()) {
 			t.Fatalf("a warm pool has WarmAt %v", up)
 		}
@@ -36,8 +36,8 @@
 		w.Send(runFinished("b", control.Errored, ""))
 		w.Expect(ms, "failed b")
 		time.Sleep(100 * ms)
-		want = core.Figures{OK: []uint64{1, 0}, Shed: []uint64{0, 0}, Errors: []uint64{0, 1}, Tries: []uint64{1, 1},
-			Use: 0.1, Serves: true, WarmAt: want.WarmAt, KeyedUntil: metricsOf(w).KeyedUntil}
+		want = core.Metrics{OK: []uint64{1, 0}, Shed: []uint64{0, 0}, Errors: []uint64{0, 1}, Tries: []uint64{1, 1},
+			CoreUse: 0.1, Serving: true, WarmAt: want.WarmAt, KeyedUntil: metricsOf(w).KeyedUntil}
 		// The window from t0, plus its margin.
 		if d := time.Until(want.KeyedUntil); d < 20*time.Second || d > 23*time.Second {
 			t.Fatalf("KeyedUntil is %v ahead", d)
@@ -53,10 +53,10 @@
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(core.Handoff{Kill: 3700 * ms})
+		w.Send(core.Handoff{KillAfter: 3700 * ms})
 		w.Expect(ms, "draining to c")
 		time.Sleep(100 * ms)
-		if metricsOf(w).Serves {
+		if metricsOf(w).Serving {
 			t.Fatal("a process that hands off is still published as serving")
 		}
 	})
@@ -65,15 +65,15 @@
 // The revision of the configuration in effect is published to readers outside the loop, alongside other changes.
 func TestConfigurationRevisionIsPublished(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		if revision := metricsOf(w).Configured; revision != 0 {
+		if revision := metricsOf(w).ConfigurationRevision; revision != 0 {
 			t.Fatalf("revision %d before there is any configuration", revision)
 		}
-		w.Send(core.Configured{Revision: 7})
+		w.Send(core.ConfigurationApplied{Revision: 7})
 		w.Send(w.Ask("a", "quote", ""))
 		w.Expect(ms, "run a quote body")
-		w.Send(core.Configured{Revision: 9})
+		w.Send(core.ConfigurationApplied{Revision: 9})
 		time.Sleep(100 * ms)
-		if revision := metricsOf(w).Configured; revision != 9 {
+		if revision := metricsOf(w).ConfigurationRevision; revision != 9 {
 			t.Fatalf("revision %d, want 9", revision)
 		}
 	})
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -30,7 +30,7 @@
 }
 
 // healthCheck answers a health check, or makes a deep one wait for a verification.
-func (c *Core) healthCheck(e Check) {
+func (c *Core) healthCheck(e HealthCheck) {
 	sess, ok := c.touch(e.Session)
 	if !ok {
 		return
@@ -53,7 +53,7 @@
 }
 
 func (c *Core) answerCheck(reply Reply, healthy bool) {
-	reply.Answer(Answer{Kind: Checked, Up: healthy, Hint: c.level})
+	reply.Answer(Answer{Kind: Checked, Healthy: healthy, Hint: c.level})
 }
 
 // startVerification asks the worker pool for the work of a deep check, unless a verification is in flight.
--- a/internal/core/intake.go
+++ b/internal/core/intake.go
@@ -5,7 +5,7 @@
 // Intake: connections, and the events that arrive on them.
 
 // sessionOpened handles a new connection.
-func (c *Core) sessionOpened(e Opened) {
+func (c *Core) sessionOpened(e SessionOpened) {
 	sess := &session{Session: e.Session, single: e.Single}
 	sess.idleTimer.callback = func() { c.requestClose(sess, CloseIdle) }
 	c.sessions[e.Session] = sess
@@ -47,7 +47,7 @@
 		if victim == newest {
 			c.log.Warn("crowded", "connections", longLived, "open", len(c.byHandle))
 		}
-		c.requestClose(victim, CloseRoom)
+		c.requestClose(victim, CloseEvicted)
 	}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // requestArrived takes in a request.
-func (c *Core) requestArrived(e Arrive) {
+func (c *Core) requestArrived(e RequestArrived) {
 	sess, ok := c.touch(e.Session)
 	if !ok {
 		return
@@ -130,7 +130,7 @@
 	req := e.Req
 	sess.openRequests++
 	waited := max(0, time.Since(req.Arrived))
-	r := &request{Incoming: req, session: sess, reply: e.Reply, arrived: c.now - waited}
+	r := &request{IncomingRequest: req, session: sess, reply: e.Reply, arrived: c.now - waited}
 	budget := req.Budget
 	if budget <= 0 {
 		budget = c.site.Control.Classes[req.Class].Deadline
--- a/internal/core/ledger.go
+++ b/internal/core/ledger.go
@@ -89,7 +89,7 @@
 	}
 	r.usage.recorded, r.usage.recordedAt = true, c.now
 	c.usageRecorded = true
-	ticket := c.ledger.Book(c.usageOf(r))
+	ticket := c.ledger.Record(c.usageOf(r))
 	if pending := r.usage.pending; pending != nil {
 		pending.ticket, pending.waitUntil = ticket, r.due-ledgerWaitMargin
 		c.pendingResults = append(c.pendingResults, r)
@@ -100,7 +100,7 @@
 }
 
 // usageOf computes the ledger entry of a request.
-func (c *Core) usageOf(r *request) Use {
+func (c *Core) usageOf(r *request) Usage {
 	used := &r.usage
 	class := &c.site.Control.Classes[r.Class]
 	var metrics ledger.Figures
@@ -117,7 +117,7 @@
 		c.site.Control.RunFactor*float64(busy.Microseconds())) / 1e6)
 	metrics[ledger.Run] = used.runTime.Microseconds()
 	metrics[ledger.Calls], metrics[ledger.In], metrics[ledger.Out] = used.calls, int64(len(r.Body)), used.bytesOut
-	return Use{Class: r.Class, Tenant: r.Tenant, Began: r.arrived, Ended: used.recordedAt, End: used.end,
+	return Usage{Class: r.Class, Tenant: r.Tenant, Began: r.arrived, Ended: used.recordedAt, End: used.end,
 		Replay: used.replay, Figures: metrics}
 }
 
@@ -160,7 +160,7 @@
 	if r.usage.pending.sent {
 		return
 	}
-	if c.ledger.Overdue() {
+	if c.ledger.SendOverdue() {
 		c.sendPending(r, r.usage.pending.answer)
 		return
 	}
@@ -175,9 +175,9 @@
 	}
 	reversal := c.usageOf(r)
 	reversal.Figures, _ = reversal.Figures.Neg() // the sums of one request are far from overflowing
-	c.ledger.Book(reversal)
+	c.ledger.Record(reversal)
 	r.usage.end, r.usage.bytesOut = ledger.Failed, 0
-	c.ledger.Book(c.usageOf(r))
+	c.ledger.Record(c.usageOf(r))
 	c.usageRecorded = true
 	c.sendPending(r, answer)
 }
--- a/internal/core/listing_test.go
+++ b/internal/core/listing_test.go
@@ -17,7 +17,7 @@
 func (h *fakeDirectory) Report(open bool) {
 	h.reports = append(h.reports, map[bool]string{true: "open", false: "closed"}[open])
 }
-func (h *fakeDirectory) Silence() { h.reports = append(h.reports, "silence") }
+func (h *fakeDirectory) StopReporting() { h.reports = append(h.reports, "silence") }
 
 // Nothing is reported before the worker pool is bound for the first time, whatever happens meanwhile, because an
 // older process may own the directory entry. At the first link the state is reported at once.
@@ -27,17 +27,17 @@
 		then      string
 	}{
 		"":                                    {nil, "open"},
-		"drained by an operator and released": {[]core.Event{core.Hold{On: true}, core.Hold{}}, "open"},
-		"drained by an operator":              {[]core.Event{core.Hold{On: true}}, "closed"},
+		"drained by an operator and released": {[]core.Event{core.OperatorDrain{On: true}, core.OperatorDrain{}}, "open"},
+		"drained by an operator":              {[]core.Event{core.OperatorDrain{On: true}}, "closed"},
 		"drain":                               {[]core.Event{core.Drain{}}, "closed"},
-		"handoff":                             {[]core.Event{core.Handoff{Kill: 3700 * ms}}, "silence"},
+		"handoff":                             {[]core.Event{core.Handoff{KillAfter: 3700 * ms}}, "silence"},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			directory := &fakeDirectory{}
 			server := core.New(scenario.Site(), slog.New(slog.DiscardHandler))
 			server.Attach(noop{}, nil, directory, nil)
 			go server.Run(t.Context())
-			server.Send(core.Opened{Session: noop{}}) // the server does not end while a connection is open
+			server.Send(core.SessionOpened{Session: noop{}}) // the server does not end while a connection is open
 			for _, e := range c.meanwhile {
 				server.Send(e)
 			}
@@ -62,7 +62,7 @@
 		w.Send(w.Ask("a", "quote", "")) // the open request keeps the process alive
 		w.Expect(ms, "run a quote body")
 		w.Listed()
-		w.Send(core.Handoff{Kill: 3700 * ms})
+		w.Send(core.Handoff{KillAfter: 3700 * ms})
 		w.Expect(1500*ms, "draining to c")
 		for _, report := range w.Listed() {
 			if report != "silence" {
@@ -78,11 +78,11 @@
 	play(t, false, func(w *scenario.World) {
 		w.Send(w.Ask("a", "quote", ""))
 		time.Sleep(ms)
-		w.Send(core.Hold{On: true}, core.Drain{})
+		w.Send(core.OperatorDrain{On: true}, core.Drain{})
 		time.Sleep(ms)
 		w.Listed()
-		w.Send(core.Hold{}, core.PoolLost{}, core.PoolBound{Age: time.Hour}, core.Hold{On: true}, core.Hold{},
-			core.PoolLost{}, core.PoolBound{}, core.Handoff{Kill: 3700 * ms})
+		w.Send(core.OperatorDrain{}, core.PoolLost{}, core.PoolBound{Age: time.Hour}, core.OperatorDrain{On: true}, core.OperatorDrain{},
+			core.PoolLost{}, core.PoolBound{}, core.Handoff{KillAfter: 3700 * ms})
 		time.Sleep(1500 * ms)
 		if reports := w.Listed(); len(reports) < 3 ||
 			slices.ContainsFunc(reports, func(s string) bool { return s != "closed" }) {
@@ -99,6 +99,6 @@
 func (noop) Run(string, string, []byte)     {}
 func (noop) Stop(string)                    {}
 func (noop) Supply(string, []byte)          {}
-func (noop) Pass(string, uint64)            {}
+func (noop) SkipCall(string, uint64)        {}
 func (noop) Verify(string)                  {}
 func (noop) Poll(string)                    {}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -47,7 +47,7 @@
 	}
 	r.state = stateRunning
 	notice := r.callNotice
-	c.sendCommand(r, func() { c.runner.Pass(r.Handle, notice) })
+	c.sendCommand(r, func() { c.runner.SkipCall(r.Handle, notice) })
 }
 
 // abandonCall gives up the call in flight.
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -303,10 +303,10 @@
 func (c *Core) claimKey(e *entry) {
 	class, r := &c.site.Control.Classes[e.key.Class], e.owner
 	c.awaitClaim(r)
-	if !c.store.Claim(Piece{Key: e.key, Handle: r.Handle, Sum: e.sum, Body: r.Body, Tenant: r.Tenant, Rank: r.Rank,
+	if !c.store.Claim(KeyedRequest{Key: e.key, Handle: r.Handle, Sum: e.sum, Body: r.Body, Tenant: r.Tenant, Rank: r.Rank,
 		Memory: r.Memory, Work: r.Work, Subject: r.Subject, Caller: r.Caller, Left: max(0,
 			r.due-c.now), Life: ClaimLife(class)}) {
-		c.applyClaim(Claimed{Key: e.key, State: ClaimDown})
+		c.applyClaim(ClaimAnswered{Key: e.key, State: ClaimUnavailable})
 	}
 }
 
@@ -319,14 +319,14 @@
 // claimAnswered handles the store's answer. A claim that is won more than windowMargin after the store last reported
 // another owner, or after the try's t0, is given up: the store may have forgotten the result of a run whose window
 // had not ended when the try was written. This happens to a server that was suspended.
-func (c *Core) claimAnswered(claim Claimed) {
+func (c *Core) claimAnswered(claim ClaimAnswered) {
 	if e := c.keys.entries[claim.Key]; claim.State == ClaimWon && e != nil && e.phase == phaseClaiming {
 		lastAnswer := e.owner.arrived
 		if e.otherOwnerSeen > 0 {
 			lastAnswer = max(lastAnswer, e.otherOwnerSeen)
 		}
 		if c.now-lastAnswer > windowMargin {
-			claim.State = ClaimDown
+			claim.State = ClaimUnavailable
 		}
 	}
 	c.applyClaim(claim)
@@ -334,7 +334,7 @@
 
 // applyClaim acts on the outcome of a claim. Without an answer from the store a new keyed request is refused, never
 // run speculatively.
-func (c *Core) applyClaim(claim Claimed) {
+func (c *Core) applyClaim(claim ClaimAnswered) {
 	e := c.keys.entries[claim.Key]
 	if e == nil || e.phase != phaseClaiming {
 		if claim.State == ClaimWon && e == nil { // nobody waits for it any longer
@@ -367,7 +367,7 @@
 		c.finishEntry(e, claim.State == ClaimDone, claim.Result)
 	default:
 		kind, reason := Refused, "the shared store does not answer"
-		if claim.State == ClaimOff {
+		if claim.State == ClaimConflict {
 			kind, reason = Conflict, "the token belongs to another body"
 		} else { // the claim may have succeeded all the same
 			c.store.Release(claim.Key)
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -211,7 +211,7 @@
 	c.metricsChanged()
 	c.log.Info("worker pool up", "cold", cold, "age_ms", (c.now - started).Milliseconds())
 	if c.draining {
-		c.controller.DrainSince(c.now, c.drainStart, max(0, c.drainStart+c.site.Stop-answerAllMargin-c.now))
+		c.controller.DrainSince(c.now, c.drainStart, max(0, c.drainStart+c.site.StopTime-answerAllMargin-c.now))
 	}
 	c.reportAvailability()
 }
@@ -225,7 +225,7 @@
 	for _, id := range ids {
 		if r := c.byID[id]; r != nil && r.ran &&
 			(r.state != stateHeld || c.site.Control.Classes[r.Class].Effect != control.Safe) {
-			c.runFinished(PoolFinished{Handle: r.Handle, End: control.Errored})
+			c.runFinished(PoolFinished{Handle: r.Handle, Outcome: control.Errored})
 		}
 	}
 	c.startController(cold, started)
@@ -275,7 +275,7 @@
 
 // commandUnknown handles a command that was not carried out. A run that was requested once and rejected by the worker
 // pool never began. Without this, the request and its key would wait for a run that does not exist.
-func (c *Core) commandUnknown(e PoolUnknown) {
+func (c *Core) commandUnknown(e PoolCommandUnknown) {
 	r := c.byHandle[e.Handle]
 	if r == nil || e.Command != "spawn" || r.state != stateRunning || r.runCommands != 1 {
 		return
@@ -308,16 +308,16 @@
 	if r.state == stateCalling {
 		c.abandonCall(r)
 	}
-	r.addRun(c.now, e.Took)
+	r.addRun(c.now, e.RunTime)
 	answer := Answer{Kind: Failed, Why: whyRunFailed}
-	switch e.End {
+	switch e.Outcome {
 	case control.OK:
 		c.deepChecks.lastProof = c.now
 		answer = Answer{Kind: Served, Body: e.Body}
 	case control.Stopped:
 		if !r.answered { // stopped by the controller and held again
 			r.state = stateHeld
-			c.controller.Done(c.now, r.id, e.Took, control.Stopped)
+			c.controller.Done(c.now, r.id, e.RunTime, control.Stopped)
 			return
 		}
 	}
@@ -325,16 +325,16 @@
 	switch {
 	case r.entry == nil:
 		c.answer(r, answer)
-	case e.End == control.NotStarted && r.runCommands == 1:
+	case e.Outcome == control.NotStarted && r.runCommands == 1:
 		c.answer(r, answer)
 		c.undoRun(r)
 	default:
-		c.finishEntry(r.entry, e.End == control.OK, e.Body)
+		c.finishEntry(r.entry, e.Outcome == control.OK, e.Body)
 	}
 	if r.answered {
-		c.finish(r, e.End, e.Took)
+		c.finish(r, e.Outcome, e.RunTime)
 	} else {
-		c.awaitStored(r, e.End, e.Took)
+		c.awaitStored(r, e.Outcome, e.RunTime)
 	}
 }
 
--- a/internal/core/sites_test.go
+++ b/internal/core/sites_test.go
@@ -12,22 +12,22 @@
 
 // deploymentKinds returns configurations of several kinds of deployment. Each has the classes read (safe), keyed and
 // once (unsafe), as far as its kind has them. What every deployment is promised holds in all of them.
-func deploymentKinds() map[string]core.Site {
+func deploymentKinds() map[string]core.Config {
 	read := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 1, Calls: true}
 	keyed := control.Class{Aim: 3 * time.Second, Deadline: 8 * time.Second, Worth: 3, Effect: control.Keyed,
 		Window: 20 * time.Second, Calls: true}
 	once := control.Class{Aim: 2600 * ms, Deadline: 6400 * ms, Worth: 3, Effect: control.Unsafe, Calls: true}
 	skipping := read
 	skipping.SkipWorth, skipping.Aim, skipping.Deadline = 0.6, 1900*ms, 4500*ms
-	tier := func(site *core.Site) { site.Control.DownstreamSheds = true }
-	shared := func(site *core.Site) {
+	tier := func(site *core.Config) { site.Control.DownstreamSheds = true }
+	shared := func(site *core.Config) {
 		site.Control.DownstreamSheds, site.Control.CallShare, site.Control.CallWindow,
 			site.Control.CallLingers = false, 8, 5*time.Second, 200*ms
 		site.Control.ExpensiveChecks = true
 	}
-	deployments := map[string]core.Site{}
+	deployments := map[string]core.Config{}
 	for name, kind := range map[string]struct {
-		downstream func(*core.Site)
+		downstream func(*core.Config)
 		classes    map[string]control.Class
 	}{
 		"keyed writes, a downstream tier": {tier, map[string]control.Class{"read": read, "keyed": keyed}},
@@ -35,7 +35,7 @@
 			map[string]control.Class{"read": skipping, "once": once}},
 		"keyed and unsafe writes, a downstream tier": {tier,
 			map[string]control.Class{"read": skipping, "keyed": keyed, "once": once}},
-		"keyed and unsafe writes, a database and tier": {func(site *core.Site) { shared(site); tier(site) },
+		"keyed and unsafe writes, a database and tier": {func(site *core.Config) { shared(site); tier(site) },
 			map[string]control.Class{"read": read, "keyed": keyed, "once": once}},
 	} {
 		site := scenario.Site()
@@ -54,7 +54,7 @@
 // onEachKind runs f on every kind of deployment, once for each of its classes or, with writes, for each class that is
 // not safe.
 func onEachKind(t *testing.T, writes bool,
-	f func(w *scenario.World, class string, ask func(handle, token string) core.Arrive)) {
+	f func(w *scenario.World, class string, ask func(handle, token string) core.RequestArrived)) {
 	for name, site := range deploymentKinds() {
 		for i, class := range site.Classes {
 			if writes && site.Control.Classes[i].Effect == control.Safe {
@@ -64,9 +64,9 @@
 				synctest.Test(t, func(t *testing.T) {
 					w := scenario.NewWorld(t, site, false)
 					w.Expect(ms)
-					f(w, class, func(handle, token string) core.Arrive {
+					f(w, class, func(handle, token string) core.RequestArrived {
 						request := w.Ask(handle, "quote", token)
-						if request.Req.Class = site.Class(class); !site.Keyed(request.Req.Class) {
+						if request.Req.Class = site.ClassIndex(class); !site.Keyed(request.Req.Class) {
 							request.Req.Token = ""
 						}
 						return request
@@ -80,7 +80,7 @@
 // A request of any class gets one answer, and the estimate of its work reaches the controller without changing the
 // answer.
 func TestEveryClassIsServedOnce(t *testing.T) {
-	onEachKind(t, false, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+	onEachKind(t, false, func(w *scenario.World, class string, ask func(string, string) core.RequestArrived) {
 		request := ask("a", "k")
 		request.Req.Work = 250 * ms
 		w.Send(request)
@@ -93,7 +93,7 @@
 // A write whose call may have had its effect fails; neither the call nor the run is repeated.
 func TestWriteOfUnknownOutcomeIsNotRepeated(t *testing.T) {
 	for _, outcome := range []control.Outcome{control.Interrupted, control.Errored, control.TimedOut} {
-		onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+		onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.RequestArrived) {
 			w.Send(ask("a", "k"))
 			w.Expect(ms, "run a "+class+" body")
 			w.Send(runBlocked("a", "x"))
@@ -107,7 +107,7 @@
 // A restarted worker pool has lost its runs. A write of any kind that has run, even one that was held again after a
 // stop, counts as run and failed. Guards against a fault in which a write without a key reached the new pool as new.
 func TestWriteIsNotRunAgainByRestartedPool(t *testing.T) {
-	onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.Arrive) {
+	onEachKind(t, true, func(w *scenario.World, class string, ask func(string, string) core.RequestArrived) {
 		w.Send(ask("a", "k"), ask("b", "l"))
 		w.Expect(ms, "run a "+class+" body", "run b "+class+" body")
 		w.Send(runFinished("a", control.Stopped, "")) // not stopped by the controller: held again
@@ -143,8 +143,8 @@
 // the verification does not come back, or the pool is unavailable, the answer is no, in time.
 func TestDeepChecks(t *testing.T) {
 	play(t, false, func(w *scenario.World) {
-		deepCheck := func(h string) core.Check {
-			return core.Check{Session: w.Session("c"), Reply: w.Ask(h, "quote", "").Reply, Deep: true}
+		deepCheck := func(h string) core.HealthCheck {
+			return core.HealthCheck{Session: w.Session("c"), Reply: w.Ask(h, "quote", "").Reply, Deep: true}
 		}
 		w.Send(deepCheck("1"), deepCheck("2"))
 		w.Expect(ms, "verify v1")
--- a/internal/core/variants_test.go
+++ b/internal/core/variants_test.go
@@ -20,9 +20,9 @@
 
 // deployments returns configurations of various customers: the two of deploy/sites as a process there receives them,
 // and configurations at the limits of the valid range.
-func deployments(t *testing.T) map[string]core.Site {
+func deployments(t *testing.T) map[string]core.Config {
 	t.Helper()
-	sites := map[string]core.Site{}
+	sites := map[string]core.Config{}
 	for _, name := range []string{"ridge-lift-gates", "tide-harbour-office"} {
 		loaded, err := config.Load("../config/testdata/" + name + ".json")
 		if err != nil {
@@ -30,9 +30,9 @@
 		}
 		sites[name] = loaded.Site
 	}
-	edge := func(deadline, window, grace, stop time.Duration) core.Site {
+	edge := func(deadline, window, grace, stop time.Duration) core.Config {
 		site := scenario.Site()
-		site.Classes, site.Stop = []string{"read", "keyed", "once"}, stop
+		site.Classes, site.StopTime = []string{"read", "keyed", "once"}, stop
 		site.Control.DrainGrace, site.Control.Classes = grace, nil
 		for _, effect := range []control.Effect{control.Safe, control.Keyed, control.Unsafe} {
 			class := control.Class{Aim: deadline * 2 / 3, Deadline: deadline, Worth: 1, Effect: effect, Calls: true}
@@ -80,7 +80,7 @@
 // clients are the callers of a core's front. They record what each request was answered, and when.
 type clients struct {
 	world   *scenario.World
-	site    core.Site
+	site    core.Config
 	mu      sync.Mutex
 	answers map[string][]receivedAnswer
 	due     map[string]time.Time
@@ -127,7 +127,7 @@
 	if l.c.conn == l {
 		l.c.conn = nil
 	}
-	go l.c.world.Send(core.Closed{Session: l})
+	go l.c.world.Send(core.SessionClosed{Session: l})
 }
 
 // open returns the connection for the next request. The caller holds c.mu until it has counted that request, so that
@@ -135,7 +135,7 @@
 func (c *clients) open() *clientConn {
 	if c.conn == nil {
 		c.conn = &clientConn{c: c}
-		c.world.Send(core.Opened{Session: c.conn})
+		c.world.Send(core.SessionOpened{Session: c.conn})
 	}
 	return c.conn
 }
@@ -155,8 +155,8 @@
 	if !c.site.Keyed(class) {
 		token = ""
 	}
-	c.world.Send(core.Arrive{Session: line, Reply: clientReply{c, handle},
-		Req: core.Incoming{Handle: handle, Class: class, Tenant: tenant,
+	c.world.Send(core.RequestArrived{Session: line, Reply: clientReply{c, handle},
+		Req: core.IncomingRequest{Handle: handle, Class: class, Tenant: tenant,
 			Arrived: time.Now(), Rank: 0.9, Memory: 10, Token: token, Body: []byte(body)}})
 	return handle
 }
@@ -190,12 +190,12 @@
 }
 
 // onEach runs f on each deployment, with one connection open; every run ends well after the time that work returns.
-func onEach(t *testing.T, work func(core.Site) time.Duration, f func(t *testing.T, c *clients)) {
+func onEach(t *testing.T, work func(core.Config) time.Duration, f func(t *testing.T, c *clients)) {
 	onEachWith(t, false, work, f)
 }
 
 // onEachWith is like onEach, optionally with a shared store that the test plays.
-func onEachWith(t *testing.T, shared bool, work func(core.Site) time.Duration, f func(t *testing.T, c *clients)) {
+func onEachWith(t *testing.T, shared bool, work func(core.Config) time.Duration, f func(t *testing.T, c *clients)) {
 	for name, site := range deployments(t) {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -214,7 +214,7 @@
 	}
 }
 
-func shortestDeadline(s core.Site) time.Duration {
+func shortestDeadline(s core.Config) time.Duration {
 	deadline := time.Minute
 	for _, class := range s.Control.Classes {
 		deadline = min(deadline, class.Deadline)
@@ -222,7 +222,7 @@
 	return deadline
 }
 
-func shortRun(s core.Site) time.Duration { return min(shortestDeadline(s)/10, 200*ms) }
+func shortRun(s core.Config) time.Duration { return min(shortestDeadline(s)/10, 200*ms) }
 
 // Every class is served, whether its callers state their budget or not. A keyed request runs once within its window,
 // and may run again well after it.
@@ -279,7 +279,7 @@
 	}
 }
 
-func thirdOfDeadline(s core.Site) time.Duration { return shortestDeadline(s) / 3 }
+func thirdOfDeadline(s core.Config) time.Duration { return shortestDeadline(s) / 3 }
 
 // Under an overload that no server can carry, each request gets one answer by its due time, and no write runs twice.
 func TestEveryDeploymentAnswersInTimeUnderOverload(t *testing.T) {
@@ -309,7 +309,7 @@
 // A downstream call that never ends, or ends only after its request is due, does not keep any request from its answer
 // in time.
 func TestEveryDeploymentSurvivesHangingCalls(t *testing.T) {
-	onEach(t, func(core.Site) time.Duration { return 0 }, func(t *testing.T, c *clients) {
+	onEach(t, func(core.Config) time.Duration { return 0 }, func(t *testing.T, c *clients) {
 		for i, class := range c.site.Control.Classes {
 			if !class.Calls {
 				continue
@@ -347,7 +347,7 @@
 			time.Sleep(class.Deadline / 2)
 			second := c.ask(i, "k", c.site.Classes[i])
 			time.Sleep(class.Deadline/2 + ms)
-			c.world.Send(core.Claimed{Key: core.Key{Class: i, Token: "k"}, State: core.ClaimWon})
+			c.world.Send(core.ClaimAnswered{Key: core.Key{Class: i, Token: "k"}, State: core.ClaimWon})
 			time.Sleep(class.Deadline)
 			if firstKind, secondKind := c.kind(first), c.kind(second); firstKind == int(core.Served) ||
 				firstKind == -1 || secondKind == -1 {
@@ -365,15 +365,15 @@
 // period are not run, each request that arrived before the loop's end has its answer by then and by its due time, and
 // the loop ends before the kill.
 func TestEveryDeploymentDrainsInTime(t *testing.T) {
-	longRun := func(s core.Site) time.Duration { return shortestDeadline(s) * 2 / 3 }
-	notice := func(c *clients) (time.Duration, core.Event) { return c.site.Stop, core.Drain{} }
+	longRun := func(s core.Config) time.Duration { return shortestDeadline(s) * 2 / 3 }
+	notice := func(c *clients) (time.Duration, core.Event) { return c.site.StopTime, core.Drain{} }
 	handOff := func(c *clients) (time.Duration, core.Event) {
 		var deadlines []time.Duration
 		for _, k := range c.site.Control.Classes {
 			deadlines = append(deadlines, k.Deadline)
 		}
-		kill := handoff.Kill(deadlines)
-		return min(kill, c.site.Stop), core.Handoff{Kill: kill}
+		kill := handoff.KillDelay(deadlines)
+		return min(kill, c.site.StopTime), core.Handoff{KillAfter: kill}
 	}
 	t.Run("quick runs", func(t *testing.T) { onEach(t, shortRun, drainBy(notice)) })
 	t.Run("long runs", func(t *testing.T) { onEach(t, longRun, drainBy(notice)) })
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -18,7 +18,7 @@
 const window = 20 * time.Second // of the keyed class of scenario.Site
 
 // readLate returns a request whose t0 is unread in the past when it is sent; a negative unread means the future.
-func readLate(request core.Arrive, unread time.Duration) core.Arrive {
+func readLate(request core.RequestArrived, unread time.Duration) core.RequestArrived {
 	request.Req.Arrived = time.Now().Add(-unread)
 	return request
 }
@@ -72,7 +72,7 @@
 		expectAfter(w, "refused b", readLate(w.Ask("b", "book", "held"), 2010*ms))
 		expectAfter(w, "", readLate(w.Ask("c", "book", "k"), 2010*ms))
 		expectAfter(w, "", readLate(w.Ask("d", "book", "held"), 1990*ms))
-		expectAfter(w, "", core.Withdraw{Session: w.Session("c"), Handle: "held"})
+		expectAfter(w, "", core.RequestCanceled{Session: w.Session("c"), Handle: "held"})
 		expectAfter(w, "served a x; served c x; run d book body", runFinished("a", control.OK, "x"))
 	})
 }
@@ -82,7 +82,7 @@
 	play(t, false, func(w *scenario.World) {
 		expectAfter(w, "run a book body", w.Ask("a", "book", "k"), w.Ask("b", "book", "k"))
 		w.Expect(2100 * ms)
-		expectAfter(w, "invalid a; run b book body", core.PoolUnknown{Command: "spawn", Handle: "a"})
+		expectAfter(w, "invalid a; run b book body", core.PoolCommandUnknown{Command: "spawn", Handle: "a"})
 	})
 }
 
@@ -121,7 +121,7 @@
 // waits: the claim of a server that was killed goes to the next that asks, although its run may have had its effect.
 func TestTryDoesNotOutliveAnotherClaim(t *testing.T) {
 	playLateAim(t, func(w *scenario.World) {
-		heldElsewhere := core.Claimed{Key: fleetKey, State: core.ClaimOther}
+		heldElsewhere := core.ClaimAnswered{Key: fleetKey, State: core.ClaimOther}
 		// The try that ran elsewhere is one window and 1 s older than now.
 		a := readLate(w.Ask("a", "book", "k"), time.Second)
 		a.Req.Budget = time.Minute
@@ -161,7 +161,7 @@
 				expectAfter(w, "claim k", a)
 				w.Expect(c.wait)
 				for range c.others {
-					w.Send(core.Claimed{Key: fleetKey, State: core.ClaimOther})
+					w.Send(core.ClaimAnswered{Key: fleetKey, State: core.ClaimOther})
 					w.Expect(101*ms, "claim k")
 				}
 				w.Expect(c.suspended)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -86,9 +86,9 @@
 	c.signal()
 }
 
-// Silence stops all reports until the next call of Report. It prevents an old process from reporting for its
+// StopReporting stops all reports until the next call of Report. It prevents an old process from reporting for its
 // successor, since both report under one name.
-func (c *Client) Silence() {
+func (c *Client) StopReporting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.body = ""
--- a/internal/directory/faults_test.go
+++ b/internal/directory/faults_test.go
@@ -293,7 +293,7 @@
 	c.Report(true)
 	conn := dir.acceptConn()
 	dir.expect(conn, "open")
-	c.Silence()
+	c.StopReporting()
 	if _, err := conn.in.ReadByte(); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the report in flight ended with %v, want a reset", err)
 	}
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/desk/desk.go
@@ -26,7 +26,7 @@
 // Options configure a Store.
 type Options struct {
 	Box    string
-	Site   *core.Site
+	Site   *core.Config
 	Limits hand.Limits
 	Cursor func() uint64     // current cursor of the worker pool's link
 	Ways   map[string]string // addresses of other servers by name; others are reached at the address that they report
@@ -57,7 +57,7 @@
 	callWaits   callWaits
 }
 
-// Calls makes downstream calls for runs of lost servers. Its methods are those of core.Caller.
+// Calls makes downstream calls for runs of lost servers. Its methods are those of core.Downstream.
 type Calls interface {
 	Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte)
 }
@@ -189,7 +189,7 @@
 	if out.Disown {
 		d.pendingDisowns.Add(1)
 		d.coreToken.Store(0)
-		d.sink(core.Disown{Taken: func() {
+		d.sink(core.Disown{Done: func() {
 			if d.pendingDisowns.Add(-1) == 0 {
 				d.coreToken.Store(d.machineToken.Load())
 			}
@@ -205,7 +205,7 @@
 	}
 	for _, finished := range out.Finished {
 		if key, ok := d.coreKey(finished.Key); ok {
-			d.sink(core.Finished{Key: key, OK: finished.OK})
+			d.sink(core.FinishConfirmed{Key: key, OK: finished.OK})
 		}
 	}
 	for _, adopt := range out.Adopts {
@@ -217,7 +217,7 @@
 }
 
 var claimStates = map[hand.State]core.Claim{hand.Won: core.ClaimWon, hand.Other: core.ClaimOther, hand.Done: core.ClaimDone,
-	hand.Failed: core.ClaimFailed, hand.Off: core.ClaimOff, hand.Down: core.ClaimDown}
+	hand.Failed: core.ClaimFailed, hand.Off: core.ClaimConflict, hand.Down: core.ClaimUnavailable}
 
 func (d *Desk) verdict(verdict hand.Verdict) {
 	key, ok := d.coreKey(verdict.Key)
@@ -227,11 +227,11 @@
 	if verdict.State == hand.Down {
 		d.log.Info("keys", "do", "refuse", "class", verdict.Key.Class, "why", verdict.Why)
 	}
-	d.sink(core.Claimed{Key: key, State: claimStates[verdict.State], Result: verdict.Result})
+	d.sink(core.ClaimAnswered{Key: key, State: claimStates[verdict.State], Result: verdict.Result})
 }
 
 func (d *Desk) coreKey(key hand.Key) (core.Key, bool) {
-	class := d.opt.Site.Class(key.Class)
+	class := d.opt.Site.ClassIndex(key.Class)
 	return core.Key{Class: class, Token: key.Token}, class >= 0
 }
 
@@ -246,14 +246,14 @@
 		d.enqueue(func() { d.machine.Release(d.now(), request.Key) })
 		return
 	}
-	d.sink(core.Adopt{Piece: core.Piece{Key: key, Handle: request.Handle, Sum: request.Sum, Body: request.Body,
-		Tenant: d.opt.Site.Tenant(request.Tenant), Rank: request.Rank,
+	d.sink(core.Adopt{Request: core.KeyedRequest{Key: key, Handle: request.Handle, Sum: request.Sum, Body: request.Body,
+		Tenant: d.opt.Site.TenantIndex(request.Tenant), Rank: request.Rank,
 		Memory: request.Memory, Work: request.Work, Subject: request.Subject, Caller: request.Caller,
 		Left: request.Due, Life: request.Life}})
 }
 
 // Claim implements core.Store.
-func (d *Desk) Claim(request core.Piece) bool {
+func (d *Desk) Claim(request core.KeyedRequest) bool {
 	tenant := ""
 	if request.Tenant >= 0 {
 		tenant = d.opt.Site.Tenants[request.Tenant]
@@ -294,9 +294,9 @@
 	}
 }
 
-// Holds implements core.Store. A lease of this process's next token does not cover claims that were made under the
+// OwnsClaims implements core.Store. A lease of this process's next token does not cover claims that were made under the
 // previous one. It is safe for use from any goroutine.
-func (d *Desk) Holds() bool {
+func (d *Desk) OwnsClaims() bool {
 	token := d.coreToken.Load()
 	return token != 0 && d.pendingDisowns.Load() == 0 && d.membership.Holds() && d.membership.Life() == token
 }
--- a/internal/fleet/forecast/simboxes/simboxes.go
+++ b/internal/fleet/forecast/simboxes/simboxes.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"sort"
 
+	"larchscale/internal/callcache"
 	"larchscale/internal/fleet/forecast"
-	"larchscale/internal/kept"
 )
 
 // Options of a fleet. Its boxes are 0 to Boxes-1.
@@ -44,7 +44,7 @@
 	rng    *rand.Rand
 	at     float64
 	cum    []float64
-	kept   []*kept.Kept
+	kept   []*callcache.Cache
 	sample []*forecast.Sampler
 	epoch  uint64
 	turned int64
@@ -54,7 +54,7 @@
 
 // Weights places slices by weighted rendezvous; a weight of 0 = the box has none.
 func Weights(w []float64) []uint16 {
-	homes := make([]uint16, kept.Slices)
+	homes := make([]uint16, callcache.Shards)
 	for i := range homes {
 		best := math.Inf(-1)
 		for b, x := range w {
@@ -85,14 +85,14 @@
 		sum += math.Pow(float64(i+1), -o.Skew)
 		w.cum = append(w.cum, sum)
 	}
-	var cs []kept.Class
+	var cs []callcache.Class
 	for _, c := range o.Classes {
-		cs = append(cs, kept.Class{Name: c.Name, For: c.For})
+		cs = append(cs, callcache.Class{Name: c.Name, TTL: c.For})
 	}
 	weights := make([]float64, o.Boxes)
 	for i := range o.Boxes {
 		weights[i] = 1
-		k, err := kept.New(kept.Options{Self: uint16(i), Bytes: o.Bytes, MaxReply: len(w.body), AskShare: 0.2, Classes: cs})
+		k, err := callcache.New(callcache.Options{Self: uint16(i), Bytes: o.Bytes, MaxReply: len(w.body), OwnerTimeShare: 0.2, Classes: cs})
 		if err != nil {
 			return nil, err
 		}
@@ -113,7 +113,7 @@
 	w.epoch++
 	w.Homes = homes
 	for i, k := range w.kept {
-		if err := k.Place(w.epoch, homes); err != nil {
+		if err := k.SetOwners(w.epoch, homes); err != nil {
 			return err
 		}
 		w.sample[i].Own(w.Now, func(s int) bool { return homes[s] == uint16(i) })
@@ -209,16 +209,16 @@
 	if h%16 == 0 {
 		size = 1000 + int(h>>20)%7000
 	}
-	key := kept.Key{Class: w.o.Classes[class].Name}
+	key := callcache.Key{Class: w.o.Classes[class].Name}
 	binary.LittleEndian.PutUint64(key.Sum[:], h)
 	hash := key.Hash()
-	slice := kept.Slice(hash)
+	slice := callcache.ShardOf(hash)
 	box := w.Homes[slice]
 	w.who++
 	t := &w.Tally[box]
 	t.Wants++
-	if w.kept[box].Want(w.Now, key, w.who, w.Now+1000).Do == kept.CallBelow {
-		w.kept[box].Got(w.Now, key, w.body[:size])
+	if w.kept[box].Lookup(w.Now, key, w.who, w.Now+1000).Action == callcache.CallDownstream {
+		w.kept[box].CallSucceeded(w.Now, key, w.body[:size])
 		t.Calls++
 		t.By[class]++
 		second := int((w.Now - w.reset) / 1000)
@@ -227,5 +227,5 @@
 		}
 		w.Peak[second][class]++
 	}
-	w.sample[box].Want(w.Now, hash, slice, class, size+kept.Overhead)
+	w.sample[box].Want(w.Now, hash, slice, class, size+callcache.EntryOverhead)
 }
--- a/internal/fleet/replycache/cache.go
+++ b/internal/fleet/replycache/cache.go
@@ -15,9 +15,9 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 
 	"larchscale/control"
+	"larchscale/internal/callcache"
 	"larchscale/internal/core"
 	"larchscale/internal/fleet/ground"
-	"larchscale/internal/kept"
 	"larchscale/internal/link"
 )
 
@@ -36,7 +36,7 @@
 	number        uint64 // of the core's call, and of the one below that is made for it
 	subject       uint64
 	body          []byte
-	key           kept.Key
+	key           callcache.Key
 	due           int64
 	calling       bool   // below
 	ask           uint64 // number of its question to a home; 0 = none
@@ -55,18 +55,18 @@
 	mu    sync.Mutex
 	queue []func(context.Context)
 
-	below core.Caller
+	below core.Downstream
 
 	// Of the loop.
-	kept    *kept.Kept
+	kept    *callcache.Cache
 	lasts   map[string]int64 // ms, by kept class
 	who     uint64
 	wants   map[uint64]*want
 	handles map[string]*want
 	spoilt  *simplelru.LRU[string, struct{}] // a reply that was on its way must not pass for that of the handle's next call
 	remotes map[uint64]*remote
-	led     map[kept.Key]uint64 // keys of this home that another box makes the call of, with who
-	homes   []uint16            // nil = no placement yet
+	led     map[callcache.Key]uint64 // keys of this home that another box makes the call of, with who
+	homes   []uint16                 // nil = no placement yet
 	epoch   uint64
 	numbers map[string]uint16
 	names   []string         // by number
@@ -77,7 +77,7 @@
 }
 
 // New makes the reply cache of a server, which is off unless Options.Bytes is over 0; sink is told how calls end.
-func New(opt Options, box string, site *core.Site, sink func(core.Event), log *slog.Logger) (*Cache, error) {
+func New(opt Options, box string, site *core.Config, sink func(core.Event), log *slog.Logger) (*Cache, error) {
 	store, err := opt.store(site)
 	if err != nil {
 		return nil, err
@@ -87,11 +87,11 @@
 		return nil, err
 	}
 	return &Cache{box: box, sink: sink, log: log, wake: make(chan struct{}, 1), kept: store, lasts: opt.Classes, spoilt: spoilt, wants: map[uint64]*want{}, handles: map[string]*want{},
-		remotes: map[uint64]*remote{}, led: map[kept.Key]uint64{}, numbers: map[string]uint16{box: self}, names: []string{box}, rests: map[string]int64{}}, nil
+		remotes: map[uint64]*remote{}, led: map[callcache.Key]uint64{}, numbers: map[string]uint16{box: self}, names: []string{box}, rests: map[string]int64{}}, nil
 }
 
 // Attach gives it the calls below, whose sink is Ended. It comes before Run.
-func (k *Cache) Attach(below core.Caller) { k.below = below }
+func (k *Cache) Attach(below core.Downstream) { k.below = below }
 
 // Stand gives it its ways to the homes, by name as the box's own, else as the fleet knows them. It comes before Run.
 func (k *Cache) Stand(g *ground.Ground, l *link.Link, ways map[string]string) {
@@ -144,15 +144,15 @@
 // late ends what has waited for too long, and gives when it is to be called again.
 func (k *Cache) late(ctx context.Context) time.Duration {
 	at := now()
-	next := k.kept.Next()
+	next := k.kept.NextExpiry()
 	if next <= at {
-		k.tell(ctx, k.kept.Due(at), control.TimedOut)
-		next = k.kept.Next()
+		k.tell(ctx, k.kept.ExpireWaits(at), control.TimedOut)
+		next = k.kept.NextExpiry()
 	}
 	for who, r := range k.remotes { // those that no flight knows of are late too
 		if at >= r.until {
 			k.dropRemote(who, r)
-			k.tell(ctx, k.kept.Leave(r.key, who), control.TimedOut)
+			k.tell(ctx, k.kept.RemoveWaiter(r.key, who), control.TimedOut)
 		}
 		next = min(next, r.until)
 	}
@@ -162,7 +162,7 @@
 			switch {
 			case w.calling || w.until == 0 || !theirs:
 			case at >= w.until:
-				k.kept.Leave(w.key, w.who)
+				k.kept.RemoveWaiter(w.key, w.who)
 				k.callBelow(w)
 			default:
 				next = min(next, w.until)
@@ -175,7 +175,7 @@
 	return time.Duration(max(1, next-at)) * time.Millisecond
 }
 
-// Call implements core.Caller.
+// Call implements core.Downstream.
 func (k *Cache) Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte) {
 	k.enter(func(ctx context.Context) {
 		k.giveUp(ctx, handle)
@@ -185,16 +185,16 @@
 		}
 		at := now()
 		k.who++
-		w := &want{who: k.who, handle: handle, number: number, class: class, subject: subject, body: body, key: kept.KeyOf(class, body), due: at + max(1, patience.Milliseconds()) + lastWord}
+		w := &want{who: k.who, handle: handle, number: number, class: class, subject: subject, body: body, key: callcache.KeyOf(class, body), due: at + max(1, patience.Milliseconds()) + lastWord}
 		k.wants[w.who], k.handles[handle] = w, w
 		if _, theirs := k.led[w.key]; theirs { // that box may be gone
 			w.until = at + int64(askShare*float64(w.due-at))
 		}
-		k.tell(ctx, []kept.Answer{k.kept.Want(at, w.key, w.who, w.due)}, control.TimedOut)
+		k.tell(ctx, []callcache.Answer{k.kept.Lookup(at, w.key, w.who, w.due)}, control.TimedOut)
 	})
 }
 
-// Abandon implements core.Caller.
+// Abandon implements core.Downstream.
 func (k *Cache) Abandon(handle string) {
 	k.enter(func(ctx context.Context) {
 		if !k.giveUp(ctx, handle) {
@@ -210,7 +210,7 @@
 		return false
 	}
 	k.drop(ctx, w, true)
-	k.tell(ctx, k.kept.Leave(w.key, w.who), control.TimedOut)
+	k.tell(ctx, k.kept.RemoveWaiter(w.key, w.who), control.TimedOut)
 	return true
 }
 
@@ -245,46 +245,46 @@
 		switch at := now(); c.Outcome {
 		case control.OK:
 			k.put(ctx, w.key, c.Body, at)
-			k.tell(ctx, k.kept.Got(at, w.key, c.Body), control.OK)
+			k.tell(ctx, k.kept.CallSucceeded(at, w.key, c.Body), control.OK)
 		case control.NotStarted: // its own run is over, which says nothing of the service
-			k.tell(ctx, k.kept.Leave(w.key, w.who), control.TimedOut)
+			k.tell(ctx, k.kept.RemoveWaiter(w.key, w.who), control.TimedOut)
 		default:
-			k.tell(ctx, k.kept.Failed(w.key, w.who), c.Outcome)
+			k.tell(ctx, k.kept.CallFailed(w.key, w.who), c.Outcome)
 		}
 	})
 }
 
 // tell does what kept says to those who want a reply; those who are to give up end as told.
-func (k *Cache) tell(ctx context.Context, all []kept.Answer, end control.Outcome) {
+func (k *Cache) tell(ctx context.Context, all []callcache.Answer, end control.Outcome) {
 	for len(all) > 0 {
 		a := all[0]
 		all = all[1:]
-		if r := k.remotes[a.Who]; r != nil {
+		if r := k.remotes[a.Waiter]; r != nil {
 			k.answer(ctx, a, r)
 			continue
 		}
-		w := k.wants[a.Who]
+		w := k.wants[a.Waiter]
 		if w == nil {
 			continue
 		}
-		switch a.Do {
-		case kept.Hit:
-			if a.Box != self {
+		switch a.Action {
+		case callcache.Hit:
+			if a.Owner != self {
 				k.home.Add(1)
 			} else {
 				k.hits.Add(1)
 			}
 			k.drop(ctx, w, false)
 			k.sink(core.CallEnded{Handle: w.handle, Number: w.number, Outcome: control.OK, Body: a.Reply})
-		case kept.GiveUp:
+		case callcache.GiveUp:
 			k.drop(ctx, w, true)
 			k.sink(core.CallEnded{Handle: w.handle, Number: w.number, Outcome: end})
-		case kept.CallBelow:
+		case callcache.CallDownstream:
 			if w.ask != 0 && !w.heard {
 				k.pause(w.home, "it is late")
 			}
 			k.callBelow(w)
-		case kept.AskHome:
+		case callcache.AskOwner:
 			all = append(all, k.ask(ctx, w, a)...)
 		}
 	}
@@ -302,4 +302,4 @@
 		k.hits.Load(), k.home.Load(), k.calls.Load(), k.served.Load(), k.bytes.Load())
 }
 
-var _ core.Caller = (*Cache)(nil)
+var _ core.Downstream = (*Cache)(nil)
--- a/internal/fleet/replycache/cache_test.go
+++ b/internal/fleet/replycache/cache_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"larchscale/control"
+	"larchscale/internal/callcache"
 	"larchscale/internal/core"
-	"larchscale/internal/kept"
 )
 
 // service is the calls below, of which some fail and some never end.
@@ -70,7 +70,7 @@
 
 func newRig(t *testing.T, seed uint64) *rig {
 	r := &rig{ends: map[string][]core.CallEnded{}}
-	site := &core.Site{Classes: []string{"fare", "map"}, Control: control.Config{Classes: make([]control.Class, 2)}}
+	site := &core.Config{Classes: []string{"fare", "map"}, Control: control.Config{Classes: make([]control.Class, 2)}}
 	var err error
 	r.Cache, err = New(Options{Bytes: leastBytes, Classes: map[string]int64{"fare": 30}}, "n1", site, func(e core.Event) {
 		r.mu.Lock()
@@ -179,12 +179,12 @@
 		synctest.Test(t, func(t *testing.T) {
 			r := newRig(t, 1)
 			r.below.takes = 10 * time.Millisecond
-			key := kept.KeyOf("fare", []byte("one"))
+			key := callcache.KeyOf("fare", []byte("one"))
 			say := func(m message) {
 				m.Class, m.Sum = key.Class, key.Sum
 				r.enter(func(ctx context.Context) { r.receive(ctx, "n2", m) })
 			}
-			r.enter(func(context.Context) { r.homes = make([]uint16, kept.Slices) })
+			r.enter(func(context.Context) { r.homes = make([]uint16, callcache.Shards) })
 			say(message{Kind: question, ID: 7, Ask: 2000})
 			began := time.Now()
 			r.Call("a", 1, "fare", 0, time.Second, false, []byte("one"))
@@ -221,9 +221,9 @@
 		r := newRig(t, 1)
 		r.below.takes = 10 * time.Millisecond
 		r.enter(func(context.Context) {
-			homes := slices.Repeat([]uint16{r.number("n2")}, kept.Slices)
+			homes := slices.Repeat([]uint16{r.number("n2")}, callcache.Shards)
 			r.streams, r.homes = deaf{}, homes
-			if err := r.kept.Place(1, homes); err != nil {
+			if err := r.kept.SetOwners(1, homes); err != nil {
 				t.Error(err)
 			}
 		})
--- a/internal/fleet/replycache/home.go
+++ b/internal/fleet/replycache/home.go
@@ -4,8 +4,8 @@
 	"context"
 
 	"larchscale/control"
+	"larchscale/internal/callcache"
 	"larchscale/internal/fleet/ground"
-	"larchscale/internal/kept"
 )
 
 const (
@@ -44,7 +44,7 @@
 type remote struct {
 	box   string
 	id    uint64
-	key   kept.Key
+	key   callcache.Key
 	until int64
 	leads bool // it makes the call below
 }
@@ -52,14 +52,14 @@
 // View takes which box is home of what, on the fleet's loop.
 func (k *Cache) View(v *ground.View) {
 	k.enter(func(context.Context) {
-		homes := make([]uint16, kept.Slices)
+		homes := make([]uint16, callcache.Shards)
 		for i := range homes {
-			homes[i] = kept.Nobody
+			homes[i] = callcache.NoOwner
 			if first, _ := v.Homes(i); first != "" && v.Life != 0 {
 				homes[i] = k.number(first)
 			}
 		}
-		if err := k.kept.Place(v.Epoch, homes); err != nil {
+		if err := k.kept.SetOwners(v.Epoch, homes); err != nil {
 			k.log.Warn("kept", "do", "place", "err", err)
 			return
 		}
@@ -71,8 +71,8 @@
 func (k *Cache) number(box string) uint16 {
 	n, ok := k.numbers[box]
 	if !ok {
-		if len(k.names) >= kept.Nobody {
-			return kept.Nobody
+		if len(k.names) >= callcache.NoOwner {
+			return callcache.NoOwner
 		}
 		n = uint16(len(k.names))
 		k.numbers[box], k.names = n, append(k.names, box)
@@ -81,39 +81,39 @@
 }
 
 // at gives the number of a key's home.
-func (k *Cache) at(key kept.Key) uint16 {
+func (k *Cache) at(key callcache.Key) uint16 {
 	if k.homes == nil {
-		return kept.Nobody
+		return callcache.NoOwner
 	}
-	return k.homes[kept.Slice(key.Hash())]
+	return k.homes[callcache.ShardOf(key.Hash())]
 }
 
 // ask sends the question of one who wants a reply to its home.
-func (k *Cache) ask(ctx context.Context, w *want, a kept.Answer) []kept.Answer {
+func (k *Cache) ask(ctx context.Context, w *want, a callcache.Answer) []callcache.Answer {
 	at := now()
-	w.ask, w.home = w.who, k.names[a.Box]
+	w.ask, w.home = w.who, k.names[a.Owner]
 	if k.post(ctx, w.home, message{Kind: question, ID: w.ask, Class: w.key.Class, Sum: w.key.Sum, Ask: a.Until - at}) {
 		return nil
 	}
 	w.ask = 0
-	return k.kept.HomeFailed(w.key, a.Box)
+	return k.kept.OwnerFailed(w.key, a.Owner)
 }
 
 // unasked takes a question that did not come to its home.
 func (k *Cache) unasked(ctx context.Context, box string, m message) {
-	k.tell(ctx, k.kept.HomeFailed(kept.Key{Class: m.Class, Sum: m.Sum}, k.number(box)), control.TimedOut)
+	k.tell(ctx, k.kept.OwnerFailed(callcache.Key{Class: m.Class, Sum: m.Sum}, k.number(box)), control.TimedOut)
 }
 
 // put tells a key's home what a call below brought: it waits for it, or will be asked for it.
-func (k *Cache) put(ctx context.Context, key kept.Key, body []byte, born int64) {
-	if n := k.at(key); n != self && n != kept.Nobody && len(body) <= maxReply {
+func (k *Cache) put(ctx context.Context, key callcache.Key, body []byte, born int64) {
+	if n := k.at(key); n != self && n != callcache.NoOwner && len(body) <= maxReply {
 		k.post(ctx, k.names[n], message{Kind: reply, Class: key.Class, Sum: key.Sum, Reply: body, Born: born})
 	}
 }
 
 // receive takes what another box said.
 func (k *Cache) receive(ctx context.Context, from string, m message) {
-	key, at := kept.Key{Class: m.Class, Sum: m.Sum}, now()
+	key, at := callcache.Key{Class: m.Class, Sum: m.Sum}, now()
 	switch m.Kind {
 	case question:
 		k.who++
@@ -123,7 +123,7 @@
 			return
 		}
 		k.remotes[k.who] = r
-		k.tell(ctx, []kept.Answer{k.kept.Want(at, key, k.who, r.until)}, control.TimedOut)
+		k.tell(ctx, []callcache.Answer{k.kept.Lookup(at, key, k.who, r.until)}, control.TimedOut)
 	case word:
 		w := k.wants[m.ID]
 		if w == nil || w.ask != m.ID || w.home != from { // its time is over, and nothing comes of it
@@ -133,19 +133,19 @@
 			return
 		}
 		w.heard, w.leads = true, m.Leads && key == w.key
-		k.tell(ctx, k.kept.HomeSaid(at, w.key, k.number(from), kept.Word{Epoch: m.Epoch, Class: m.Class, Sum: m.Sum, Has: m.Has, Reply: m.Reply, Born: m.Born, Left: m.Left}), control.TimedOut)
+		k.tell(ctx, k.kept.OwnerReplied(at, w.key, k.number(from), callcache.OwnerResponse{Epoch: m.Epoch, Class: m.Class, Sum: m.Sum, Found: m.Has, Reply: m.Reply, FetchedAt: m.Born, TTL: m.Left}), control.TimedOut)
 	case reply:
 		if born := min(m.Born, at); k.at(key) == self && len(m.Reply) <= maxReply && m.Born <= at+skew && born+k.lasts[m.Class] > at {
-			k.tell(ctx, k.kept.Got(born, key, m.Reply), control.OK)
+			k.tell(ctx, k.kept.CallSucceeded(born, key, m.Reply), control.OK)
 		}
 	case failure:
 		for who, r := range k.remotes {
 			if r.box == from && r.id == m.ID {
 				k.dropRemote(who, r)
 				if r.leads {
-					k.tell(ctx, k.kept.Failed(r.key, who), control.Errored)
+					k.tell(ctx, k.kept.CallFailed(r.key, who), control.Errored)
 				} else {
-					k.tell(ctx, k.kept.Leave(r.key, who), control.Errored)
+					k.tell(ctx, k.kept.RemoveWaiter(r.key, who), control.Errored)
 				}
 				return
 			}
@@ -161,13 +161,13 @@
 }
 
 // answer does what kept says to another box.
-func (k *Cache) answer(ctx context.Context, a kept.Answer, r *remote) {
-	switch a.Do {
-	case kept.CallBelow:
-		r.leads, k.led[r.key] = true, a.Who
+func (k *Cache) answer(ctx context.Context, a callcache.Answer, r *remote) {
+	switch a.Action {
+	case callcache.CallDownstream:
+		r.leads, k.led[r.key] = true, a.Waiter
 		k.post(ctx, r.box, message{Kind: word, ID: r.id, Class: r.key.Class, Sum: r.key.Sum, Epoch: k.epoch, Leads: true})
-	case kept.Hit, kept.GiveUp:
-		k.dropRemote(a.Who, r)
+	case callcache.Hit, callcache.GiveUp:
+		k.dropRemote(a.Waiter, r)
 		if !r.leads {
 			k.say(ctx, r)
 		}
@@ -177,8 +177,8 @@
 // say tells another box what is kept here.
 func (k *Cache) say(ctx context.Context, r *remote) {
 	w := k.kept.Serve(now(), r.key)
-	if w.Has {
+	if w.Found {
 		k.served.Add(1)
 	}
-	k.post(ctx, r.box, message{Kind: word, ID: r.id, Class: w.Class, Sum: w.Sum, Epoch: w.Epoch, Has: w.Has, Reply: w.Reply, Born: w.Born, Left: w.Left})
+	k.post(ctx, r.box, message{Kind: word, ID: r.id, Class: w.Class, Sum: w.Sum, Epoch: w.Epoch, Has: w.Found, Reply: w.Reply, Born: w.FetchedAt, Left: w.TTL})
 }
--- a/internal/fleet/replycache/options.go
+++ b/internal/fleet/replycache/options.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
+	"larchscale/internal/callcache"
 	"larchscale/internal/core"
-	"larchscale/internal/kept"
 )
 
 // Bounds of what an operator may set, and of what is kept.
@@ -27,9 +27,9 @@
 func Defaults() Options { return Options{Classes: map[string]int64{}} }
 
 // Check finds what cannot be at a site whose limits leave at most so many bytes.
-func (o *Options) Check(site *core.Site, most int64) error {
+func (o *Options) Check(site *core.Config, most int64) error {
 	for _, name := range slices.Sorted(maps.Keys(o.Classes)) {
-		if site.Class(name) < 0 {
+		if site.ClassIndex(name) < 0 {
 			return fmt.Errorf("kept.classes: the settings have no class %q", name)
 		}
 		if ms := o.Classes[name]; ms < 1 || ms > longest {
@@ -51,10 +51,10 @@
 }
 
 // store makes the box's store of replies.
-func (o *Options) store(site *core.Site) (*kept.Kept, error) {
-	k := kept.Options{Self: self, Bytes: o.Bytes, MaxReply: maxReply, AskShare: askShare}
+func (o *Options) store(site *core.Config) (*callcache.Cache, error) {
+	k := callcache.Options{Self: self, Bytes: o.Bytes, MaxReply: maxReply, OwnerTimeShare: askShare}
 	for _, name := range slices.Sorted(maps.Keys(o.Classes)) {
-		k.Classes = append(k.Classes, kept.Class{Name: name, For: o.Classes[name], Effect: site.Control.Classes[site.Class(name)].Effect})
+		k.Classes = append(k.Classes, callcache.Class{Name: name, TTL: o.Classes[name], Effect: site.Control.Classes[site.ClassIndex(name)].Effect})
 	}
-	return kept.New(k)
+	return callcache.New(k)
 }
--- a/internal/fleet/replycache/options_test.go
+++ b/internal/fleet/replycache/options_test.go
@@ -11,7 +11,7 @@
 
 // What cannot be kept, or not so much, or not for so long, is said; what is right is taken, and so is nothing.
 func TestWhatAnOperatorMaySet(t *testing.T) {
-	site := &core.Site{Classes: []string{"fare", "book"}, Control: control.Config{Classes: []control.Class{{}, {Effect: control.Keyed}}}}
+	site := &core.Config{Classes: []string{"fare", "book"}, Control: control.Config{Classes: []control.Class{{}, {Effect: control.Keyed}}}}
 	for want, o := range map[string]replycache.Options{
 		"":                     {},
 		"<nil>":                {Bytes: 1 << 20, Classes: map[string]int64{"fare": 1}},
--- a/internal/fleet/trials/split.go
+++ b/internal/fleet/trials/split.go
@@ -41,7 +41,7 @@
 	guards     []string
 }
 
-// Call implements core.Caller, on the core's loop.
+// Call implements core.Downstream, on the core's loop.
 func (t *Trials) Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte) {
 	to := t.to(t.choose(handle, class, subject))
 	for _, c := range t.callers { // the call before may have gone elsewhere
@@ -53,7 +53,7 @@
 }
 
 // to is the caller of an address that this box knows.
-func (t *Trials) to(addr string) core.Caller {
+func (t *Trials) to(addr string) core.Downstream {
 	if c := t.others[addr]; c != nil {
 		return c
 	}
@@ -101,15 +101,15 @@
 // it is none that was lost. It is safe from any goroutine.
 func (t *Trials) Leave() { t.leaves.Store(true) }
 
-// Abandon implements core.Caller, on the core's loop.
+// Abandon implements core.Downstream, on the core's loop.
 func (t *Trials) Abandon(handle string) {
 	for _, c := range t.callers {
 		c.Abandon(handle)
 	}
 }
 
-// Judge implements core.Judge, on the core's loop.
-func (t *Trials) Judge(handle string, w core.Worth) {
+// RequestEnded implements core.RequestEnded, on the core's loop.
+func (t *Trials) RequestEnded(handle string, w core.RequestOutcome) {
 	u, ok := t.units[handle]
 	if !ok {
 		return
--- a/internal/fleet/trials/split_test.go
+++ b/internal/fleet/trials/split_test.go
@@ -37,7 +37,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var present, other place
-			s := New(Options{Classes: []string{"quote"}, Present: &present, Others: map[string]core.Caller{"b": &other}, Holds: func() bool { return x.lease }}, slog.New(slog.DiscardHandler))
+			s := New(Options{Classes: []string{"quote"}, Present: &present, Others: map[string]core.Downstream{"b": &other}, Holds: func() bool { return x.lease }}, slog.New(slog.DiscardHandler))
 			w := &way{trial: trial.Trial{Spec: trial.Spec{ID: "t", Thing: "quote", Values: [2]string{Present, "b"}, Blocks: 2,
 				Plan: sequential.Plan{Ratio: 0.5, Guards: []sequential.Guard{{Name: Below}, {Name: Lateness}, {Name: Failures}}}}, Outcome: trial.Outcome{Verdict: x.outcome}}}
 			c := &tally{count: trial.NewCounter(&w.trial, "n1", 1)}
@@ -60,7 +60,7 @@
 				if c.open > 1 {
 					t.Fatalf("%d units of one request", c.open)
 				}
-				s.Judge(h, core.Worth{Value: 0.5, Served: true, Late: true, Calls: 2, Lost: 1})
+				s.RequestEnded(h, core.RequestOutcome{Value: 0.5, Served: true, Late: true, Calls: 2, Lost: 1})
 			}
 			if n := present.calls + other.calls; n != 400 || (present.calls > 0) != x.a || (other.calls > 0) != x.b {
 				t.Errorf("%d calls went to the index, %d to b", present.calls, other.calls)
--- a/internal/fleet/trials/trials.go
+++ b/internal/fleet/trials/trials.go
@@ -42,19 +42,19 @@
 
 // Options are what trials have to know of their box.
 type Options struct {
-	Classes []string               // of calls
-	Present core.Caller            // where calls go without a trial
-	Others  map[string]core.Caller // by address, where else they may go
-	Holds   func() bool            // this box's lease runs; safe from any goroutine
-	Now     func() time.Duration   // a clock that never steps
+	Classes []string                   // of calls
+	Present core.Downstream            // where calls go without a trial
+	Others  map[string]core.Downstream // by address, where else they may go
+	Holds   func() bool                // this box's lease runs; safe from any goroutine
+	Now     func() time.Duration       // a clock that never steps
 }
 
 // Trials are one process's.
 type Trials struct {
-	present core.Caller
-	callers []core.Caller // all of them
+	present core.Downstream
+	callers []core.Downstream // all of them
 	known   trial.Known
-	others  map[string]core.Caller
+	others  map[string]core.Downstream
 	holds   func() bool
 	now     func() time.Duration
 	log     *slog.Logger
@@ -66,7 +66,7 @@
 
 // New makes the trials of a process.
 func New(opt Options, log *slog.Logger) *Trials {
-	t := &Trials{present: opt.Present, callers: []core.Caller{opt.Present}, known: trial.Known{Calls: map[string][]string{}}, others: opt.Others,
+	t := &Trials{present: opt.Present, callers: []core.Downstream{opt.Present}, known: trial.Known{Calls: map[string][]string{}}, others: opt.Others,
 		holds: opt.Holds, now: opt.Now, log: log, units: map[string]unit{}}
 	addrs := append([]string{Present}, slices.Sorted(maps.Keys(opt.Others))...)
 	for _, class := range opt.Classes {
--- a/internal/handoff/handoff.go
+++ b/internal/handoff/handoff.go
@@ -47,8 +47,8 @@
 	Other                 // another process, which is running
 )
 
-// Found is what a process finds under the name of its start file.
-type Found struct {
+// StartFileState is what a process finds under the name of its start file.
+type StartFileState struct {
 	Holder Holder
 	Record []byte // content, if written by another process
 }
@@ -56,16 +56,16 @@
 // Successor reports whether a SIGTERM is a handoff, and the successor's process id for the log; 0 = its record cannot
 // be read. If it is not a handoff, the SIGTERM is a notice to shut down. Only the lock counts: the process id may
 // have been reused by another program.
-func (f Found) Successor() (pid int, ok bool) {
+func (f StartFileState) Successor() (pid int, ok bool) {
 	if f.Holder != Other {
 		return 0, false
 	}
 	return parsePID(f.Record), true
 }
 
-// Kill returns the time after the SIGTERM of a handoff at which the platform kills the old process, given the
+// KillDelay returns the time after the SIGTERM of a handoff at which the platform kills the old process, given the
 // deadlines of the classes.
-func Kill(deadlines []time.Duration) time.Duration {
+func KillDelay(deadlines []time.Duration) time.Duration {
 	var longest time.Duration
 	for _, d := range deadlines {
 		longest = max(longest, d)
@@ -73,11 +73,11 @@
 	return min(longest, maxCountedDeadline) + killMargin
 }
 
-// Earliest returns how soon after a SIGTERM the kill may come: the configured time, or the platform's rule if that is
+// EarliestKill returns how soon after a SIGTERM the kill may come: the configured time, or the platform's rule if that is
 // sooner. A deadline of 0 means unknown, and is counted as maxCountedDeadline.
-func Earliest(configured time.Duration, deadlines []time.Duration) time.Duration {
+func EarliestKill(configured time.Duration, deadlines []time.Duration) time.Duration {
 	if len(deadlines) == 0 || slices.Contains(deadlines, 0) {
 		return min(configured, maxCountedDeadline+killMargin)
 	}
-	return min(configured, Kill(deadlines))
+	return min(configured, KillDelay(deadlines))
 }
--- a/internal/handoff/handoff_test.go
+++ b/internal/handoff/handoff_test.go
@@ -8,21 +8,21 @@
 // Only a file that another running process holds is a handoff, whatever its record contains.
 func TestSuccessor(t *testing.T) {
 	for _, c := range []struct {
-		found Found
+		found StartFileState
 		pid   int
 		ok    bool
 	}{
-		{Found{Other, []byte("9\n")}, 9, true},   // a newer process is running
-		{Found{Other, []byte(" 9 \n")}, 9, true}, // surrounding spaces
-		{Found{Other, Record(9)}, 9, true},
-		{Found{Other, nil}, 0, true},            // its record is corrupt, its lock is valid
-		{Found{Other, []byte("x9\n")}, 0, true}, // not a process id
-		{Found{Other, []byte("-9\n")}, 0, true}, // not a process id
-		{Found{Other, []byte("99999999999999999999")}, 0, true},
-		{Found{Self, []byte("9\n")}, 0, false},
-		{Found{Nobody, []byte("9\n")}, 0, false}, // the newer process has ended, though its id may have been reused
-		{Found{Unknown, []byte("9\n")}, 0, false},
-		{Found{}, 0, false}, // no file
+		{StartFileState{Other, []byte("9\n")}, 9, true},   // a newer process is running
+		{StartFileState{Other, []byte(" 9 \n")}, 9, true}, // surrounding spaces
+		{StartFileState{Other, Record(9)}, 9, true},
+		{StartFileState{Other, nil}, 0, true},            // its record is corrupt, its lock is valid
+		{StartFileState{Other, []byte("x9\n")}, 0, true}, // not a process id
+		{StartFileState{Other, []byte("-9\n")}, 0, true}, // not a process id
+		{StartFileState{Other, []byte("99999999999999999999")}, 0, true},
+		{StartFileState{Self, []byte("9\n")}, 0, false},
+		{StartFileState{Nobody, []byte("9\n")}, 0, false}, // the newer process has ended, though its id may have been reused
+		{StartFileState{Unknown, []byte("9\n")}, 0, false},
+		{StartFileState{}, 0, false}, // no file
 	} {
 		if pid, ok := c.found.Successor(); pid != c.pid || ok != c.ok {
 			t.Errorf("%d %q: %d %v, want %d %v", c.found.Holder, c.found.Record, pid, ok, c.pid, c.ok)
@@ -40,7 +40,7 @@
 		{[]time.Duration{8 * s, s}, 3700 * time.Millisecond},
 		{nil, 700 * time.Millisecond},
 	} {
-		if got := Kill(c.deadlines); got != c.want {
+		if got := KillDelay(c.deadlines); got != c.want {
 			t.Errorf("%v: %v, want %v", c.deadlines, got, c.want)
 		}
 	}
@@ -50,11 +50,11 @@
 	f.Add(uint8(Other), []byte("9\n"))
 	f.Add(uint8(Nobody), []byte("9\n"))
 	f.Fuzz(func(t *testing.T, holder uint8, file []byte) {
-		pid, ok := Found{Holder(holder), file}.Successor()
+		pid, ok := StartFileState{Holder(holder), file}.Successor()
 		if ok != (Holder(holder) == Other) || pid < 0 || !ok && pid != 0 {
 			t.Fatalf("%d %q: %d %v", holder, file, pid, ok)
 		}
-		if again, _ := (Found{Other, Record(pid)}).Successor(); again != pid {
+		if again, _ := (StartFileState{Other, Record(pid)}).Successor(); again != pid {
 			t.Fatalf("%q: process id %d, after Record %d", file, pid, again)
 		}
 	})
@@ -74,7 +74,7 @@
 		{4200 * time.Millisecond, []time.Duration{300 * time.Millisecond, 0}, 3700 * time.Millisecond},
 		{4200 * time.Millisecond, nil, 3700 * time.Millisecond},
 	} {
-		if got := Earliest(c.configured, c.deadlines); got != c.want {
+		if got := EarliestKill(c.configured, c.deadlines); got != c.want {
 			t.Errorf("configured %v, deadlines %v: %v, want %v", c.configured, c.deadlines, got, c.want)
 		}
 	}
--- a/internal/handoff/start.go
+++ b/internal/handoff/start.go
@@ -51,43 +51,43 @@
 	}
 }
 
-// Look returns the holder of the start file that exists now, without blocking. The error explains a holder of Unknown
+// Inspect returns the holder of the start file that exists now, without blocking. The error explains a holder of Unknown
 // or Nobody for the log; it is nil if this process has no start file.
-func (s *StartFile) Look() (Found, error) {
+func (s *StartFile) Inspect() (StartFileState, error) {
 	if s == nil {
-		return Found{}, nil
+		return StartFileState{}, nil
 	}
 	file, err := os.OpenFile(s.path, os.O_RDONLY|syscall.O_NONBLOCK, 0) // does not block on a FIFO
 	if err != nil {
-		return Found{}, err
+		return StartFileState{}, err
 	}
 	defer file.Close()
 	own, err := s.file.Stat()
 	if err != nil {
-		return Found{}, err
+		return StartFileState{}, err
 	}
 	found, err := file.Stat()
 	if err != nil {
-		return Found{}, err
+		return StartFileState{}, err
 	}
 	if os.SameFile(own, found) {
-		return Found{Holder: Self}, nil
+		return StartFileState{Holder: Self}, nil
 	}
 	if !found.Mode().IsRegular() {
-		return Found{}, fmt.Errorf("%s is not a regular file", s.path)
+		return StartFileState{}, fmt.Errorf("%s is not a regular file", s.path)
 	}
 	record, err := io.ReadAll(io.LimitReader(file, maxRecordBytes))
 	if err != nil {
-		return Found{}, err
+		return StartFileState{}, err
 	}
 	// The lock is shared, so that two processes that shut down at once do not take each other's check for a holder.
 	switch err := lock(file, syscall.LOCK_SH|syscall.LOCK_NB); {
 	case errors.Is(err, syscall.EWOULDBLOCK):
-		return Found{Holder: Other, Record: record}, nil
+		return StartFileState{Holder: Other, Record: record}, nil
 	case err != nil:
-		return Found{}, err
+		return StartFileState{}, err
 	}
-	return Found{Holder: Nobody, Record: record}, fmt.Errorf("process %d, which wrote %s, has ended", parsePID(record),
+	return StartFileState{Holder: Nobody, Record: record}, fmt.Errorf("process %d, which wrote %s, has ended", parsePID(record),
 		s.path)
 }
 
--- a/internal/handoff/start_test.go
+++ b/internal/handoff/start_test.go
@@ -69,7 +69,7 @@
 	defer own.Close()
 	look := func(when string, want Holder, pid int, wantErr string) {
 		t.Helper()
-		found, err := own.Look()
+		found, err := own.Inspect()
 		to, _ := found.Successor()
 		if found.Holder != want || to != pid || (err != nil) != (wantErr != "") || err != nil &&
 			!strings.Contains(err.Error(), wantErr) {
@@ -108,7 +108,7 @@
 		if err := corrupt(); err != nil {
 			t.Fatal(err)
 		}
-		if found, err := own.Look(); err == nil || found.Holder == Other || found.Holder == Self {
+		if found, err := own.Inspect(); err == nil || found.Holder == Other || found.Holder == Self {
 			t.Errorf("%s: holder %d, %v", name, found.Holder, err)
 		}
 	}
@@ -136,7 +136,7 @@
 	if err := lock(other, syscall.LOCK_SH); err != nil {
 		t.Fatal(err)
 	}
-	if found, _ := own.Look(); found.Holder != Nobody {
+	if found, _ := own.Inspect(); found.Holder != Nobody {
 		t.Errorf("holder %d", found.Holder)
 	}
 }
@@ -155,7 +155,7 @@
 	if err == nil || own != nil {
 		t.Fatalf("Claim returned %v, %v; want an error", own, err)
 	}
-	if found, err := own.Look(); found.Holder != Unknown || err != nil {
+	if found, err := own.Inspect(); found.Holder != Unknown || err != nil {
 		t.Errorf("holder %d, %v", found.Holder, err)
 	}
 	own.Close()
--- a/internal/jsonrpc/answer.go
+++ b/internal/jsonrpc/answer.go
@@ -23,7 +23,7 @@
 	}
 	switch a.Kind {
 	case core.Checked:
-		head := `{"jsonrpc":"2.0","id":` + r.id + `,"result":{"up":` + strconv.FormatBool(a.Up)
+		head := `{"jsonrpc":"2.0","id":` + r.id + `,"result":{"up":` + strconv.FormatBool(a.Healthy)
 		r.s.send("c"+r.id, []byte(head), withLeadingComma(data), []byte("}}\n"))
 		return
 	case core.Served:
@@ -38,10 +38,10 @@
 	switch a.Kind {
 	case core.Refused:
 		code = codeRefused
-		if ms := (a.Away + time.Millisecond - 1) / time.Millisecond; ms > 0 {
+		if ms := (a.RetryAfter + time.Millisecond - 1) / time.Millisecond; ms > 0 {
 			data = strconv.AppendInt(append(appendSeparator(data), `"backoff":`...), int64(ms), 10)
 		}
-		if a.Last {
+		if a.Final {
 			data = append(appendSeparator(data), `"final":1`...)
 		}
 	case core.Conflict, core.Invalid:
--- a/internal/jsonrpc/endings_test.go
+++ b/internal/jsonrpc/endings_test.go
@@ -24,7 +24,7 @@
 
 // startFront starts a core whose front serves real connections. With a gate the server accepts none before it is shut,
 // and each connection is handled only after the gate channel is closed.
-func startFront(t *testing.T, site core.Site, gate <-chan struct{}) (*scenario.World, func() *scenario.Peer) {
+func startFront(t *testing.T, site core.Config, gate <-chan struct{}) (*scenario.World, func() *scenario.Peer) {
 	t.Helper()
 	l, err := sock.Listen("127.0.0.1:0")
 	if err != nil {
@@ -39,7 +39,7 @@
 			}
 			f.Handle(c, q)
 		})}
-		w.Core.Listen(servers)
+		w.Core.AttachListener(servers)
 	})
 	if gate == nil {
 		go servers[0].Serve()
@@ -55,7 +55,7 @@
 // fillEventQueue queues more events for the core loop than it handles in a few turns.
 func fillEventQueue(w *scenario.World) {
 	for range 800 {
-		w.Send(core.Hold{})
+		w.Send(core.OperatorDrain{})
 	}
 }
 
@@ -109,7 +109,7 @@
 	w.Await("run 000000000000000a quote body")
 	p.HalfClose()
 	p.Expect(`"method":"draining"`) // the server has read the end of the input
-	w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.OK, Body: []byte("x")})
+	w.Send(core.PoolFinished{Handle: "000000000000000a", Outcome: control.OK, Body: []byte("x")})
 	p.Expect(result)
 	p.Rest()
 }
@@ -132,7 +132,7 @@
 // and on one that was made just before.
 func TestRequestsCrossingShutdownAreRefused(t *testing.T) {
 	site := scenario.Site()
-	site.Stop, site.Control.DrainGrace = 400*ms, 100*ms
+	site.StopTime, site.Control.DrainGrace = 400*ms, 100*ms
 	w, dial := startFront(t, site, nil)
 	p := dial()
 	p.Send(`{"jsonrpc":"2.0","id":1,"method":"status"}`, "\n")
@@ -143,7 +143,7 @@
 	last := dial()
 	p.Send(requestLine(1, "quote", "a", ""))
 	last.Send(requestLine(1, "quote", "b", ""))
-	time.Sleep(site.Stop)
+	time.Sleep(site.StopTime)
 	release()
 	p.Expect(refused)
 	last.Expect(refused)
@@ -157,14 +157,14 @@
 	for name, c := range map[string]struct {
 		event core.Event
 		want  string
-	}{"shutdown": {core.Drain{}, refused}, "handoff": {core.Handoff{Kill: 2 * time.Second}, result}} {
+	}{"shutdown": {core.Drain{}, refused}, "handoff": {core.Handoff{KillAfter: 2 * time.Second}, result}} {
 		t.Run(name, func(t *testing.T) {
 			site := scenario.Site()
-			site.Stop, site.Control.DrainGrace = 2*time.Second, 50*ms
+			site.StopTime, site.Control.DrainGrace = 2*time.Second, 50*ms
 			gate := make(chan struct{})
 			w, dial := startFront(t, site, gate)
 			w.Serve(ms)
-			w.Send(core.Closed{Session: w.Session("c")}) // no other session is open
+			w.Send(core.SessionClosed{Session: w.Session("c")}) // no other session is open
 			var all []*scenario.Peer
 			for i := range 10 {
 				p := dial()
@@ -193,7 +193,7 @@
 // request does not run. A line that is completed before is answered.
 func TestPartialLineAtShutdown(t *testing.T) {
 	site := scenario.Site()
-	site.Stop, site.Control.DrainGrace = 400*ms, 50*ms
+	site.StopTime, site.Control.DrainGrace = 400*ms, 50*ms
 	w, dial := startFront(t, site, nil)
 	w.Serve(ms)
 	line := requestLine(1, "quote", "a", "")
--- a/internal/jsonrpc/front.go
+++ b/internal/jsonrpc/front.go
@@ -30,14 +30,14 @@
 
 // Front translates JSON-RPC lines into events of the core, and the core's answers into lines.
 type Front struct {
-	site  *core.Site
+	site  *core.Config
 	core  *core.Core
 	clock *wallclock.Clock // converts the time stamps of requests
 	log   *slog.Logger
 }
 
 // New returns a front; its Handle serves one connection.
-func New(site *core.Site, c *core.Core, log *slog.Logger) *Front {
+func New(site *core.Config, c *core.Core, log *slog.Logger) *Front {
 	return &Front{site, c, wallclock.New(), log}
 }
 
@@ -49,8 +49,8 @@
 // gone, one that does not read its answers, and one that sends nothing but bad messages and has no open request.
 func (f *Front) Handle(conn net.Conn, outbound *sock.WriteQueue) {
 	s := newSession(conn, outbound)
-	f.core.Send(core.Opened{Session: s})
-	defer f.core.Send(core.Closed{Session: s})
+	f.core.Send(core.SessionOpened{Session: s})
+	defer f.core.Send(core.SessionClosed{Session: s})
 	started := time.Now()
 	err := f.serve(s, started.Add(firstMessageTimeout))
 	if errors.Is(err, io.EOF) && s.hasUnanswered() {
@@ -113,13 +113,13 @@
 	case "status":
 		s.sawRequest = true
 		s.expectAnswer("c" + m.id)
-		f.deliver(s, core.Check{Session: s, Reply: reply{s, m.id}, Deep: m.deep})
+		f.deliver(s, core.HealthCheck{Session: s, Reply: reply{s, m.id}, Deep: m.deep})
 	case "withdraw":
 		m.req.Handle = s.cancel(m.ref, m.req.Handle)
-		f.deliver(s, core.Withdraw{Session: s, Handle: m.req.Handle})
+		f.deliver(s, core.RequestCanceled{Session: s, Handle: m.req.Handle})
 	default:
 		s.sawRequest = true
-		f.deliver(s, core.Arrive{Session: s, Reply: reply{s, m.id}, Req: m.req})
+		f.deliver(s, core.RequestArrived{Session: s, Reply: reply{s, m.id}, Req: m.req})
 	}
 }
 
--- a/internal/jsonrpc/front_test.go
+++ b/internal/jsonrpc/front_test.go
@@ -96,9 +96,9 @@
 			now := time.Now().UnixMilli()
 			p.Send(strings.Replace(requestLine(2, "quote", "b", ""), fmt.Sprint(now), fmt.Sprint(now+step.Milliseconds()), 1))
 			w.Expect(ms, "run 000000000000000b quote body")
-			w.Send(core.PoolFinished{Handle: "000000000000000b", End: control.OK, Body: []byte("x")})
+			w.Send(core.PoolFinished{Handle: "000000000000000b", Outcome: control.OK, Body: []byte("x")})
 			p.Expect(`"id":2,"result"`)
-			w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.OK, Body: []byte("x")})
+			w.Send(core.PoolFinished{Handle: "000000000000000a", Outcome: control.OK, Body: []byte("x")})
 			p.Expect(`"id":1,"result"`)
 		})
 	}
@@ -114,9 +114,9 @@
 		synctest.Wait()
 		release()
 		w.Expect(ms, "run 000000000000000b book body", "run 000000000000000a quote body")
-		w.Send(core.PoolFinished{Handle: "000000000000000b", End: control.OK, Body: []byte{0, 255, '"'}})
+		w.Send(core.PoolFinished{Handle: "000000000000000b", Outcome: control.OK, Body: []byte{0, 255, '"'}})
 		p.Expect(`^{"jsonrpc":"2.0","id":2,"result":{"bytes":"AP8i","hint":0}}$`)
-		w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.Errored})
+		w.Send(core.PoolFinished{Handle: "000000000000000a", Outcome: control.Errored})
 		p.Expect(`^{"jsonrpc":"2.0","id":1,"error":{"code":-32000,"message":"the run failed","data":{"hint":0}}}$`)
 	})
 }
@@ -130,7 +130,7 @@
 			w.Expect(ms, "run 000000000000000a quote body")
 			p.Send(`{"jsonrpc":"2.0",`, line, "}\n")
 			w.Expect(ms, "stop 000000000000000a")
-			w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.Stopped})
+			w.Send(core.PoolFinished{Handle: "000000000000000a", Outcome: control.Stopped})
 			for id := range 40 { // canceled requests do not count as open
 				p.Send(requestLine(id+2, "quote", fmt.Sprint(id), ""), fmt.Sprintf(`{"jsonrpc":"2.0","method":"withdraw","params":{"id":%d}}`, id+2), "\n")
 			}
@@ -226,7 +226,7 @@
 		p.Close()
 		time.Sleep(ms)
 		for _, h := range ran { // frees room, but the others have no caller left
-			w.Send(core.PoolFinished{Handle: h, End: control.OK})
+			w.Send(core.PoolFinished{Handle: h, Outcome: control.OK})
 		}
 		time.Sleep(5 * time.Second)
 		if more := w.Handles(); len(more) != len(ran) {
@@ -266,7 +266,7 @@
 		p.Expect(`"up":true`)
 		p.Send(requestLine(2, "book", "a", `,"token":"k"`), `{"json`) // a pause in a line does not lose open requests
 		w.Expect(3*time.Second, "run 000000000000000a book body")
-		w.Send(core.PoolFinished{Handle: "000000000000000a", End: control.OK})
+		w.Send(core.PoolFinished{Handle: "000000000000000a", Outcome: control.OK})
 		p.Expect(`"id":2,"result"`)
 		p.Send(status[6:], `{"json`)
 		p.Expect(`"up":true`)
--- a/internal/jsonrpc/parse.go
+++ b/internal/jsonrpc/parse.go
@@ -48,13 +48,13 @@
 	id     string // as it was written; empty if absent
 	num    uint64 // the id of a request as a number
 	method string
-	req    core.Incoming
+	req    core.IncomingRequest
 	ref    string // withdraw: the id of the request to cancel, as it was written
 	deep   bool   // status: a deep health check, which runs work
 }
 
 // parse parses one line. The id of the message is valid whenever it is not empty, even with an error.
-func parse(line []byte, site *core.Site, clock *wallclock.Clock) (message, *requestError) {
+func parse(line []byte, site *core.Config, clock *wallclock.Clock) (message, *requestError) {
 	var m message
 	if !gjson.ValidBytes(line) {
 		return m, &requestError{badJSON, "not JSON"}
@@ -94,7 +94,7 @@
 		}
 		return m, nil
 	}
-	if m.req.Class = site.Class(m.method); m.req.Class < 0 {
+	if m.req.Class = site.ClassIndex(m.method); m.req.Class < 0 {
 		return m, &requestError{badMethod, "unknown class"}
 	}
 	if m.num = parseWhole(m.id, maxID); m.num == 0 {
@@ -113,7 +113,7 @@
 }
 
 // parseParams reads the params of a request into q.
-func parseParams(q *core.Incoming, params gjson.Result, site *core.Site, clock *wallclock.Clock) *requestError {
+func parseParams(q *core.IncomingRequest, params gjson.Result, site *core.Config, clock *wallclock.Clock) *requestError {
 	var peer, stamp, budget, mem, est, prio, acct, bytes gjson.Result
 	q.Tenant = -1
 	params.ForEach(func(k, v gjson.Result) bool {
@@ -126,7 +126,7 @@
 			peer = v
 		case "acct":
 			acct = v
-			q.Tenant = site.Tenant(v.Str)
+			q.Tenant = site.TenantIndex(v.Str)
 		case "budget":
 			budget = v
 		case "mem":
--- a/internal/jsonrpc/parse_test.go
+++ b/internal/jsonrpc/parse_test.go
@@ -10,7 +10,7 @@
 
 // Any line parses to a message with values in range or to an error, and never panics.
 func FuzzParse(f *testing.F) {
-	site := core.Site{Classes: []string{"quote", "book"},
+	site := core.Config{Classes: []string{"quote", "book"},
 		Control: control.Config{Classes: []control.Class{{}, {Effect: control.Keyed}}}}
 	f.Add([]byte(`{"jsonrpc":"2.0","id":7,"method":"book","params":{"rid":"9b1f","t0":1,"peer":4,"mem":24.5,"prio":0.6,"token":"x","bytes":"QQ=="}}`))
 	f.Add([]byte(`{"jsonrpc":"2.0","method":"withdraw","params":{"id":7}}`))
--- a/internal/keeper/bench_test.go
+++ b/internal/keeper/bench_test.go
@@ -16,11 +16,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			u := core.Use{Class: 1, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}}
+			u := core.Usage{Class: 1, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}}
 			n := 0
 			for b.Loop() {
 				u.Tenant = n & 1
-				k.Book(u)
+				k.Record(u)
 				if n++; n%1000 == 0 {
 					k.write()
 				}
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -81,7 +81,7 @@
 	retryAt         time.Time
 }
 
-// Attach sets the receiver of core.Booked events and the start of the core's clock, to which the times of entries are
+// Attach sets the receiver of core.LedgerWritten events and the start of the core's clock, to which the times of entries are
 // relative. It must be called before Run.
 func (k *Keeper) Attach(sink func(core.Event), start time.Time) {
 	k.sink, k.coreStart = sink, start.Sub(k.began)
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -58,13 +58,13 @@
 		return nil, err
 	}
 	b := &testStore{Keeper: k}
-	k.Attach(func(e core.Event) { b.through = e.(core.Booked).Through }, k.began)
+	k.Attach(func(e core.Event) { b.through = e.(core.LedgerWritten).Through }, k.began)
 	return b, nil
 }
 
 func (b *testStore) record(tenant int) {
 	now := time.Since(b.began)
-	b.Book(core.Use{Class: 1, Tenant: tenant, Began: now, Ended: now, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}})
+	b.Record(core.Usage{Class: 1, Tenant: tenant, Began: now, Ended: now, Figures: ledger.Figures{1, 3, 100, 7, 0, 1, 1}})
 }
 
 // advance lets time pass and does the periodic work as Run would.
@@ -581,7 +581,7 @@
 		t.Fatal(err)
 	}
 	confirmed := make(chan uint64, 10)
-	k.Attach(func(e core.Event) { confirmed <- e.(core.Booked).Through }, k.began)
+	k.Attach(func(e core.Event) { confirmed <- e.(core.LedgerWritten).Through }, k.began)
 	go k.Run()
 	b := &testStore{Keeper: k}
 	b.record(0)
--- a/internal/keeper/queue.go
+++ b/internal/keeper/queue.go
@@ -14,8 +14,8 @@
 	quarter      int64
 }
 
-// Book implements core.Booker.
-func (k *Keeper) Book(u core.Use) uint64 {
+// Record implements core.UsageLedger.
+func (k *Keeper) Record(u core.Usage) uint64 {
 	offset := int64(k.coreStart) + k.offset.Load()
 	entry := ledger.Entry{Began: (int64(u.Began) + offset) / 1e6, Ended: (int64(u.Ended) + offset) / 1e6, Stand: k.noStand, Class: k.classIndex[u.Class], End: u.End, Replay: u.Replay, Figures: u.Figures}
 	if u.Tenant >= 0 {
@@ -81,7 +81,7 @@
 	return list
 }
 
-// Flush implements core.Booker. In relaxed mode entries wait for the next periodic write.
+// Flush implements core.UsageLedger. In relaxed mode entries wait for the next periodic write.
 func (k *Keeper) Flush() {
 	if k.opt.Mode == Relaxed {
 		return
@@ -92,7 +92,7 @@
 	}
 }
 
-// Ready implements core.Booker. With on_failure = refuse, a disk that fails or does not respond stops new work.
+// Ready implements core.UsageLedger. With on_failure = refuse, a disk that fails or does not respond stops new work.
 func (k *Keeper) Ready() bool {
 	if k.opt.OnFailure == Gap {
 		return true
@@ -105,8 +105,8 @@
 	return k.waiting == 0 || time.Since(k.oldestWaiting) < stallTimeout+k.opt.milliseconds(k.opt.WriteMs)
 }
 
-// Strict implements core.Booker.
+// Strict implements core.UsageLedger.
 func (k *Keeper) Strict() bool { return k.opt.Mode == Strict }
 
-// Overdue implements core.Booker.
-func (k *Keeper) Overdue() bool { return k.opt.OnFailure == Gap }
+// SendOverdue implements core.UsageLedger.
+func (k *Keeper) SendOverdue() bool { return k.opt.OnFailure == Gap }
--- a/internal/keeper/write.go
+++ b/internal/keeper/write.go
@@ -42,7 +42,7 @@
 		written = k.recordMissing(counts)
 	}
 	if written && k.opt.Mode == Strict {
-		k.sink(core.Booked{Through: through})
+		k.sink(core.LedgerWritten{Through: through})
 	}
 }
 
@@ -145,7 +145,7 @@
 		k.outage = nil
 		k.failing.Store(false)
 		if k.opt.Mode == Strict {
-			k.sink(core.Booked{Through: k.recordedThrough})
+			k.sink(core.LedgerWritten{Through: k.recordedThrough})
 		}
 	}
 	return nil
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	for range n {
-		b.ledger.Book(core.Use{Figures: ledger.Figures{1, 5}})
+		b.ledger.Record(core.Usage{Figures: ledger.Figures{1, 5}})
 	}
 	for end := time.Now().Add(5 * time.Second); ; time.Sleep(2 * time.Millisecond) {
 		s, err := b.ledger.Totals(t.Context())
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -69,7 +69,7 @@
 }
 
 func finishedEvent(handle string) core.Event {
-	return core.PoolFinished{Handle: handle, Took: 2 * time.Millisecond, Body: []byte{}}
+	return core.PoolFinished{Handle: handle, RunTime: 2 * time.Millisecond, Body: []byte{}}
 }
 
 // A pool that started after the previous connection was bound is a different pool. Its notices are accepted whether it
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -252,16 +252,16 @@
 		l.bound = l.dialed
 		l.sink(core.PoolBound{Cold: n.fate == "chilly", Age: n.lasted})
 	case "polled":
-		l.sink(core.PoolPolled{Ticket: n.ticket, Figures: n.figures})
+		l.sink(core.PoolGauges{Ticket: n.ticket, Values: n.figures})
 	case "verified":
 		l.sink(core.PoolVerified{Ticket: n.ticket, OK: n.fate == "complete"})
 	case "blocked":
 		l.sink(core.PoolBlocked{Handle: n.handle, Notice: n.cursor, Body: n.body})
 	case "finished":
-		l.sink(core.PoolFinished{Handle: n.handle, End: outcomeOf(n.fate), Took: n.lasted, Body: n.body})
+		l.sink(core.PoolFinished{Handle: n.handle, Outcome: outcomeOf(n.fate), RunTime: n.lasted, Body: n.body})
 	case "unknown":
 		l.log.Warn("command not carried out", "command", n.fate, "handle", n.handle)
-		l.sink(core.PoolUnknown{Command: n.fate, Handle: n.handle})
+		l.sink(core.PoolCommandUnknown{Command: n.fate, Handle: n.handle})
 	}
 	return nil
 }
@@ -319,8 +319,8 @@
 	return [][]byte{command("supply", handle), arg(body)}
 }
 
-// Pass has a run continue without the call that a blocked notice asked for.
-func (l *Link) Pass(handle string, notice uint64) {
+// SkipCall has a run continue without the call that a blocked notice asked for.
+func (l *Link) SkipCall(handle string, notice uint64) {
 	l.send(command("pass", handle), []byte(`,"cursor":`+strconv.FormatUint(notice, 10)+"}\n"))
 }
 
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -40,7 +40,7 @@
 	p.Expect(`^{"event":"supply","handle":"a","arg":""}$`)
 	l.Stop("a")
 	p.Expect(`^{"event":"suspend","handle":"a"}$`)
-	l.Pass("a", 1)
+	l.SkipCall("a", 1)
 	p.Expect(`^{"event":"pass","handle":"a","cursor":1}$`)
 	l.Verify("v1")
 	p.Expect(`^{"event":"verify","ticket":"v1"}$`)
@@ -49,9 +49,9 @@
 	p.Send(`{"event":"blocked","cursor":1,"handle":"a","arg":"AP8i"}`, "\n", `{"event":"chatter","cursor":2,"fate":"hm"}`, "\n",
 		`{"event":"polled","ticket":"7","figures":[0.5,3]}`, "\n", `{"event":"verified","ticket":"v1","fate":"complete"}`, "\n",
 		`{"event":"verified","ticket":"v2","fate":"error"}`, "\n", `{"event":"unknown","fate":"spawn","handle":"x"}`, "\n")
-	expect(core.PoolBlocked{Handle: "a", Notice: 1, Body: []byte{0, 255, '"'}}, core.PoolPolled{Ticket: "7", Figures: []float64{0.5, 3}},
+	expect(core.PoolBlocked{Handle: "a", Notice: 1, Body: []byte{0, 255, '"'}}, core.PoolGauges{Ticket: "7", Values: []float64{0.5, 3}},
 		core.PoolVerified{Ticket: "v1", OK: true}, core.PoolVerified{Ticket: "v2"},
-		core.PoolUnknown{Command: "spawn", Handle: "x"})
+		core.PoolCommandUnknown{Command: "spawn", Handle: "x"})
 	p.Send(`{"event":"finished","cursor":3,`) // a notice cut off by a break is sent again
 	p.Close()
 	expect(core.PoolLost{})
@@ -63,7 +63,7 @@
 		p.Send(`{"event":"finished","cursor":`, string(rune('3'+i)), `,"handle":"a","fate":"`, fate, `","lasted":2,"arg":""}`, "\n")
 	}
 	for _, outcome := range []control.Outcome{control.OK, control.Errored, control.Stopped, control.NotStarted} {
-		expect(core.PoolFinished{Handle: "a", End: outcome, Took: 2e6, Body: []byte{}})
+		expect(core.PoolFinished{Handle: "a", Outcome: outcome, RunTime: 2e6, Body: []byte{}})
 	}
 	p.Send("no notice\n") // a malformed notice closes the connection
 	expect(core.PoolLost{})
--- a/internal/pool/run_test.go
+++ b/internal/pool/run_test.go
@@ -32,7 +32,7 @@
 func (s *testServer) Drain(time.Duration)            {}
 func (s *testServer) Close(uint64, core.CloseReason) {}
 func (s *testServer) Report(bool)                    {}
-func (s *testServer) Silence()                       {}
+func (s *testServer) StopReporting()                 {}
 func (s *testServer) Abandon(string)                 {}
 func (s *testServer) Call(h string, _ uint64, _ string, _ uint64, _ time.Duration, _ bool, _ []byte) {
 	s.lines <- "call " + h
@@ -57,7 +57,7 @@
 	go func() { s.Core.Run(ctx); done <- true }()
 	go func() { s.Link.Keep(ctx); done <- true }()
 	t.Cleanup(func() { stop(); <-done; <-done })
-	s.Core.Send(core.Opened{Session: s})
+	s.Core.Send(core.SessionOpened{Session: s})
 	p := s.bind(0)
 	p.Send(`{"event":"chatter","cursor":1}`, "\n")
 	s.poll(p)
@@ -81,7 +81,7 @@
 
 // ask delivers a request to the core.
 func (s *testServer) ask(handle, class, token string, budget time.Duration) {
-	s.Core.Send(core.Arrive{Session: s, Reply: recordedReply{s, handle}, Req: core.Incoming{Handle: handle, Class: map[string]int{"quote": 0, "book": 1}[class],
+	s.Core.Send(core.RequestArrived{Session: s, Reply: recordedReply{s, handle}, Req: core.IncomingRequest{Handle: handle, Class: map[string]int{"quote": 0, "book": 1}[class],
 		Arrived: time.Now(), Budget: budget, Rank: 0.9, Memory: 10, Token: token, Body: []byte("body")}})
 }
 
@@ -148,7 +148,7 @@
 		s, p := start(t)
 		s.ask("a", "quote", "", 4*time.Second)
 		p.Expect(spawn)
-		s.Core.Send(core.Withdraw{Session: s, Handle: "a"})
+		s.Core.Send(core.RequestCanceled{Session: s, Handle: "a"})
 		p.Expect(`"suspend","handle":"a"`)
 		p.Send(finishedNotice("2", "a"), `{"event":"unknown","fate":"suspend","handle":"a"}`, "\n")
 		s.ask("b", "quote", "", 4*time.Second)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -21,9 +21,9 @@
 )
 
 // Site is a small server: quote may be repeated, book is keyed, and both may call below.
-func Site() core.Site {
-	return core.Site{Classes: []string{"quote", "book"}, Tenants: []string{"north", "south"}, Gauges: []string{"core_use", "on_cores"},
-		Stop: 4 * time.Second, Bounds: core.Bounds{Sessions: 8, Open: 100, Table: 1 << 20},
+func Site() core.Config {
+	return core.Config{Classes: []string{"quote", "book"}, Tenants: []string{"north", "south"}, Gauges: []string{"core_use", "on_cores"},
+		StopTime: 4 * time.Second, Bounds: core.Bounds{Sessions: 8, Open: 100, Table: 1 << 20},
 		Control: control.Config{Seed: 1, Cores: 2, Servers: 1, Callers: 1, Advert: control.AdvertLevel,
 			Stopping: control.StopRequeues, DownstreamSheds: true, Memory: 100000, RunFactor: 8, KeyMemory: 1, Crowd: 8,
 			CrowdFor: time.Second, DrainGrace: 2 * time.Second, Slack: 80 * time.Millisecond, HeardFor: time.Second,
@@ -58,7 +58,7 @@
 
 // NewWorld starts a core with a warm worker pool. With shared, a store is attached, played by Claimed
 // events. The core ends with the test.
-func NewWorld(t *testing.T, site core.Site, shared bool, with ...func(*World)) *World {
+func NewWorld(t *testing.T, site core.Config, shared bool, with ...func(*World)) *World {
 	w := &World{t: t, Core: core.New(site, slog.New(slog.DiscardHandler)), Done: make(chan struct{}), runs: map[string]int{}, count: map[string]int{},
 		sent: map[string]uint64{}, calls: map[string]uint64{}, lives: map[string]time.Duration{}}
 	var s core.Store
@@ -78,7 +78,7 @@
 		defer close(w.Done)
 		w.Core.Run(ctx)
 	}()
-	w.Core.Send(core.Opened{Session: w.Session("c")})
+	w.Core.Send(core.SessionOpened{Session: w.Session("c")})
 	w.Core.Send(core.PoolBound{Age: time.Hour})
 	return w
 }
@@ -172,11 +172,11 @@
 		}
 		var on core.Session
 		switch e := e.(type) {
-		case core.Arrive:
+		case core.RequestArrived:
 			on = e.Session
-		case core.Check:
+		case core.HealthCheck:
 			on = e.Session
-		case core.Withdraw:
+		case core.RequestCanceled:
 			on = e.Session
 		}
 		if s, ok := on.(session); ok {
@@ -189,14 +189,14 @@
 }
 
 // Ask is a request by session c. Its answer is recorded under its handle.
-func (w *World) Ask(handle, class, token string) core.Arrive {
+func (w *World) Ask(handle, class, token string) core.RequestArrived {
 	return w.AskOn("c", handle, class, token)
 }
 
 // AskOn is a request by a session of that name.
-func (w *World) AskOn(on, handle, class, token string) core.Arrive {
+func (w *World) AskOn(on, handle, class, token string) core.RequestArrived {
 	s := Site()
-	return core.Arrive{Session: w.Session(on), Reply: reply{w, handle}, Req: core.Incoming{Handle: handle, Class: s.Class(class),
+	return core.RequestArrived{Session: w.Session(on), Reply: reply{w, handle}, Req: core.IncomingRequest{Handle: handle, Class: s.ClassIndex(class),
 		Tenant: 0, Arrived: time.Now(), Budget: 4 * time.Second, Rank: 0.9, Memory: 10, Token: token, Body: []byte("body")}}
 }
 
@@ -204,7 +204,7 @@
 func (w *World) Block() (release func()) {
 	b := blocker{make(chan struct{}), make(chan struct{})}
 	s := w.Session("blocker")
-	w.Send(core.Opened{Session: s, Single: true}, core.Check{Session: s, Reply: b})
+	w.Send(core.SessionOpened{Session: s, Single: true}, core.HealthCheck{Session: s, Reply: b})
 	<-b.stands
 	return func() { close(b.release) }
 }
@@ -260,15 +260,15 @@
 func KeepLedger(l *Ledger) func(*World) {
 	return func(w *World) {
 		l.w = w
-		w.Core.Keep(l)
+		w.Core.AttachLedger(l)
 	}
 }
 
 // Refuse makes it take no new work.
 func (l *Ledger) Refuse(on bool) { l.refuses.Store(on) }
 
-// Book implements core.Booker.
-func (l *Ledger) Book(u core.Use) uint64 {
+// Record implements core.UsageLedger.
+func (l *Ledger) Record(u core.Usage) uint64 {
 	l.tickets++
 	if u.Tenant >= 0 {
 		_ = Site().Tenants[u.Tenant] // a ledger knows them by their place
@@ -281,17 +281,17 @@
 	return l.tickets
 }
 
-// Flush implements core.Booker.
+// Flush implements core.UsageLedger.
 func (l *Ledger) Flush() {}
 
-// Ready implements core.Booker.
+// Ready implements core.UsageLedger.
 func (l *Ledger) Ready() bool { return !l.refuses.Load() }
 
-// Strict implements core.Booker.
+// Strict implements core.UsageLedger.
 func (l *Ledger) Strict() bool { return l.IsStrict }
 
-// Overdue implements core.Booker.
-func (l *Ledger) Overdue() bool { return l.LetsOverdue }
+// SendOverdue implements core.UsageLedger.
+func (l *Ledger) SendOverdue() bool { return l.LetsOverdue }
 
 // Life tells for how long the store was to keep the newest end of a key.
 func (w *World) Life(token string) time.Duration {
@@ -331,19 +331,19 @@
 	}
 	r.w.runs[string(body)]++
 	time.AfterFunc(r.w.serve, func() {
-		r.w.Core.Send(core.PoolFinished{Handle: h, End: control.OK, Took: r.w.serve, Body: []byte("ok")})
+		r.w.Core.Send(core.PoolFinished{Handle: h, Outcome: control.OK, RunTime: r.w.serve, Body: []byte("ok")})
 	})
 }
 func (r runner) Stop(h string)                { r.w.note("stop %s", h) }
 func (r runner) Supply(h string, body []byte) { r.w.note("supply %s %s", h, body) }
 
-func (r runner) Pass(h string, notice uint64) { r.w.note("pass %s %d", h, notice) }
-func (r runner) Verify(ticket string)         { r.w.note("verify %s", ticket) }
+func (r runner) SkipCall(h string, notice uint64) { r.w.note("pass %s %d", h, notice) }
+func (r runner) Verify(ticket string)             { r.w.note("verify %s", ticket) }
 
 // Poll is answered with idle gauges, after what the test has sent already, and not recorded.
 func (r runner) Poll(ticket string) {
 	time.AfterFunc(100*time.Microsecond, func() {
-		r.w.Core.Send(core.PoolPolled{Ticket: ticket, Figures: []float64{0.1, 0}})
+		r.w.Core.Send(core.PoolGauges{Ticket: ticket, Values: []float64{0.1, 0}})
 	})
 }
 
@@ -370,7 +370,7 @@
 	w.listed = append(w.listed, what)
 }
 
-func (l lister) Silence() { l.w.list("silence") }
+func (l lister) StopReporting() { l.w.list("silence") }
 
 func (l lister) Report(open bool) {
 	l.w.list(map[bool]string{true: "open", false: "closed"}[open])
@@ -379,7 +379,7 @@
 	}
 }
 
-func (k keys) Claim(p core.Piece) bool {
+func (k keys) Claim(p core.KeyedRequest) bool {
 	k.w.note("claim %s", p.Key.Token)
 	return !k.w.full
 }
@@ -391,7 +391,7 @@
 	return k.w.Waits
 }
 func (k keys) Release(key core.Key) { k.w.note("release %s", key.Token) }
-func (k keys) Holds() bool          { return !k.w.lost.Load() }
+func (k keys) OwnsClaims() bool     { return !k.w.lost.Load() }
 
 func (s session) Drain(time.Duration) { s.w.note("draining to %s", s.name) }
 
@@ -402,7 +402,7 @@
 	s.w.mu.Unlock()
 	if ends {
 		s.w.note("close %s", s.name)
-		go s.w.Core.Send(core.Closed{Session: s})
+		go s.w.Core.Send(core.SessionClosed{Session: s})
 	}
 }
 
@@ -415,7 +415,7 @@
 		line += " " + string(a.Body)
 	}
 	if a.Kind == core.Checked {
-		line += fmt.Sprint(" ", a.Up)
+		line += fmt.Sprint(" ", a.Healthy)
 	}
 	r.w.note("%s", line)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -82,9 +82,9 @@
 	return config
 }
 
-// Check returns an error that names the first invalid setting in s. A window on a class that is not keyed is valid:
+// Validate returns an error that names the first invalid setting in s. A window on a class that is not keyed is valid:
 // the platform sends one for every class.
-func Check(s *wire.Settings) error {
+func Validate(s *wire.Settings) error {
 	family := &s.FamilyInfo
 	for _, list := range []struct {
 		key string
--- a/internal/sock/listen_test.go
+++ b/internal/sock/listen_test.go
@@ -72,7 +72,7 @@
 		c.Write([]byte("ok"))
 	})
 	queued = dialAll(t, addr, 40) // old does not accept, so its share waits in the queue
-	s.Shut()
+	s.StopAccepting()
 	if n := countUnanswered(queued); n != 0 {
 		t.Fatalf("after Shut with a full queue %d of %d connections are unanswered", n, len(queued))
 	}
--- a/internal/sock/serve.go
+++ b/internal/sock/serve.go
@@ -151,10 +151,10 @@
 // Servers are all servers of a process.
 type Servers []*Server
 
-// Shut shuts all servers: see Server.Shut. It does not block.
-func (servers Servers) Shut() {
+// StopAccepting shuts all servers: see Server.StopAccepting. It does not block.
+func (servers Servers) StopAccepting() {
 	for _, s := range servers {
-		s.Shut()
+		s.StopAccepting()
 	}
 }
 
--- a/internal/sock/shut.go
+++ b/internal/sock/shut.go
@@ -19,11 +19,11 @@
 	adoptTimeout  = 500 * time.Millisecond // after which the descriptor is closed
 )
 
-// Shut accepts the connections in the listener's queue and then closes the listener: Serve returns, and the connections
+// StopAccepting accepts the connections in the listener's queue and then closes the listener: Serve returns, and the connections
 // continue. It does not block. If there are not enough slots or descriptors for the queue, the listener stays open
 // until all are accepted, and Conns counts one more until then. A connection made between the system call that finds
 // the queue empty and the next one, which shuts the listener down, is reset.
-func (s *Server) Shut() {
+func (s *Server) StopAccepting() {
 	if s.shutting.Load() > 0 {
 		return
 	}
@@ -180,7 +180,7 @@
 	s.mu.Lock()
 	s.stopped = true
 	s.mu.Unlock()
-	s.Shut()
+	s.StopAccepting()
 	s.mu.Lock()
 	queues := make([]*WriteQueue, 0, len(s.queues))
 	for q := range s.queues {
--- a/internal/sock/shut_test.go
+++ b/internal/sock/shut_test.go
@@ -29,7 +29,7 @@
 		c.Write([]byte("line"))
 	}
 	waitUntil(t, "not all slots are used", func() bool { return s.Conns() == 2 })
-	s.Shut()
+	s.StopAccepting()
 	if s.Conns() != 3 {
 		t.Errorf("%d connections, want 2 and 1 for the queue", s.Conns())
 	}
