--- a/internal/store/files.go
+++ b/internal/store/files.go
@@ -40,7 +40,7 @@
 //
 // Every change holds an flock of the directory and replaces a file as a whole by a rename, so a process that dies at
 // any point leaves either the old state or the new one. Callers never block: one goroutine does the file work. A
-// claim is refused if the queue has no room, and answered with core.ClaimDown if the lock does not become free in
+// claim is refused if the queue has no room, and answered with core.ClaimUnavailable if the lock does not become free in
 // time, for example because the other process was stopped while holding it. Ends of runs wait until the lock is free.
 type Files struct {
 	dir        string
@@ -236,17 +236,17 @@
 }
 
 // Claim queues a claim of a key. It returns false if the queue is full.
-func (s *Files) Claim(p core.Piece) bool {
+func (s *Files) Claim(p core.KeyedRequest) bool {
 	key, sum, lifetime := p.Key, p.Sum, p.Life
 	return s.enqueue(func(err error) {
-		state, result := core.ClaimDown, []byte(nil)
+		state, result := core.ClaimUnavailable, []byte(nil)
 		if err == nil { // otherwise withLock has logged it
 			if state, result, err = s.claim(s.path(key), sum, lifetime); err != nil {
 				s.log.Warn("store", "do", "claim", "err", err)
-				state = core.ClaimDown
+				state = core.ClaimUnavailable
 			}
 		}
-		s.sink(core.Claimed{Key: key, State: state, Result: result})
+		s.sink(core.ClaimAnswered{Key: key, State: state, Result: result})
 	})
 }
 
@@ -254,22 +254,22 @@
 	mine := encodeValue(markClaim, sum, []byte(s.owner))
 	current, size, err := s.load(path, lifetime)
 	if err != nil {
-		return core.ClaimDown, nil, err
+		return core.ClaimUnavailable, nil, err
 	}
 	if current != nil {
 		return interpretValue(current, mine)
 	}
 	if s.usedBytes > s.maxBytes {
-		return core.ClaimDown, nil, fmt.Errorf("the keys take %d bytes, the limit is %d", s.usedBytes, s.maxBytes)
+		return core.ClaimUnavailable, nil, fmt.Errorf("the keys take %d bytes, the limit is %d", s.usedBytes, s.maxBytes)
 	}
 	if err := s.save(path, mine, lifetime, size); err != nil {
-		return core.ClaimDown, nil, err
+		return core.ClaimUnavailable, nil, err
 	}
 	return core.ClaimWon, nil, nil
 }
 
-// Holds implements core.Store. A claim belongs to this process until it is released or expires.
-func (s *Files) Holds() bool { return true }
+// OwnsClaims implements core.Store. A claim belongs to this process until it is released or expires.
+func (s *Files) OwnsClaims() bool { return true }
 
 // Finish replaces this process's claim by the outcome of the run. No event follows.
 func (s *Files) Finish(k core.Key, sum [32]byte, ok bool, result []byte, lifetime time.Duration) bool {
--- a/internal/store/files_test.go
+++ b/internal/store/files_test.go
@@ -43,12 +43,12 @@
 	return open("n1-old"), open("n1-new"), events, clock
 }
 
-func claim(t *testing.T, s *Files, events chan core.Event, k core.Key, sum [32]byte) core.Claimed {
+func claim(t *testing.T, s *Files, events chan core.Event, k core.Key, sum [32]byte) core.ClaimAnswered {
 	t.Helper()
-	if !s.Claim(core.Piece{Key: k, Sum: sum, Life: 10 * time.Second}) {
+	if !s.Claim(core.KeyedRequest{Key: k, Sum: sum, Life: 10 * time.Second}) {
 		t.Fatal("no room for a claim")
 	}
-	return (<-events).(core.Claimed)
+	return (<-events).(core.ClaimAnswered)
 }
 
 // waitForQueue waits until the work queued on s is done.
@@ -68,7 +68,7 @@
 		s    *Files
 		sum  [32]byte
 		want core.Claim
-	}{{old, sum, core.ClaimWon}, {next, sum, core.ClaimOther}, {old, sum, core.ClaimWon}, {next, other, core.ClaimOff}} {
+	}{{old, sum, core.ClaimWon}, {next, sum, core.ClaimOther}, {old, sum, core.ClaimWon}, {next, other, core.ClaimConflict}} {
 		if got := claim(t, step.s, events, k, step.sum); got.State != step.want {
 			t.Fatalf("claim by %s: %v, want %v", step.s.owner, got.State, step.want)
 		}
@@ -114,7 +114,7 @@
 	sum := [32]byte{4}
 	n := 0
 	for ; n < 10; n++ {
-		if claim(t, old, events, core.Key{Class: 0, Token: string(rune('a' + n))}, sum).State == core.ClaimDown {
+		if claim(t, old, events, core.Key{Class: 0, Token: string(rune('a' + n))}, sum).State == core.ClaimUnavailable {
 			break
 		}
 	}
@@ -159,7 +159,7 @@
 	goOn := holdLock(t, next)
 	began := time.Now()
 	for i := range 100 {
-		if got := claim(t, next, events, core.Key{Class: 1, Token: string(rune('A' + i))}, sum); got.State != core.ClaimDown {
+		if got := claim(t, next, events, core.Key{Class: 1, Token: string(rune('A' + i))}, sum); got.State != core.ClaimUnavailable {
 			t.Fatalf("a claim while the lock is held: %v", got.State)
 		}
 	}
@@ -192,7 +192,7 @@
 		t.Fatal(err)
 	}
 	last.now = old.now
-	last.Claim(core.Piece{Key: k, Sum: sum, Life: 10 * time.Second})
+	last.Claim(core.KeyedRequest{Key: k, Sum: sum, Life: 10 * time.Second})
 	last.Finish(k, sum, true, []byte("booked"), 10*time.Second)
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
@@ -215,11 +215,11 @@
 	slow.now = next.now
 	sum, key := [32]byte{1}, func(i int) core.Key { return core.Key{Class: 1, Token: string(rune('A' + i))} }
 	for i := range queueLimit {
-		if !slow.Claim(core.Piece{Key: key(i), Sum: sum, Life: 10 * time.Second}) {
+		if !slow.Claim(core.KeyedRequest{Key: key(i), Sum: sum, Life: 10 * time.Second}) {
 			t.Fatalf("no room for claim %d", i)
 		}
 	}
-	if slow.Claim(core.Piece{Key: key(queueLimit), Sum: sum, Life: 10 * time.Second}) {
+	if slow.Claim(core.KeyedRequest{Key: key(queueLimit), Sum: sum, Life: 10 * time.Second}) {
 		t.Fatal("a claim beyond the queue's limit was accepted")
 	}
 	slow.Release(key(queueLimit)) // must not block
@@ -234,7 +234,7 @@
 		<-stopped
 	}()
 	for range queueLimit {
-		if e := (<-got).(core.Claimed); e.State != core.ClaimWon {
+		if e := (<-got).(core.ClaimAnswered); e.State != core.ClaimWon {
 			t.Errorf("%q: %v", e.Key.Token, e.State)
 		}
 	}
@@ -257,8 +257,8 @@
 		"zeros":                                {func(path string) error { return os.WriteFile(path, make([]byte, 80), 0o600) }, core.ClaimWon},
 		"no value":                             {func(path string) error { return os.WriteFile(path, expiryOnly, 0o600) }, core.ClaimWon},
 		"truncated value":                      {func(path string) error { return os.WriteFile(path, append(expiryOnly, "c00"...), 0o600) }, core.ClaimWon},
-		"a directory":                          {func(path string) error { return os.Mkdir(path, 0o700) }, core.ClaimDown},
-		"the temporary file cannot be written": {func(path string) error { return os.MkdirAll(filepath.Join(path+unfinishedSuffix, "x"), 0o700) }, core.ClaimDown},
+		"a directory":                          {func(path string) error { return os.Mkdir(path, 0o700) }, core.ClaimUnavailable},
+		"the temporary file cannot be written": {func(path string) error { return os.MkdirAll(filepath.Join(path+unfinishedSuffix, "x"), 0o700) }, core.ClaimUnavailable},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, next, events, clock := twoProcesses(t, 1<<20)
@@ -274,7 +274,7 @@
 				<-done
 			}
 			for range 2 {
-				if got := claim(t, next, events, k, sum); got.State != core.ClaimDown {
+				if got := claim(t, next, events, k, sum); got.State != core.ClaimUnavailable {
 					t.Errorf("claim of the corrupt key: %v", got.State)
 				}
 				sweep()
--- a/internal/store/redis.go
+++ b/internal/store/redis.go
@@ -117,15 +117,15 @@
 }
 
 // Claim queues a claim of a key. It returns false if the queue is full.
-func (s *Redis) Claim(p core.Piece) bool {
+func (s *Redis) Claim(p core.KeyedRequest) bool {
 	k, sum, lifetime := p.Key, p.Sum, p.Life
 	return s.enqueue(k, func(ctx context.Context, key string) {
 		state, result, err := s.claim(ctx, key, sum, lifetime)
 		if err != nil {
 			s.log.Warn("store", "do", "claim", "err", err)
-			state = core.ClaimDown
+			state = core.ClaimUnavailable
 		}
-		s.sink(core.Claimed{Key: k, State: state, Result: result})
+		s.sink(core.ClaimAnswered{Key: k, State: state, Result: result})
 	})
 }
 
@@ -137,14 +137,14 @@
 			return core.ClaimWon, nil, nil
 		}
 		if !errors.Is(err, redis.Nil) {
-			return core.ClaimDown, nil, err
+			return core.ClaimUnavailable, nil, err
 		}
 		current, err := s.client.Get(ctx, key).Bytes()
 		if errors.Is(err, redis.Nil) { // released between the two commands
 			continue
 		}
 		if err != nil {
-			return core.ClaimDown, nil, err
+			return core.ClaimUnavailable, nil, err
 		}
 		state, result, err := interpretValue(current, mine)
 		return state, result, err
@@ -156,9 +156,9 @@
 func interpretValue(current, mine []byte) (core.Claim, []byte, error) {
 	switch {
 	case len(current) < 1+hexSumLen:
-		return core.ClaimDown, nil, fmt.Errorf("unexpected value of %d bytes", len(current))
+		return core.ClaimUnavailable, nil, fmt.Errorf("unexpected value of %d bytes", len(current))
 	case !bytes.Equal(current[1:1+hexSumLen], mine[1:1+hexSumLen]):
-		return core.ClaimOff, nil, nil
+		return core.ClaimConflict, nil, nil
 	case bytes.Equal(current, mine): // an earlier answer of the store was lost and nothing ran here
 		return core.ClaimWon, nil, nil
 	case current[0] == markDone:
@@ -174,8 +174,8 @@
 	return append(out, rest...)
 }
 
-// Holds implements core.Store. A claim belongs to this process until it is released or expires.
-func (s *Redis) Holds() bool { return true }
+// OwnsClaims implements core.Store. A claim belongs to this process until it is released or expires.
+func (s *Redis) OwnsClaims() bool { return true }
 
 // Finish replaces this process's claim by the outcome of the run. No event follows.
 func (s *Redis) Finish(k core.Key, sum [32]byte, ok bool, result []byte, lifetime time.Duration) bool {
--- a/internal/store/redis_test.go
+++ b/internal/store/redis_test.go
@@ -39,10 +39,10 @@
 // claim checks the answer to a claim of the key.
 func (b *testServer) claim(sum [32]byte, state core.Claim, result string) {
 	b.t.Helper()
-	if !b.store.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute}) {
+	if !b.store.Claim(core.KeyedRequest{Key: key, Sum: sum, Life: time.Minute}) {
 		b.t.Fatal("no room")
 	}
-	want := core.Claimed{Key: key, State: state}
+	want := core.ClaimAnswered{Key: key, State: state}
 	if result != "" {
 		want.Result = []byte(result)
 	}
@@ -62,7 +62,7 @@
 	a, b := open(t, backend.Addr, "a", longTimeoutMs), open(t, backend.Addr, "b", longTimeoutMs)
 	a.claim(sum, core.ClaimWon, "")
 	b.claim(sum, core.ClaimOther, "")
-	b.claim([32]byte{2}, core.ClaimOff, "")
+	b.claim([32]byte{2}, core.ClaimConflict, "")
 	b.store.Release(key) // owned by the other server: nothing happens
 	b.claim(sum, core.ClaimOther, "")
 	a.claim(sum, core.ClaimWon, "") // its own claim, as after a lost answer
@@ -98,11 +98,11 @@
 	a, quick := open(t, backend.Addr, "a", longTimeoutMs), open(t, backend.Addr, "b", 100)
 	a.claim(sum, core.ClaimWon, "")
 	s.Silence(true)
-	quick.claim(sum, core.ClaimDown, "")
+	quick.claim(sum, core.ClaimUnavailable, "")
 	s.Silence(false)
 	backend.Close()
 	s.Stop()
-	quick.claim(sum, core.ClaimDown, "")
+	quick.claim(sum, core.ClaimUnavailable, "")
 	l, err := net.Listen("tcp", backend.Addr)
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 	b := open(t, backend.Addr, "b", longTimeoutMs)
 	b.claim(sum, core.ClaimOther, "")
 	s.Put("larchscale:book:k", "odd")
-	b.claim(sum, core.ClaimDown, "")
+	b.claim(sum, core.ClaimUnavailable, "")
 }
 
 // Checks that work queued when the store stops is completed, so that other servers know the last run of a server that
@@ -124,7 +124,7 @@
 	opt := store.Defaults()
 	opt.Redis, opt.TimeoutMs = backend.Addr, longTimeoutMs
 	last := store.New(opt, "last", []string{"book"}, func(core.Event) {}, slog.New(slog.DiscardHandler))
-	last.Claim(core.Piece{Key: key, Sum: sum, Life: time.Minute})
+	last.Claim(core.KeyedRequest{Key: key, Sum: sum, Life: time.Minute})
 	last.Finish(key, sum, true, []byte("ride 7"), -time.Minute) // the run ended after its window, with no lifetime left
 	ctx, stop := context.WithCancel(t.Context())
 	stop()
--- a/internal/uwsgi/front.go
+++ b/internal/uwsgi/front.go
@@ -30,14 +30,14 @@
 // Front translates uwsgi packets into events of the core, and the core's answers into HTTP responses.
 type Front struct {
 	opt   Options
-	site  *core.Site
+	site  *core.Config
 	bands rankBands
 	core  *core.Core
 	log   *slog.Logger
 }
 
 // New returns a front; its Handle serves one connection.
-func New(opt Options, site *core.Site, c *core.Core, log *slog.Logger) *Front {
+func New(opt Options, site *core.Config, c *core.Core, log *slog.Logger) *Front {
 	return &Front{opt, site, newRankBands(site.Control.Classes), c, log}
 }
 
@@ -90,8 +90,8 @@
 	arrived := time.Now()
 	s := &session{conn: conn, outbound: outbound}
 	s.beginRead(time.Duration(f.opt.ReadMs) * time.Millisecond)
-	f.core.Send(core.Opened{Session: s, Single: true})
-	defer f.core.Send(core.Closed{Session: s})
+	f.core.Send(core.SessionOpened{Session: s, Single: true})
+	defer f.core.Send(core.SessionClosed{Session: s})
 	in := bufio.NewReaderSize(conn, 4<<10)
 	variables, body, err := readPacket(in, f.opt.MaxBody)
 	draining := s.endRead()
@@ -100,7 +100,7 @@
 		return
 	}
 	if path := variables.get("PATH_INFO"); path == f.opt.Health && path != "" {
-		f.core.Send(core.Check{Session: s, Reply: reply{outbound}})
+		f.core.Send(core.HealthCheck{Session: s, Reply: reply{outbound}})
 		f.awaitEnd(s, in, "")
 		return
 	}
@@ -114,7 +114,7 @@
 		outbound.Send(response(400, problem, nil))
 		return
 	}
-	f.core.Send(core.Arrive{Session: s, Reply: reply{outbound}, Req: request})
+	f.core.Send(core.RequestArrived{Session: s, Reply: reply{outbound}, Req: request})
 	f.awaitEnd(s, in, request.Handle)
 }
 
@@ -129,7 +129,7 @@
 		}
 	}
 	if handle != "" {
-		f.core.Send(core.Withdraw{Session: s, Handle: handle})
+		f.core.Send(core.RequestCanceled{Session: s, Handle: handle})
 	}
 }
 
@@ -163,17 +163,17 @@
 		status = 200
 	case core.Checked:
 		status, body = 200, "up"
-		if !a.Up {
+		if !a.Healthy {
 			status, body = 503, "down"
 		}
 	case core.Refused:
 		status = 503
 		head = append(head, headerNotRun+": 1\r\nRetry-After: "...)
-		head = strconv.AppendInt(head, int64(max(1, (a.Away+time.Second-1)/time.Second)), 10)
+		head = strconv.AppendInt(head, int64(max(1, (a.RetryAfter+time.Second-1)/time.Second)), 10)
 		head = append(head, "\r\n"+headerBackoff+": "...)
-		head = strconv.AppendInt(head, int64((a.Away+time.Millisecond-1)/time.Millisecond), 10)
+		head = strconv.AppendInt(head, int64((a.RetryAfter+time.Millisecond-1)/time.Millisecond), 10)
 		head = append(head, "\r\n"...)
-		if a.Last {
+		if a.Final {
 			head = append(head, headerFinal+": 1\r\n"...)
 		}
 	case core.TimedOut:
--- a/internal/uwsgi/front_test.go
+++ b/internal/uwsgi/front_test.go
@@ -45,10 +45,10 @@
 		want string
 	}{
 		"served": {"/book", func(w *scenario.World, _ *scenario.Peer, h string) {
-			w.Send(core.PoolFinished{Handle: h, End: control.OK, Body: []byte("ride")})
+			w.Send(core.PoolFinished{Handle: h, Outcome: control.OK, Body: []byte("ride")})
 		}, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\nX-Hint: 0\r\n\r\nride"},
 		"failed": {"/book", func(w *scenario.World, _ *scenario.Peer, h string) {
-			w.Send(core.PoolFinished{Handle: h, End: control.Errored})
+			w.Send(core.PoolFinished{Handle: h, Outcome: control.Errored})
 		}, "HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 14\r\nX-Hint: 0\r\n\r\nthe run failed"},
 		"out of time": {"/quote", func(*scenario.World, *scenario.Peer, string) { time.Sleep(time.Second) },
 			"HTTP/1.1 504 Gateway Timeout\r\nConnection: close\r\nContent-Length: 17\r\nX-Hint: 0\r\n\r\nno result in time"},
@@ -208,7 +208,7 @@
 		runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 			start := time.Now()
 			complete := packet("/book", token, "k")
-			w.Send(core.Drain{}, core.Closed{Session: w.Session("c")})
+			w.Send(core.Drain{}, core.SessionClosed{Session: w.Session("c")})
 			time.Sleep(500 * ms)
 			partial, late := dial(), dial()
 			time.Sleep(500 * ms)
@@ -238,7 +238,7 @@
 		w.Expect(0, "run "+h+" quote body")
 		p.Close()
 		w.Expect(ms, "stop "+h)
-		w.Send(core.PoolFinished{Handle: h, End: control.Stopped})
+		w.Send(core.PoolFinished{Handle: h, Outcome: control.Stopped})
 	})
 }
 
--- a/internal/uwsgi/packet_test.go
+++ b/internal/uwsgi/packet_test.go
@@ -14,7 +14,7 @@
 // Any input is read as a packet within the limits or is an error, and the values of a request are in range.
 func FuzzReadPacket(f *testing.F) {
 	opt := Defaults()
-	site := core.Site{Classes: []string{"quote", "book"},
+	site := core.Config{Classes: []string{"quote", "book"},
 		Control: control.Config{Classes: []control.Class{{Worth: 1}, {Worth: 3, Effect: control.Keyed}}}}
 	bands := newRankBands(site.Control.Classes)
 	f.Add(append(Packet("PATH_INFO", "/book", "CONTENT_LENGTH", "2", opt.Vars.Token, "k", opt.Vars.Rank, "0.5"), "ab"...))
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -53,15 +53,15 @@
 
 // request converts a packet to a request of the core. Its class is -1 if it is unknown. A problem is the body of a 400
 // response.
-func (o *Options) request(variables vars, body []byte, site *core.Site, bands rankBands, arrived time.Time) (q core.Incoming, problem string) {
-	q = core.Incoming{Handle: newHandle(), Arrived: arrived, Body: body, Class: -1}
+func (o *Options) request(variables vars, body []byte, site *core.Config, bands rankBands, arrived time.Time) (q core.IncomingRequest, problem string) {
+	q = core.IncomingRequest{Handle: newHandle(), Arrived: arrived, Body: body, Class: -1}
 	if name, ok := strings.CutPrefix(variables.get("PATH_INFO"), o.Prefix); ok {
-		q.Class = site.Class(name)
+		q.Class = site.ClassIndex(name)
 	}
 	if q.Class < 0 {
 		return q, ""
 	}
-	q.Tenant = site.Tenant(variables.get(o.Vars.Tenant))
+	q.Tenant = site.TenantIndex(variables.get(o.Vars.Tenant))
 	q.Token = variables.get(o.Vars.Token)
 	if len(q.Token) > maxToken || site.Keyed(q.Class) && q.Token == "" {
 		return q, "a keyed class needs a token of 1 to 128 bytes"
