--- a/cmd/larchcontrol/serve.go
+++ b/cmd/larchcontrol/serve.go
@@ -81,7 +81,7 @@
 	part := driver.Defaults()
 	part.Dir, part.Zone, part.SilentMs = settings.Dir, settings.Zone, settings.SilentMs
 	part.Voters, part.Members = len(settings.Nodes), settings.Names()
-	d, err := driver.New(part, settings.Name, settings.Addr(settings.Name), options.Others(), way, node, log, node.Modules()...)
+	d, err := driver.New(part, settings.Name, settings.Addr(settings.Name), options.Peers(), way, node, log, node.Modules()...)
 	if err != nil {
 		return nil, err
 	}
@@ -132,7 +132,7 @@
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: adminWithin, ReadTimeout: adminWithin, WriteTimeout: adminWithin, IdleTimeout: adminWithin,
 		MaxHeaderBytes: maxHead, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
-	server.Serve(link.Limit(in, config.AdminConns))
+	server.Serve(link.LimitListener(in, config.AdminConns))
 }
 
 // handOver has another node lead, if this one does: an election costs a second without a leader.
--- a/cmd/larchscale/fleet.go
+++ b/cmd/larchscale/fleet.go
@@ -70,7 +70,7 @@
 	}
 	way := s.operator.Ledger.Peers.Options
 	part := driver.NewPart(func() (*driver.Driver, error) {
-		return driver.New(s.operator.Fleet, s.config.Name, way.Listen, way.Others(), peerLink, body, s.log, modules()...)
+		return driver.New(s.operator.Fleet, s.config.Name, way.Listen, way.Peers(), peerLink, body, s.log, modules()...)
 	}, s.log)
 	mux.Handle("/fleet/", part)
 	s.metrics = part.Lines
@@ -174,7 +174,7 @@
 // ways are the other boxes' addresses as the operator wrote them, by name.
 func ways(own *config.Operator) map[string]string {
 	out := map[string]string{}
-	for _, b := range own.Ledger.Peers.Others() {
+	for _, b := range own.Ledger.Peers.Peers() {
 		out[b.Name] = b.Addr
 	}
 	return out
@@ -208,7 +208,7 @@
 // body is this box as the fleet sees it, from what the core publishes.
 type body struct {
 	figures func() *core.Metrics
-	holder  *admin.Holder
+	holder  *admin.HealthHolder
 	guess   float64
 	meter   takeout.Meter
 	read    time.Time
@@ -232,4 +232,4 @@
 }
 
 // Hold implements driver.Body.
-func (b *body) Hold(on bool) { b.holder.Hold(admin.ByFleet, on) }
+func (b *body) Hold(on bool) { b.holder.Set(admin.ByFleet, on) }
--- a/cmd/larchscale/server.go
+++ b/cmd/larchscale/server.go
@@ -67,7 +67,7 @@
 	membership  *ground.Ground //
 	experiments *trials.Trials //
 
-	holder  *admin.Holder
+	holder  *admin.HealthHolder
 	metrics func() []byte // of the fleet and the reply cache, beside the core's; nil = none
 	fronts  sock.Servers
 }
@@ -117,7 +117,7 @@
 		return err
 	}
 	s.serveAdmin()
-	go s.workers.Keep(ctx)
+	go s.workers.Maintain(ctx)
 	go s.directory.Run(ctx)
 	go s.awaitLeave()
 	go s.awaitReloads()
@@ -166,7 +166,7 @@
 // fitDescriptors shares out the descriptors that the process may have among the fronts and the calls.
 func (s *server) fitDescriptors() {
 	limits := &s.config.Limits
-	others := s.operator.Ledger.Peers.Sockets() + len(s.operator.Fleet.TrialCalls)*limits.Calls
+	others := s.operator.Ledger.Peers.Descriptors() + len(s.operator.Fleet.TrialCalls)*limits.Calls
 	if s.adminListener != nil {
 		others += admin.MaxConns
 	}
@@ -201,7 +201,7 @@
 	}
 	s.index = index.New(s.config.Index, s.config.Limits.Calls, ended, s.log)
 	s.backend = s.index
-	if len(s.operator.UWSGI.Below) > 0 {
+	if len(s.operator.UWSGI.DownstreamServers) > 0 {
 		s.backend = uwsgi.NewClient(s.operator.UWSGI, ended)
 	}
 	if s.replies != nil {
@@ -213,7 +213,7 @@
 
 // newHolder makes what holds requests back on an order of the admin endpoint or of the fleet.
 func (s *server) newHolder() {
-	s.holder = admin.NewHolder(s.core.Send)
+	s.holder = admin.NewHealthHolder(s.core.Send)
 	s.onClose(s.holder.Close)
 }
 
@@ -252,7 +252,7 @@
 		return
 	}
 	endpoint := admin.New(s.config.Site.Classes, s.core.Metrics, s.holder, s.log)
-	endpoint.Also(s.metrics)
+	endpoint.AppendMetrics(s.metrics)
 	go endpoint.Serve(s.adminListener)
 	s.onClose(func() { endpoint.Close() })
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,7 +28,7 @@
 // Limits of the endpoint.
 const (
 	MaxConns       = 32          // open connections; a further one replaces the oldest that has sent nothing
-	MaxHead        = 4 << 10     // bytes of a request header; a longer one is answered 431
+	MaxHeaderBytes = 4 << 10     // bytes of a request header; a longer one is answered 431
 	requestTimeout = time.Second // time limit for a request
 	writeTimeout   = time.Second // time limit for writing an answer
 )
@@ -39,11 +39,11 @@
 	expectedLineLen = 32 // bytes
 )
 
-// Door is the HTTP server of the admin endpoint.
-type Door struct {
+// Server is the HTTP server of the admin endpoint.
+type Server struct {
 	classes []string
 	figures func() *core.Metrics
-	holder  *Holder
+	holder  *HealthHolder
 	log     *slog.Logger
 	server  *http.Server
 	extra   func() []byte // returns further metrics; nil for none
@@ -51,8 +51,8 @@
 
 // New returns a server for the metrics of classes, in the order of Site.Classes. Operators hold the health down and
 // release it through holder.
-func New(classes []string, figures func() *core.Metrics, holder *Holder, log *slog.Logger) *Door {
-	d := &Door{classes: classes, figures: figures, log: log, holder: holder}
+func New(classes []string, figures func() *core.Metrics, holder *HealthHolder, log *slog.Logger) *Server {
+	d := &Server{classes: classes, figures: figures, log: log, holder: holder}
 	mux := http.NewServeMux()
 	mux.HandleFunc("/healthcheck", d.getHealth)
 	mux.HandleFunc("/healthcheck/fail", d.setHealth(true))
@@ -60,14 +60,14 @@
 	mux.HandleFunc("/stats", d.getStats)
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no such call", http.StatusNotFound) })
 	d.server = &http.Server{Handler: mux, ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout,
-		WriteTimeout: writeTimeout, IdleTimeout: requestTimeout, MaxHeaderBytes: MaxHead,
+		WriteTimeout: writeTimeout, IdleTimeout: requestTimeout, MaxHeaderBytes: MaxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
 	d.server.SetKeepAlivesEnabled(false)
 	return d
 }
 
 // Serve serves on l until Close.
-func (d *Door) Serve(l net.Listener) error {
+func (d *Server) Serve(l net.Listener) error {
 	err := d.server.Serve(&limitListener{Listener: l, limit: MaxConns})
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -76,7 +76,7 @@
 }
 
 // Close closes the listener and the open connections.
-func (d *Door) Close() error { return d.server.Close() }
+func (d *Server) Close() error { return d.server.Close() }
 
 // requireMethod reports whether a request has the given method, and answers 405 otherwise.
 func requireMethod(method string, w http.ResponseWriter, r *http.Request) bool {
@@ -89,7 +89,7 @@
 }
 
 // getHealth answers /healthcheck.
-func (d *Door) getHealth(w http.ResponseWriter, r *http.Request) {
+func (d *Server) getHealth(w http.ResponseWriter, r *http.Request) {
 	if !requireMethod(http.MethodGet, w, r) {
 		return
 	}
@@ -104,12 +104,12 @@
 }
 
 // setHealth returns the handler that holds the health down or releases it.
-func (d *Door) setHealth(held bool) http.HandlerFunc {
+func (d *Server) setHealth(held bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !requireMethod(http.MethodPut, w, r) {
 			return
 		}
-		if d.holder.Hold(ByOperator, held) {
+		if d.holder.Set(ByOperator, held) {
 			d.log.Info("health held", "held", held)
 		}
 		w.Write([]byte("ok\n"))
@@ -117,7 +117,7 @@
 }
 
 // getStats answers /stats.
-func (d *Door) getStats(w http.ResponseWriter, r *http.Request) {
+func (d *Server) getStats(w http.ResponseWriter, r *http.Request) {
 	if !requireMethod(http.MethodGet, w, r) {
 		return
 	}
@@ -128,9 +128,9 @@
 	}
 }
 
-// Also appends the lines that extra returns to the metrics. It must be called before Serve; extra is called
+// AppendMetrics appends the lines that extra returns to the metrics. It must be called before Serve; extra is called
 // concurrently.
-func (d *Door) Also(extra func() []byte) { d.extra = extra }
+func (d *Server) AppendMetrics(extra func() []byte) { d.extra = extra }
 
 // Lines formats the metrics: svc.ok.C, svc.shed.C, svc.errors.C and svc.tries.C for each class C, then svc.active and
 // the metrics of downstream calls, one name=value per line.
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := admin.NewHolder(sink)
+	h := admin.NewHealthHolder(sink)
 	t.Cleanup(h.Close)
 	d := admin.New([]string{"quote", "book"}, f.Load, h, slog.New(slog.DiscardHandler))
 	go d.Serve(l)
--- a/internal/admin/hold.go
+++ b/internal/admin/hold.go
@@ -12,18 +12,18 @@
 	ByFleet                // a maintenance grant that the fleet has agreed on
 )
 
-// Holder records who holds the health down. It reports changes to the core from its own goroutine, so that its callers
+// HealthHolder records who holds the health down. It reports changes to the core from its own goroutine, so that its callers
 // never block; of several changes in a row only the newest state may be reported.
-type Holder struct {
+type HealthHolder struct {
 	mu      sync.Mutex
 	holders int           // bits of those who hold it
 	changed chan struct{} // signals a change since the last report
 	stop    chan struct{}
 }
 
-// NewHolder returns a holder that reports changes to report.
-func NewHolder(report func(core.Event)) *Holder {
-	h := &Holder{changed: make(chan struct{}, 1), stop: make(chan struct{})}
+// NewHealthHolder returns a holder that reports changes to report.
+func NewHealthHolder(report func(core.Event)) *HealthHolder {
+	h := &HealthHolder{changed: make(chan struct{}, 1), stop: make(chan struct{})}
 	go func() {
 		for {
 			select {
@@ -38,14 +38,14 @@
 }
 
 // Held reports whether the health is held down by anyone.
-func (h *Holder) Held() bool {
+func (h *HealthHolder) Held() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.holders != 0
 }
 
-// Hold has who hold the health down, or release it, and reports whether that is a change.
-func (h *Holder) Hold(who int, on bool) bool {
+// Set has who hold the health down, or release it, and reports whether that is a change.
+func (h *HealthHolder) Set(who int, on bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	previous := h.holders
@@ -63,4 +63,4 @@
 }
 
 // Close stops reporting changes. It must be called only once.
-func (h *Holder) Close() { close(h.stop) }
+func (h *HealthHolder) Close() { close(h.stop) }
--- a/internal/admin/hold_test.go
+++ b/internal/admin/hold_test.go
@@ -12,7 +12,7 @@
 func TestHealthIsHeldByEither(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var reported []bool
-		h := admin.NewHolder(func(e core.Event) { reported = append(reported, e.(core.OperatorDrain).On) })
+		h := admin.NewHealthHolder(func(e core.Event) { reported = append(reported, e.(core.OperatorDrain).On) })
 		for _, step := range []struct {
 			who           int
 			on            bool
@@ -25,7 +25,7 @@
 			{admin.ByOperator, false, true, false},
 			{admin.ByOperator, false, false, false},
 		} {
-			if got := h.Hold(step.who, step.on); got != step.changed || h.Held() != step.held {
+			if got := h.Set(step.who, step.on); got != step.changed || h.Held() != step.held {
 				t.Errorf("%+v: change %v, held %v", step, got, h.Held())
 			}
 			synctest.Wait()
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -65,14 +65,14 @@
 
 // meshDescriptors is the descriptors of a server's link to all others.
 func meshDescriptors(s Size) float64 {
-	options := link.Options{Listen: "127.0.0.1:1", Boxes: otherServers(max(0, int(s.Servers)-1)), Lines: meshConnections}
-	return float64(options.Sockets())
+	options := link.Options{Listen: "127.0.0.1:1", Servers: otherServers(max(0, int(s.Servers)-1)), ConnsPerServer: meshConnections}
+	return float64(options.Descriptors())
 }
 
 // fleetDescriptors is the same with one connection to each: neither takeover nor kept replies.
 func fleetDescriptors(s Size) float64 {
-	options := link.Options{Listen: "127.0.0.1:1", Boxes: otherServers(max(0, int(s.Servers)-1)), Lines: 1}
-	return float64(options.Sockets())
+	options := link.Options{Listen: "127.0.0.1:1", Servers: otherServers(max(0, int(s.Servers)-1)), ConnsPerServer: 1}
+	return float64(options.Descriptors())
 }
 
 // peerRequests is the requests a second that one server makes of the others' ledgers; it answers as many.
--- a/internal/capacity/counts_test.go
+++ b/internal/capacity/counts_test.go
@@ -22,7 +22,7 @@
 	for n, allowed := range map[int]bool{linkServers: true, linkServers + 1: false} {
 		options := link.Options{Listen: "127.0.0.1:1"}
 		for i := range n {
-			options.Boxes = append(options.Boxes, fmt.Sprintf("server-%d=127.0.0.1:2", i))
+			options.Servers = append(options.Servers, fmt.Sprintf("server-%d=127.0.0.1:2", i))
 		}
 		if err := options.Check("x"); (err == nil) != allowed {
 			t.Errorf("%d other servers: %v", n, err)
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := operator.Ledger.Peers.Lines; got != meshConnections {
+	if got := operator.Ledger.Peers.ConnsPerServer; got != meshConnections {
 		t.Errorf("%d connections to each other server, counted with %d", got, meshConnections)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -59,7 +59,7 @@
 // Budget bounds what waits to be written to the clients of one front. A balancer has 32 answers open at
 // most, each under 6 KB; two of them always find room.
 func (l *Limits) Budget() *sock.Budget {
-	return &sock.Budget{Peer: 32 * 6 << 10, All: l.MemoryMB << 20 / 8, Spare: 12 << 10}
+	return &sock.Budget{PerPeer: 32 * 6 << 10, Total: l.MemoryMB << 20 / 8, Guaranteed: 12 << 10}
 }
 
 // Conns is how many clients of the platform's front are served at a time, beside others descriptors.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -74,7 +74,7 @@
 		}
 		want := &Operator{uwsgi.Defaults(), store.Defaults(), Ledger{keeper.Defaults(), export.Defaults(), peers.Defaults()}, driver.Defaults(), replycache.Defaults(), controlclient.Defaults()}
 		if path != "" {
-			want.UWSGI.Listen, want.UWSGI.Below, want.Ledger.Peers.Boxes = "127.0.0.4:6566", []string{}, []string{}
+			want.UWSGI.Listen, want.UWSGI.DownstreamServers, want.Ledger.Peers.Servers = "127.0.0.4:6566", []string{}, []string{}
 		}
 		if diff := cmp.Diff(want, o); diff != "" {
 			t.Errorf("%q: %s", path, diff)
@@ -213,7 +213,7 @@
 			o.UWSGI.Listen = "127.0.0.1:1"
 		}
 		if o.UWSGI.MaxCalls = x.calls; x.calls > 0 {
-			o.UWSGI.Below = []string{"127.0.0.1:2"}
+			o.UWSGI.DownstreamServers = []string{"127.0.0.1:2"}
 		}
 		got, lowered := o.Fit(&l, x.others)
 		if u := o.UWSGI; got != x.want || u.MaxConns != x.wantConns || u.MaxCalls != x.wantCalls || lowered != x.lowered {
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -132,7 +132,7 @@
 	out := link.Options{Listen: c.Listen, CA: c.CA, Cert: c.Cert, Key: c.Key}
 	for _, node := range c.nodes {
 		if node.Name != c.Name {
-			out.Boxes = append(out.Boxes, node.Name+"="+node.Addr)
+			out.Servers = append(out.Servers, node.Name+"="+node.Addr)
 		}
 	}
 	return out
@@ -160,7 +160,7 @@
 // Sockets returns how many descriptors the node may take beside those of its runtime.
 func (c *Control) Sockets() int {
 	way := c.Link()
-	return way.Sockets() + c.MaxSessions + stream.SpareConns + AdminConns + spareSockets
+	return way.Descriptors() + c.MaxSessions + stream.SpareConns + AdminConns + spareSockets
 }
 
 // AdminConns is how many connections the admin endpoint of a control node has at a time.
--- a/internal/config/control_test.go
+++ b/internal/config/control_test.go
@@ -40,7 +40,7 @@
 		}
 	}
 	way := least.Link()
-	if way.Listen != "127.0.0.1:12" || !cmp.Equal(way.Boxes, []string{"c1=127.0.0.1:11", "c3=127.0.0.1:13"}) {
+	if way.Listen != "127.0.0.1:12" || !cmp.Equal(way.Servers, []string{"c1=127.0.0.1:11", "c3=127.0.0.1:13"}) {
 		t.Errorf("%+v", way)
 	}
 	if least.Addr("c3") != "127.0.0.1:13" || least.Addr("c9") != "" || !cmp.Equal(least.Names(), []string{"c1", "c2", "c3"}) {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -70,7 +70,7 @@
 	if u.Listen != "" {
 		parts = append(parts, &u.MaxConns)
 	}
-	if len(u.Below) > 0 {
+	if len(u.DownstreamServers) > 0 {
 		parts = append(parts, &u.MaxCalls)
 	}
 	want := 0
@@ -99,7 +99,7 @@
 		}
 		u.Listen = net.JoinHostPort(host, u.Listen[1:])
 	}
-	for _, a := range slices.Concat([]string{u.Listen, o.Store.Redis}, u.Below, o.Fleet.TrialCalls) {
+	for _, a := range slices.Concat([]string{u.Listen, o.Store.Redis}, u.DownstreamServers, o.Fleet.TrialCalls) {
 		if a == "" {
 			continue
 		}
@@ -114,9 +114,9 @@
 		return err
 	}
 	if o.Fleet.TakeOver { // what keys are claimed by does not wait behind what the fleet settles
-		o.Ledger.Peers.Lines = 2
+		o.Ledger.Peers.ConnsPerServer = 2
 		if o.Kept.Bytes > 0 { // nor does what homes are asked wait behind claims
-			o.Ledger.Peers.Lines = 3
+			o.Ledger.Peers.ConnsPerServer = 3
 		}
 	}
 	switch {
@@ -130,9 +130,9 @@
 		return errors.New("fleet.dir is ledger.dir; each needs a directory of its own")
 	case o.Fleet.TakeOver && o.Store.Redis != "":
 		return errors.New("fleet.take_over and store.redis are two places for the same keys: set one")
-	case len(o.Fleet.TrialCalls) > 0 && len(u.Below) > 0:
+	case len(o.Fleet.TrialCalls) > 0 && len(u.DownstreamServers) > 0:
 		return errors.New("fleet.trial_calls are places like the platform's index, and uwsgi.below takes its place: set one")
-	case !strings.HasPrefix(u.Prefix, "/"):
+	case !strings.HasPrefix(u.PathPrefix, "/"):
 		return errors.New("uwsgi.prefix does not begin with a slash")
 	case u.MaxBody < 1 || u.MaxBody > 1<<20:
 		return fmt.Errorf("uwsgi.max_body is %d", u.MaxBody)
@@ -140,13 +140,13 @@
 		return fmt.Errorf("uwsgi.max_conns is %d, 1 to 200", u.MaxConns)
 	case u.MaxCalls < 1 || u.MaxCalls > 150:
 		return fmt.Errorf("uwsgi.max_calls is %d, 1 to 150", u.MaxCalls)
-	case u.ReadMs < 1 || u.ReadMs > 60000:
-		return fmt.Errorf("uwsgi.read_ms is %d", u.ReadMs)
-	case !(u.HeldKB > 0 && u.HeldKB < 2000):
-		return fmt.Errorf("uwsgi.held_kb is %v", u.HeldKB)
+	case u.ReadTimeoutMs < 1 || u.ReadTimeoutMs > 60000:
+		return fmt.Errorf("uwsgi.read_ms is %d", u.ReadTimeoutMs)
+	case !(u.DefaultMemoryKB > 0 && u.DefaultMemoryKB < 2000):
+		return fmt.Errorf("uwsgi.held_kb is %v", u.DefaultMemoryKB)
 	case o.Store.TimeoutMs < 1 || o.Store.TimeoutMs > 5000:
 		return fmt.Errorf("store.timeout_ms is %d", o.Store.TimeoutMs)
-	case len(u.Below) > 0 && (u.Vars.Budget == "" || u.Vars.Token == ""):
+	case len(u.DownstreamServers) > 0 && (u.Vars.Deadline == "" || u.Vars.Token == ""):
 		return errors.New("uwsgi.below needs the names of vars.deadline and vars.token")
 	}
 	return nil
--- a/internal/core/window_test.go
+++ b/internal/core/window_test.go
@@ -185,7 +185,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := sock.NewServer(listener, 8, &sock.Budget{Peer: 1 << 18, All: 1 << 20},
+	server := sock.NewServer(listener, 8, &sock.Budget{PerPeer: 1 << 18, Total: 1 << 20},
 		jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler)).Handle)
 	go server.Serve()
 	defer server.Stop(time.Second)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -241,7 +241,7 @@
 
 // readReply reads one HTTP/1.1 reply and discards its body. keep reports whether the connection may be reused.
 func readReply(in *bufio.Reader) (status int, keep bool, err error) {
-	line, err := sock.Line(in)
+	line, err := sock.ReadLine(in)
 	if err != nil {
 		return 0, false, err
 	}
@@ -253,7 +253,7 @@
 	}
 	keep, size := line[7] == '1', 0
 	for {
-		line, err := sock.Line(in)
+		line, err := sock.ReadLine(in)
 		if err != nil {
 			return 0, false, err
 		}
--- a/internal/export/export.go
+++ b/internal/export/export.go
@@ -29,7 +29,7 @@
 
 // Headers that identify a batch, in addition to its own contents.
 const (
-	HeaderBox    = "Ledger-Box"
+	HeaderServer = "Ledger-Box"
 	HeaderLedger = "Ledger-Id"
 	HeaderSeq    = "Ledger-Seq"
 	HeaderHash   = "Ledger-Hash"
@@ -100,33 +100,33 @@
 		}
 	}
 	if o.Cert != "" {
-		pair, err := LoadPair(o.Cert, o.Key)
+		pair, err := LoadKeyPair(o.Cert, o.Key)
 		if err != nil {
 			return nil, fmt.Errorf("ledger.collector.cert: %w", err)
 		}
-		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Get() }
+		config.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Certificate() }
 	}
 	return config, nil
 }
 
-// Pair is a certificate and its key, reloaded when the certificate file changes.
-type Pair struct {
+// KeyPair is a certificate and its key, reloaded when the certificate file changes.
+type KeyPair struct {
 	cert, key string
 	mu        sync.Mutex
 	modified  time.Time        // modification time of the loaded certificate file
 	loaded    *tls.Certificate // the last one loaded
 }
 
-// LoadPair loads a certificate and its key from files.
-func LoadPair(cert, key string) (*Pair, error) {
-	p := &Pair{cert: cert, key: key}
-	_, err := p.Get()
+// LoadKeyPair loads a certificate and its key from files.
+func LoadKeyPair(cert, key string) (*KeyPair, error) {
+	p := &KeyPair{cert: cert, key: key}
+	_, err := p.Certificate()
 	return p, err
 }
 
-// Get returns the certificate, reloaded if its file has changed. If the reload fails, the last certificate stays in
+// Certificate returns the certificate, reloaded if its file has changed. If the reload fails, the last certificate stays in
 // use.
-func (p *Pair) Get() (*tls.Certificate, error) {
+func (p *KeyPair) Certificate() (*tls.Certificate, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	info, err := os.Stat(p.cert)
@@ -222,8 +222,8 @@
 	return max(e.backoff.NextBackOff(), retryDelay, time.Millisecond)
 }
 
-// ErrCollector reports a response that does not acknowledge the batch.
-var ErrCollector = errors.New("not acknowledged")
+// ErrNotAcknowledged reports a response that does not acknowledge the batch.
+var ErrNotAcknowledged = errors.New("not acknowledged")
 
 // send sends a batch once. It succeeds only if the response names this very batch. retryDelay is the delay that the
 // collector requests with Retry-After.
@@ -240,7 +240,7 @@
 	}
 	header := req.Header
 	header.Set("Content-Type", "application/cbor")
-	header.Set(HeaderBox, url.QueryEscape(batch.Box))
+	header.Set(HeaderServer, url.QueryEscape(batch.Box))
 	header.Set(HeaderLedger, batch.Ledger.String())
 	header.Set(HeaderSeq, strconv.FormatUint(s.Seq, 10))
 	header.Set(HeaderHash, s.Hash.String())
@@ -256,7 +256,7 @@
 	answer := gjson.ParseBytes(text)
 	if res.StatusCode != http.StatusOK || len(text) > maxResponse || !gjson.ValidBytes(text) || answer.Get("box").String() != batch.Box ||
 		answer.Get("ledger").String() != batch.Ledger.String() || answer.Get("seq").Uint() != s.Seq || answer.Get("hash").String() != s.Hash.String() {
-		return retryDelay, fmt.Errorf("%w: status %d, %d bytes", ErrCollector, res.StatusCode, len(text))
+		return retryDelay, fmt.Errorf("%w: status %d, %d bytes", ErrNotAcknowledged, res.StatusCode, len(text))
 	}
 	return 0, nil
 }
@@ -272,8 +272,8 @@
 	return 0
 }
 
-// Answer returns the body of a response by which a collector acknowledges a batch.
-func Answer(b *ledger.Batch, hash ledger.Hash) []byte {
+// AcknowledgementBody returns the body of a response by which a collector acknowledges a batch.
+func AcknowledgementBody(b *ledger.Batch, hash ledger.Hash) []byte {
 	text, err := json.Marshal(map[string]any{"box": b.Box, "ledger": b.Ledger, "seq": b.Seq, "hash": hash})
 	if err != nil { // cannot fail: strings and a number
 		panic(err)
--- a/internal/export/export_test.go
+++ b/internal/export/export_test.go
@@ -106,7 +106,7 @@
 }
 
 func good(b *ledger.Batch, h ledger.Hash) *http.Response {
-	return response(200, bytes.NewReader(Answer(b, h)))
+	return response(200, bytes.NewReader(AcknowledgementBody(b, h)))
 }
 
 // endless is a response body that never ends.
@@ -124,13 +124,13 @@
 	}{
 		"cut": {func(*ledger.Batch, ledger.Hash) *http.Response { return nil }, 0},
 		"redirect": {func(b *ledger.Batch, h ledger.Hash) *http.Response {
-			return response(302, bytes.NewReader(Answer(b, h)), "Location", "/x")
+			return response(302, bytes.NewReader(AcknowledgementBody(b, h)), "Location", "/x")
 		}, 0},
 		"500": {func(b *ledger.Batch, h ledger.Hash) *http.Response {
-			return response(500, bytes.NewReader(Answer(b, h)))
+			return response(500, bytes.NewReader(AcknowledgementBody(b, h)))
 		}, 0},
 		"conflict": {func(b *ledger.Batch, h ledger.Hash) *http.Response {
-			return response(409, bytes.NewReader(Answer(b, h)))
+			return response(409, bytes.NewReader(AcknowledgementBody(b, h)))
 		}, 0},
 		"garbage":      {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("ok")) }, 0},
 		"empty":        {func(*ledger.Batch, ledger.Hash) *http.Response { return response(200, strings.NewReader("")) }, 0},
@@ -214,7 +214,7 @@
 			t.Error(err)
 			return
 		}
-		w.Write(Answer(b, ledger.SumOf(body)))
+		w.Write(AcknowledgementBody(b, ledger.SumOf(body)))
 	}))
 	server.TLS = &tls.Config{Certificates: []tls.Certificate{*serverCert}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool}
 	server.Config.ErrorLog = slog.NewLogLogger(slog.DiscardHandler, slog.LevelError)
--- a/internal/fleet/controlnode/tier_test.go
+++ b/internal/fleet/controlnode/tier_test.go
@@ -164,7 +164,7 @@
 	for _, other := range n.tier.nodes {
 		names = append(names, other.name)
 		if other != n {
-			options.Boxes = append(options.Boxes, other.name+"="+other.addr)
+			options.Servers = append(options.Servers, other.name+"="+other.addr)
 		}
 	}
 	var err error
@@ -174,7 +174,7 @@
 	n.node = controlnode.New(controlnode.Options{Name: n.name, Members: names, MaxSessions: 64, OpensPerSecond: 100, OpensBurst: 100, MaxSnapshots: 4, DrainPerSecond: 100}, n.tier.log)
 	part := driver.Defaults()
 	part.Dir, part.Zone, part.Voters, part.Members, part.DrainMs = n.dir, "z-"+n.name, len(names), names, 100
-	if n.driver, err = driver.New(part, n.name, n.addr, options.Others(), n.link, n.node, n.tier.log, n.node.Modules()...); err != nil {
+	if n.driver, err = driver.New(part, n.name, n.addr, options.Peers(), n.link, n.node, n.tier.log, n.node.Modules()...); err != nil {
 		t.Fatal(err)
 	}
 	between, err := n.link.Listen()
--- a/internal/fleet/desk/heirs.go
+++ b/internal/fleet/desk/heirs.go
@@ -35,7 +35,7 @@
 		return
 	}
 	active := &poolTakeover{keysByHandle: map[string]hand.Asked{}}
-	var left []pool.Left
+	var left []pool.UnfinishedRun
 	cursor, longest := ^uint64(0), time.Duration(0)
 	for _, key := range probe.Keys {
 		request, ok := d.machine.Piece(d.now(), key.Key)
@@ -47,7 +47,7 @@
 			continue
 		}
 		active.keysByHandle[key.Handle] = key
-		left = append(left, pool.Left{Handle: key.Handle, Class: key.Key.Class, Body: request.Body, Quiet: !key.Alone})
+		left = append(left, pool.UnfinishedRun{Handle: key.Handle, Class: key.Key.Class, Body: request.Body, ListenOnly: !key.Alone})
 		cursor, longest = min(cursor, key.Cursor), max(longest, request.Due)
 	}
 	if len(left) == 0 {
@@ -62,16 +62,16 @@
 }
 
 // followPool runs one link to a lost process's pool.
-func (d *Desk) followPool(ctx context.Context, probe hand.Probe, active *poolTakeover, cursor uint64, left []pool.Left) {
+func (d *Desk) followPool(ctx context.Context, probe hand.Probe, active *poolTakeover, cursor uint64, left []pool.UnfinishedRun) {
 	defer active.stop()
 	select { // a random delay, because the other replicas of its requests connect at the same moment
 	case <-time.After(time.Duration(rand.Int64N(int64(tickInterval)))):
 	case <-ctx.Done():
 	}
-	var link *pool.Heir
-	err := pool.Inherit(ctx, probe.Pool, cursor, left, func(connected *pool.Heir) { link = connected }, func(notice pool.Came) {
+	var link *pool.SuccessorLink
+	err := pool.TakeOver(ctx, probe.Pool, cursor, left, func(connected *pool.SuccessorLink) { link = connected }, func(notice pool.RunEvent) {
 		key := active.keysByHandle[notice.Handle].Key
-		if notice.Call {
+		if notice.IsCall {
 			d.call(ctx, link, notice, key.Class)
 			return
 		}
@@ -99,7 +99,7 @@
 }
 
 // call makes the downstream call that a run waits for.
-func (d *Desk) call(ctx context.Context, link *pool.Heir, notice pool.Came, class string) {
+func (d *Desk) call(ctx context.Context, link *pool.SuccessorLink, notice pool.RunEvent, class string) {
 	patience := time.Second
 	if end, ok := ctx.Deadline(); ok {
 		patience = min(patience, time.Until(end))
@@ -116,12 +116,12 @@
 
 // waiting is the call that a run waits for.
 type waiting struct {
-	link   *pool.Heir
+	link   *pool.SuccessorLink
 	number uint64
 }
 
 // add records the call that a run waits for, and returns its number.
-func (w *callWaits) add(handle string, link *pool.Heir) uint64 {
+func (w *callWaits) add(handle string, link *pool.SuccessorLink) uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.byHandle == nil {
@@ -134,7 +134,7 @@
 
 // finish returns the link of the run that waits for a call that has ended; nil = no run does, or it waits for another
 // call.
-func (w *callWaits) finish(handle string, number uint64) *pool.Heir {
+func (w *callWaits) finish(handle string, number uint64) *pool.SuccessorLink {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	waiting := w.byHandle[handle]
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -53,7 +53,7 @@
 type Driver struct {
 	opt           Options
 	self          agree.Member
-	joinTargets   []link.Box        // servers of the configuration, asked in turn to admit this one
+	joinTargets   []link.Peer       // servers of the configuration, asked in turn to admit this one
 	addrOverrides map[string]string // addresses by server name that replace those of the replicated state
 	link          *link.Link
 	process       Body
@@ -91,7 +91,7 @@
 
 // New opens the fleet's log of a server. addr is where other servers reach it. The modules have to be new; the driver
 // owns them from here on.
-func New(opt Options, name, addr string, joinTargets []link.Box, l *link.Link, process Body, log *slog.Logger, modules ...Module) (*Driver, error) {
+func New(opt Options, name, addr string, joinTargets []link.Peer, l *link.Link, process Body, log *slog.Logger, modules ...Module) (*Driver, error) {
 	dir := wal.Dir(opt.Dir)
 	if err := dir.Make(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -48,7 +48,7 @@
 	s.link = l
 	o := Defaults()
 	o.Dir, o.Zone, o.DrainMs = s.dir, s.zone, 300
-	d, err := New(o, s.name, s.addr, (&link.Options{Boxes: s.others}).Others(), l, &s.process, log)
+	d, err := New(o, s.name, s.addr, (&link.Options{Servers: s.others}).Peers(), l, &s.process, log)
 	if err != nil {
 		s.t.Fatal(err)
 	}
--- a/internal/fleet/driver/line.go
+++ b/internal/fleet/driver/line.go
@@ -124,7 +124,7 @@
 }
 
 func (s *sender) post(ctx context.Context, c *link.Client, path string, body []byte) bool {
-	ctx, stop := context.WithTimeout(ctx, link.Within)
+	ctx, stop := context.WithTimeout(ctx, link.RequestTimeout)
 	defer stop()
 	_, err := c.Post(ctx, path, body)
 	return err == nil
--- a/internal/fleet/stream/server.go
+++ b/internal/fleet/stream/server.go
@@ -48,7 +48,7 @@
 			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteWithin},
 		ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug)}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
-	listener = meteredListener{link.Limit(listener, s.MaxSessions+SpareConns), s.Meter}
+	listener = meteredListener{link.LimitListener(listener, s.MaxSessions+SpareConns), s.Meter}
 	if s.TLS == nil {
 		return server.Serve(listener)
 	}
--- a/internal/index/index.go
+++ b/internal/index/index.go
@@ -280,7 +280,7 @@
 // readReply reads one reply, which does not contain the call's number. NOBODY maps to Moot: the run is over and its
 // own end follows.
 func readReply(in *bufio.Reader) (reply core.CallEnded, err error) {
-	line, err := sock.Line(in)
+	line, err := sock.ReadLine(in)
 	if err != nil {
 		return reply, err
 	}
--- a/internal/jsonrpc/endings_test.go
+++ b/internal/jsonrpc/endings_test.go
@@ -33,7 +33,7 @@
 	var servers sock.Servers
 	w := scenario.NewWorld(t, site, false, func(w *scenario.World) {
 		f := jsonrpc.New(&site, w.Core, slog.New(slog.DiscardHandler))
-		servers = sock.Servers{sock.NewServer(l, 64, &sock.Budget{Peer: 1 << 18, All: 1 << 20}, func(c net.Conn, q *sock.WriteQueue) {
+		servers = sock.Servers{sock.NewServer(l, 64, &sock.Budget{PerPeer: 1 << 18, Total: 1 << 20}, func(c net.Conn, q *sock.WriteQueue) {
 			if gate != nil {
 				<-gate
 			}
--- a/internal/jsonrpc/front.go
+++ b/internal/jsonrpc/front.go
@@ -79,7 +79,7 @@
 			if len(line) > 0 {
 				f.handleLine(s, line)
 			}
-		case errors.Is(err, sock.ErrLong):
+		case errors.Is(err, sock.ErrLineTooLong):
 			f.badMessage(s, message{}, &requestError{badRequest, err.Error()})
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			s.closeWhenQuiet(closeTimeLimit)
--- a/internal/jsonrpc/session.go
+++ b/internal/jsonrpc/session.go
@@ -91,7 +91,7 @@
 // wake has a waiting reader check again whether it is to close the connection. The caller holds the lock.
 func (s *session) wake() {
 	if s.waiting {
-		s.outbound.Wake()
+		s.outbound.WakeReader()
 	}
 }
 
@@ -123,7 +123,7 @@
 		s.source.NoWait = noWait
 		s.waiting = !noWait
 		if !noWait {
-			s.outbound.Wait(deadline) // a wake after this ends the wait at once
+			s.outbound.SetReadDeadline(deadline) // a wake after this ends the wait at once
 		}
 		s.mu.Unlock()
 		_, err := s.in.Peek(s.in.Buffered() + 1)
@@ -132,7 +132,7 @@
 		s.source.NoWait = false
 		why := s.closeDue()
 		timedOut := errors.Is(err, os.ErrDeadlineExceeded)
-		closes := noWait && timedOut && why != "" && s.outbound.CloseIfQuiet()
+		closes := noWait && timedOut && why != "" && s.outbound.CloseIfIdle()
 		if closes {
 			s.closedFor = why
 		}
@@ -164,11 +164,11 @@
 		}
 		buffered, _ := s.in.Peek(s.in.Buffered())
 		if bytes.IndexByte(buffered, '\n') >= 0 {
-			return sock.Line(s.in)
+			return sock.ReadLine(s.in)
 		}
 		if len(buffered) == s.in.Size() {
 			s.in.Discard(len(buffered))
-			return nil, fmt.Errorf("%w: over %d bytes", sock.ErrLong, s.in.Size())
+			return nil, fmt.Errorf("%w: over %d bytes", sock.ErrLineTooLong, s.in.Size())
 		}
 		if err := s.await(s.lineDeadline(deadline)); err != nil {
 			return nil, err
@@ -216,7 +216,7 @@
 			return
 		case <-s.answered:
 		case <-time.After(interval):
-			if sock.Broken(s.conn) {
+			if sock.PeerGone(s.conn) {
 				return
 			}
 		}
@@ -321,7 +321,7 @@
 }
 
 // unreadBytes returns the number of received bytes that were not read as messages.
-func (s *session) unreadBytes() int { return s.in.Buffered() + sock.Unread(s.conn) }
+func (s *session) unreadBytes() int { return s.in.Buffered() + sock.UnreadBytes(s.conn) }
 
 // unansweredRequests returns the number of unanswered requests and checks and up to maxLoggedIDs handles of such
 // requests.
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -28,13 +28,13 @@
 
 // Options configure where a server listens for the others and which others there are.
 type Options struct {
-	Listen string   `toml:"listen"`
-	Boxes  []string `toml:"boxes"` // "name=host:port"
-	CA     string   `toml:"ca"`
-	Cert   string   `toml:"cert"`
-	Key    string   `toml:"key"`
-	// Lines is the number of connections that each server has to each other one; 0 means one.
-	Lines int `toml:"-"`
+	Listen  string   `toml:"listen"`
+	Servers []string `toml:"boxes"` // "name=host:port"
+	CA      string   `toml:"ca"`
+	Cert    string   `toml:"cert"`
+	Key     string   `toml:"key"`
+	// ConnsPerServer is the number of connections that each server has to each other one; 0 means one.
+	ConnsPerServer int `toml:"-"`
 }
 
 const (
@@ -42,56 +42,56 @@
 	operatorConns  = 8       // connections for operators, beside those of the servers
 	MaxAnswer      = 1 << 20 // bytes of a response
 	maxHeaderBytes = 8 << 10 // bytes of the headers
-	// Within bounds the time to read a request and, at callers, the wait for a response.
-	Within = 5 * time.Second
+	// RequestTimeout bounds the time to read a request and, at callers, the wait for a response.
+	RequestTimeout = 5 * time.Second
 )
 
-// ErrAnswer reports a response that is too long or whose status is not 200.
-var ErrAnswer = errors.New("unexpected response")
+// ErrUnexpectedResponse reports a response that is too long or whose status is not 200.
+var ErrUnexpectedResponse = errors.New("unexpected response")
 
 // ErrNotFound reports a response of status 404: the server does not have what was asked for.
-var ErrNotFound = fmt.Errorf("not found: %w", ErrAnswer)
+var ErrNotFound = fmt.Errorf("not found: %w", ErrUnexpectedResponse)
 
-// Box is another server and the address on which it listens.
-type Box struct{ Name, Addr string }
+// Peer is another server and the address on which it listens.
+type Peer struct{ Name, Addr string }
 
-// Others returns the servers that the options name.
-func (o *Options) Others() []Box {
-	out := make([]Box, len(o.Boxes))
-	for i, b := range o.Boxes {
+// Peers returns the servers that the options name.
+func (o *Options) Peers() []Peer {
+	out := make([]Peer, len(o.Servers))
+	for i, b := range o.Servers {
 		out[i].Name, out[i].Addr, _ = strings.Cut(b, "=")
 	}
 	return out
 }
 
-func (o *Options) connsPerServer() int { return max(1, o.Lines) }
+func (o *Options) connsPerServer() int { return max(1, o.ConnsPerServer) }
 
 // maxConns bounds the connections that others have to this server: those of each server, one more of each that is
 // closing while the next one opens, and those of operators.
-func (o *Options) maxConns() int { return (o.connsPerServer()+1)*len(o.Boxes) + operatorConns }
+func (o *Options) maxConns() int { return (o.connsPerServer()+1)*len(o.Servers) + operatorConns }
 
-// Sockets returns how many descriptors the link may use in both directions; 0 if it is off.
-func (o *Options) Sockets() int {
+// Descriptors returns how many descriptors the link may use in both directions; 0 if it is off.
+func (o *Options) Descriptors() int {
 	if o.Listen == "" {
 		return 0
 	}
-	return 1 + o.maxConns() + o.connsPerServer()*len(o.Boxes)
+	return 1 + o.maxConns() + o.connsPerServer()*len(o.Servers)
 }
 
 // Check validates the options. Its errors name the keys as those of table.
 func (o *Options) Check(table string) error {
 	if o.Listen == "" {
-		if len(o.Boxes) > 0 {
+		if len(o.Servers) > 0 {
 			return fmt.Errorf("%s.boxes needs %s.listen", table, table)
 		}
 		return nil
 	}
-	if len(o.Boxes) > maxBoxes {
-		return fmt.Errorf("%s.boxes: %d servers, at most %d", table, len(o.Boxes), maxBoxes)
+	if len(o.Servers) > maxBoxes {
+		return fmt.Errorf("%s.boxes: %d servers, at most %d", table, len(o.Servers), maxBoxes)
 	}
 	loopbackCount := 0
 	addrs := []string{o.Listen}
-	for _, b := range o.Boxes {
+	for _, b := range o.Servers {
 		name, addr, found := strings.Cut(b, "=")
 		if !found || name == "" {
 			return fmt.Errorf("%s.boxes: %q is not name=host:port", table, b)
@@ -134,13 +134,13 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return nil, fmt.Errorf("ca: no certificate in %s", o.CA)
 	}
-	pair, err := export.LoadPair(o.Cert, o.Key)
+	pair, err := export.LoadKeyPair(o.Cert, o.Key)
 	if err != nil {
 		return nil, fmt.Errorf("cert: %w", err)
 	}
 	return &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots, ClientCAs: roots, ClientAuth: tls.RequireAndVerifyClientCert,
-		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.Get() },
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Get() }}, nil
+		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return pair.Certificate() },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return pair.Certificate() }}, nil
 }
 
 // Observer holds hooks on the traffic of a link, for measurements. Either may be nil.
@@ -183,10 +183,10 @@
 // Serve serves h on listener until ctx ends, on a bounded number of connections. TLS is the outermost layer: a handler
 // finds the caller's certificate in Request.TLS.
 func (l *Link) Serve(ctx context.Context, listener net.Listener, h http.Handler) {
-	s := &http.Server{Handler: h, ReadHeaderTimeout: Within, ReadTimeout: Within, WriteTimeout: 2 * Within, IdleTimeout: time.Minute,
+	s := &http.Server{Handler: h, ReadHeaderTimeout: RequestTimeout, ReadTimeout: RequestTimeout, WriteTimeout: 2 * RequestTimeout, IdleTimeout: time.Minute,
 		MaxHeaderBytes: maxHeaderBytes, ErrorLog: log.New(serverErrors{l.log}, "", 0)}
 	defer context.AfterFunc(ctx, func() { s.Close() })()
-	listener = Limit(listener, l.opt.maxConns())
+	listener = LimitListener(listener, l.opt.maxConns())
 	if l.tls != nil {
 		listener = tls.NewListener(listener, l.tls)
 	}
@@ -202,8 +202,8 @@
 	return len(line), nil
 }
 
-// Limit returns a listener that keeps at most limit connections open and closes further ones at once.
-func Limit(inner net.Listener, limit int) net.Listener {
+// LimitListener returns a listener that keeps at most limit connections open and closes further ones at once.
+func LimitListener(inner net.Listener, limit int) net.Listener {
 	return &limitListener{Listener: inner, slots: make(chan struct{}, limit)}
 }
 
@@ -321,7 +321,7 @@
 		return nil, fmt.Errorf("%s: %w", path, ErrNotFound)
 	}
 	if len(text) > MaxAnswer || res.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("%s: status %d, %d bytes: %w", path, res.StatusCode, len(text), ErrAnswer)
+		return nil, fmt.Errorf("%s: status %d, %d bytes: %w", path, res.StatusCode, len(text), ErrUnexpectedResponse)
 	}
 	return text, nil
 }
--- a/internal/measure/hollow/server.go
+++ b/internal/measure/hollow/server.go
@@ -90,14 +90,14 @@
 // doors to be let in.
 func (s *Server) Start(addresses map[string]string, doors []string) error {
 	options := link.Options{Listen: s.Address()}
-	var others []link.Box
+	var others []link.Peer
 	for name, address := range addresses {
 		if name == s.config.Name {
 			continue
 		}
-		options.Boxes = append(options.Boxes, name+"="+address)
+		options.Servers = append(options.Servers, name+"="+address)
 		if slices.Contains(doors, name) {
-			others = append(others, link.Box{Name: name, Addr: address})
+			others = append(others, link.Peer{Name: name, Addr: address})
 		}
 	}
 	if err := options.Check("link"); err != nil {
--- a/internal/peers/asked_test.go
+++ b/internal/peers/asked_test.go
@@ -68,7 +68,7 @@
 		return l
 	}
 	asked := options("asked")
-	asked.Boxes = []string{"asking=127.0.0.1:1"}
+	asked.Servers = []string{"asking=127.0.0.1:1"}
 	askedLink := newLink(asked)
 	listener, err := askedLink.Listen()
 	if err != nil {
@@ -88,7 +88,7 @@
 		}
 	})
 	asking := options("asking")
-	asking.Boxes = []string{"asked=" + listener.Addr().(*net.TCPAddr).String()}
+	asking.Servers = []string{"asked=" + listener.Addr().(*net.TCPAddr).String()}
 	return peers.New(asking, "asking", newStubLedger(0), newLink(asking), log)
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -98,7 +98,7 @@
 }
 
 func (p *Peers) peerNames() (names []string) {
-	for _, peer := range p.options.Others() {
+	for _, peer := range p.options.Peers() {
 		names = append(names, peer.Name)
 	}
 	return names
@@ -119,7 +119,7 @@
 // Round asks each peer once, all concurrently.
 func (p *Peers) Round(ctx context.Context) {
 	var requests sync.WaitGroup
-	for _, peer := range p.options.Others() {
+	for _, peer := range p.options.Peers() {
 		requests.Go(func() {
 			err := p.askPeer(ctx, peer.Name, peer.Addr)
 			p.mu.Lock()
@@ -135,7 +135,7 @@
 
 // askPeer updates this server's table with what a peer reports about itself.
 func (p *Peers) askPeer(ctx context.Context, name, addr string) error {
-	ctx, cancel := context.WithTimeout(ctx, 2*link.Within)
+	ctx, cancel := context.WithTimeout(ctx, 2*link.RequestTimeout)
 	defer cancel()
 	client := p.link.Dial(name, addr)
 	defer client.Close()
@@ -171,7 +171,7 @@
 
 // Statement asks server self, at the address in its own settings, for the fleet's statement of a period.
 func Statement(ctx context.Context, opt Options, self, period string) (s ledger.Statement, err error) {
-	ctx, cancel := context.WithTimeout(ctx, link.Within)
+	ctx, cancel := context.WithTimeout(ctx, link.RequestTimeout)
 	defer cancel()
 	peerLink, err := link.New(opt.Options, slog.New(slog.DiscardHandler))
 	if err != nil {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -132,7 +132,7 @@
 	for _, server := range servers[:3] {
 		for _, other := range servers {
 			if other != server {
-				server.peers.options.Boxes = append(server.peers.options.Boxes, other.name+"="+other.addr)
+				server.peers.options.Servers = append(server.peers.options.Servers, other.name+"="+other.addr)
 			}
 		}
 		server.peers.Round(t.Context())
@@ -153,7 +153,7 @@
 	}
 	stranger := newTestServer(t, "n2", 7)
 	stranger.join(t, "127.0.0.1:0", optionsFor("stranger"))
-	servers[0].peers.options.Boxes = []string{"n2=" + stranger.addr}
+	servers[0].peers.options.Servers = []string{"n2=" + stranger.addr}
 	servers[0].peers.Round(t.Context())
 	if n, _ := servers[0].total(t); n != 1321 {
 		t.Errorf("a server of another authority was accepted: %d requests", n)
@@ -199,7 +199,7 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	n1.join(t, "127.0.0.1:0", Options{Options: link.Options{Boxes: []string{"n2=" + n2.addr, "n3=" + l.Addr().String()}}})
+	n1.join(t, "127.0.0.1:0", Options{Options: link.Options{Servers: []string{"n2=" + n2.addr, "n3=" + l.Addr().String()}}})
 	for _, answer := range []string{"garbage", "redirect", "large", "empty", "cut", "n2's"} {
 		mode.Store(answer)
 		n1.peers.Round(t.Context())
--- a/internal/pool/crossing_test.go
+++ b/internal/pool/crossing_test.go
@@ -29,7 +29,7 @@
 	k := &maintainedLink{pool.New(listener.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler)), t, listener, events}
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { k.Keep(ctx); close(done) }()
+	go func() { k.Maintain(ctx); close(done) }()
 	t.Cleanup(func() { stop(); <-done })
 	return k
 }
--- a/internal/pool/heir.go
+++ b/internal/pool/heir.go
@@ -19,42 +19,42 @@
 // without a notice.
 var ErrGap = errors.New("notices are missing")
 
-// Left is a run that a failed process may have requested from its worker pool.
-type Left struct {
+// UnfinishedRun is a run that a failed process may have requested from its worker pool.
+type UnfinishedRun struct {
 	Handle, Class string
 	Body          []byte
-	Quiet         bool // another pool may have run it: its end is reported, but it is not requested again
+	ListenOnly    bool // another pool may have run it: its end is reported, but it is not requested again
 }
 
-// Came is an event of a run that a successor has taken over: its end, or a call whose reply it waits for.
-type Came struct {
+// RunEvent is an event of a run that a successor has taken over: its end, or a call whose reply it waits for.
+type RunEvent struct {
 	Handle string
-	Call   bool   // the run waits for the reply to a call, to be sent by Reply
+	IsCall bool   // the run waits for the reply to a call, to be sent by Reply
 	OK     bool   // the run completed
 	Body   []byte // of the call, or the result of a completed run
 }
 
-// Heir is a successor's connection to the worker pool of a failed process, on which it finishes that process's open
+// SuccessorLink is a successor's connection to the worker pool of a failed process, on which it finishes that process's open
 // runs. It reads how runs ended and requests those again of which there is no notice. A pool runs a handle only once,
 // however often it is requested, so each run happens exactly once whether or not the failed process had requested it.
-type Heir struct {
+type SuccessorLink struct {
 	outbound  *sock.WriteQueue
-	left      []Left // not requested yet
+	left      []UnfinishedRun // not requested yet
 	mu        sync.Mutex
 	requested map[string]bool // requested and not finished
 	finished  map[string]bool // finished, perhaps before they were requested
 }
 
-// Inherit binds to the pool at addr, from the last notice that the failed process is known to have read. It passes the
+// TakeOver binds to the pool at addr, from the last notice that the failed process is known to have read. It passes the
 // connection to bound and the events of the runs in left to onEvent, until all of them have finished (nil), ctx ends or
 // the connection breaks. Called again after a break it reports the same ends again.
-func Inherit(ctx context.Context, addr string, cursor uint64, left []Left, bound func(*Heir), onEvent func(Came)) error {
+func TakeOver(ctx context.Context, addr string, cursor uint64, left []UnfinishedRun, bound func(*SuccessorLink), onEvent func(RunEvent)) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
-	h := &Heir{outbound: sock.NewWriteQueue(conn), left: left, requested: map[string]bool{}, finished: map[string]bool{}}
+	h := &SuccessorLink{outbound: sock.NewWriteQueue(conn), left: left, requested: map[string]bool{}, finished: map[string]bool{}}
 	defer h.outbound.Kill()
 	defer context.AfterFunc(ctx, h.outbound.Kill)()
 	// A cursor of 0 announces a process that has just started, for which the pool would discard its notices.
@@ -69,7 +69,7 @@
 	finished, caughtUp := 0, false
 	in := bufio.NewReaderSize(conn, maxLine)
 	for finished < len(left) {
-		line, err := sock.Line(in)
+		line, err := sock.ReadLine(in)
 		if err != nil {
 			return err
 		}
@@ -89,11 +89,11 @@
 			h.spawnNext()
 		case !pending[n.handle]:
 		case n.event == "blocked" && caughtUp: // the failed process may already have answered an earlier call
-			onEvent(Came{Handle: n.handle, Call: true, Body: n.body})
+			onEvent(RunEvent{Handle: n.handle, IsCall: true, Body: n.body})
 		case n.event == "finished":
 			delete(pending, n.handle)
 			finished++
-			onEvent(Came{Handle: n.handle, OK: n.fate == "complete", Body: n.body})
+			onEvent(RunEvent{Handle: n.handle, OK: n.fate == "complete", Body: n.body})
 			h.finish(n.handle)
 		}
 	}
@@ -104,7 +104,7 @@
 const catchUpTicket = "heir"
 
 // finish records that a run has finished and requests the next.
-func (h *Heir) finish(handle string) {
+func (h *SuccessorLink) finish(handle string) {
 	h.mu.Lock()
 	wasRequested := h.requested[handle]
 	delete(h.requested, handle)
@@ -116,12 +116,12 @@
 }
 
 // spawnNext requests the runs that have neither finished nor been requested, up to maxPendingSpawns at a time.
-func (h *Heir) spawnNext() {
+func (h *SuccessorLink) spawnNext() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for len(h.left) > 0 && len(h.requested) < maxPendingSpawns {
 		l := h.left[0]
-		if h.left = h.left[1:]; !l.Quiet && !h.finished[l.Handle] {
+		if h.left = h.left[1:]; !l.ListenOnly && !h.finished[l.Handle] {
 			h.requested[l.Handle] = true
 			h.outbound.Send(spawn(l.Handle, l.Class, l.Body)...)
 		}
@@ -129,4 +129,4 @@
 }
 
 // Reply sends a run the reply it waits for. It is safe for concurrent use.
-func (h *Heir) Reply(handle string, body []byte) { h.outbound.Send(supply(handle, body)...) }
+func (h *SuccessorLink) Reply(handle string, body []byte) { h.outbound.Send(supply(handle, body)...) }
--- a/internal/pool/heir_test.go
+++ b/internal/pool/heir_test.go
@@ -63,11 +63,11 @@
 					}
 				}
 			}()
-			var successor *Heir
+			var successor *SuccessorLink
 			events := []string{}
-			err = Inherit(context.Background(), listener.Addr().String(), 7, []Left{{Handle: "a", Class: "book"}, {Handle: "q", Class: "book", Quiet: true}, {Handle: "b", Class: "book"}, {Handle: "c", Class: "book"}},
-				func(h *Heir) { successor = h }, func(e Came) {
-					if e.Call {
+			err = TakeOver(context.Background(), listener.Addr().String(), 7, []UnfinishedRun{{Handle: "a", Class: "book"}, {Handle: "q", Class: "book", ListenOnly: true}, {Handle: "b", Class: "book"}, {Handle: "c", Class: "book"}},
+				func(h *SuccessorLink) { successor = h }, func(e RunEvent) {
+					if e.IsCall {
 						events = append(events, "call", e.Handle, string(e.Body))
 						successor.Reply(e.Handle, []byte("taxi"))
 						return
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -76,9 +76,9 @@
 	}
 }
 
-// Keep keeps the link up until ctx ends. It reconnects without a delay after a link that worked, because runs finish
+// Maintain keeps the link up until ctx ends. It reconnects without a delay after a link that worked, because runs finish
 // unnoticed while the link is down.
-func (l *Link) Keep(ctx context.Context) {
+func (l *Link) Maintain(ctx context.Context) {
 	var backoff sock.Backoff
 	firstNoticeWait := minFirstNoticeWait
 	for ctx.Err() == nil {
@@ -140,7 +140,7 @@
 	conn.SetReadDeadline(time.Now().Add(firstNoticeWait))
 	in := bufio.NewReaderSize(conn, maxLine)
 	for {
-		line, err := sock.Line(in)
+		line, err := sock.ReadLine(in)
 		if err != nil {
 			return bound, err
 		}
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,7 +21,7 @@
 	l := pool.New(listener.Addr, func(e core.Event) { events <- e }, slog.New(slog.DiscardHandler))
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
-	go func() { l.Keep(ctx); close(done) }()
+	go func() { l.Maintain(ctx); close(done) }()
 	expect := func(want ...core.Event) {
 		t.Helper()
 		for _, w := range want {
--- a/internal/pool/run_test.go
+++ b/internal/pool/run_test.go
@@ -55,7 +55,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	done := make(chan bool, 2)
 	go func() { s.Core.Run(ctx); done <- true }()
-	go func() { s.Link.Keep(ctx); done <- true }()
+	go func() { s.Link.Maintain(ctx); done <- true }()
 	t.Cleanup(func() { stop(); <-done; <-done })
 	s.Core.Send(core.SessionOpened{Session: s})
 	p := s.bind(0)
--- a/internal/scenario/world.go
+++ b/internal/scenario/world.go
@@ -117,7 +117,7 @@
 // Front serves connections by handle, as a server does its listener's, and gives what dials it.
 func (w *World) Front(handle func(net.Conn, *sock.WriteQueue)) (dial func() *Peer) {
 	l := &pipes{conns: make(chan net.Conn), closed: make(chan struct{})}
-	s := sock.NewServer(l, 64, &sock.Budget{Peer: 1 << 18, All: 1 << 20}, handle)
+	s := sock.NewServer(l, 64, &sock.Budget{PerPeer: 1 << 18, Total: 1 << 20}, handle)
 	go s.Serve()
 	w.t.Cleanup(func() { s.Stop(time.Second) })
 	return func() *Peer {
--- a/internal/soak/desk_test.go
+++ b/internal/soak/desk_test.go
@@ -32,7 +32,7 @@
 	q := c.draw()
 	on := &connection{name: c.name, conn: conn, over: make(chan struct{})}
 	defer close(on.over)
-	packet := append(uwsgi.Packet("PATH_INFO", "/"+q.class, "CONTENT_LENGTH", strconv.Itoa(len(q.body)), "HTTP_X_STAND", standin.Stands[0],
+	packet := append(uwsgi.EncodeHead("PATH_INFO", "/"+q.class, "CONTENT_LENGTH", strconv.Itoa(len(q.body)), "HTTP_X_STAND", standin.Stands[0],
 		"HTTP_X_BUDGET_MS", strconv.FormatInt(q.budget.Milliseconds(), 10), "HTTP_IDEMPOTENCY_KEY", q.token), q.body...)
 	q.began = time.Now()
 	if _, err := conn.Write(packet); err != nil {
--- a/internal/sock/ending_test.go
+++ b/internal/sock/ending_test.go
@@ -15,7 +15,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(l, limit, &Budget{Peer: 1 << 20, All: 1 << 24, Spare: 1 << 10}, handle)
+	s := NewServer(l, limit, &Budget{PerPeer: 1 << 20, Total: 1 << 24, Guaranteed: 1 << 10}, handle)
 	go s.Serve()
 	t.Cleanup(func() { s.Stop(time.Second) })
 	return s, l.Addr().String()
--- a/internal/sock/lines.go
+++ b/internal/sock/lines.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// ErrLong reports a line that is longer than the limit.
-var ErrLong = errors.New("line too long")
+// ErrLineTooLong reports a line that is longer than the limit.
+var ErrLineTooLong = errors.New("line too long")
 
-// Line reads a line and returns it without its end, LF or CR LF. The result is valid until the next read. A line that
+// ReadLine reads a line and returns it without its end, LF or CR LF. The result is valid until the next read. A line that
 // does not fit in the reader's buffer is an error.
-func Line(r *bufio.Reader) ([]byte, error) {
+func ReadLine(r *bufio.Reader) ([]byte, error) {
 	line, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrLong, r.Size())
+		return nil, fmt.Errorf("%w: over %d bytes", ErrLineTooLong, r.Size())
 	}
 	if err != nil {
 		return nil, err
--- a/internal/sock/listen_test.go
+++ b/internal/sock/listen_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(old, 64, &Budget{Peer: 1 << 10, All: 1 << 20, Spare: 1 << 10}, func(c net.Conn, _ *WriteQueue) {
+	s := NewServer(old, 64, &Budget{PerPeer: 1 << 10, Total: 1 << 20, Guaranteed: 1 << 10}, func(c net.Conn, _ *WriteQueue) {
 		c.Write([]byte("ok"))
 	})
 	queued = dialAll(t, addr, 40) // old does not accept, so its share waits in the queue
--- a/internal/sock/read.go
+++ b/internal/sock/read.go
@@ -77,9 +77,9 @@
 	return empty
 }
 
-// Broken reports whether the peer is known to have closed the connection altogether or reset it. A peer that has closed
+// PeerGone reports whether the peer is known to have closed the connection altogether or reset it. A peer that has closed
 // only its writing half does not count.
-func Broken(conn net.Conn) bool {
+func PeerGone(conn net.Conn) bool {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return true // a pipe has no separate halves
@@ -98,8 +98,8 @@
 	return broken
 }
 
-// Unread returns the number of unread bytes in the receive queue of a connection; 0 if the system does not report it.
-func Unread(conn net.Conn) int {
+// UnreadBytes returns the number of unread bytes in the receive queue of a connection; 0 if the system does not report it.
+func UnreadBytes(conn net.Conn) int {
 	syscallConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
--- a/internal/sock/serve.go
+++ b/internal/sock/serve.go
@@ -94,7 +94,7 @@
 func (s *Server) startConn(conn net.Conn) {
 	s.open.Add(1)
 	q := NewWriteQueue(conn)
-	q.limit, q.budget, q.lingers = s.budget.Peer, s.budget, true
+	q.limit, q.budget, q.lingers = s.budget.PerPeer, s.budget, true
 	s.mu.Lock()
 	s.queues[q] = struct{}{}
 	stopped := s.stopped
--- a/internal/sock/shut_test.go
+++ b/internal/sock/shut_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := NewServer(l, 8, &Budget{Peer: 1 << 20, All: 1 << 24}, handle)
+	s := NewServer(l, 8, &Budget{PerPeer: 1 << 20, Total: 1 << 24}, handle)
 	conns := dialAll(t, l.Addr().String(), 3) // not accepted yet
 	for range conns {
 		c, err := l.Accept()
@@ -128,7 +128,7 @@
 		failures := len(l.errs)
 		mine, theirs := net.Pipe()
 		l.conns <- theirs
-		s := NewServer(l, 4, &Budget{Peer: 1 << 20, All: 1 << 24}, func(_ net.Conn, q *WriteQueue) { q.Send([]byte("ok")) })
+		s := NewServer(l, 4, &Budget{PerPeer: 1 << 20, Total: 1 << 24}, func(_ net.Conn, q *WriteQueue) { q.Send([]byte("ok")) })
 		start := time.Now()
 		go s.Serve()
 		got := make([]byte, 2)
--- a/internal/sock/sock_test.go
+++ b/internal/sock/sock_test.go
@@ -21,7 +21,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				local, _ := net.Pipe()
 				q := NewWriteQueue(local)
-				q.limit, q.budget = 1<<20, &Budget{All: c.all}
+				q.limit, q.budget = 1<<20, &Budget{Total: c.all}
 				start := time.Now()
 				q.Send(make([]byte, c.size))
 				<-q.Done()
@@ -40,7 +40,7 @@
 // Peers that do not read use up the shared budget; a peer within its guaranteed bytes is still served.
 func TestPeersThatDoNotReadDoNotAffectOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		budget := &Budget{All: 100, Spare: 10}
+		budget := &Budget{Total: 100, Guaranteed: 10}
 		newQueue := func() (*WriteQueue, net.Conn) {
 			local, remote := net.Pipe()
 			q := NewWriteQueue(local)
@@ -51,7 +51,7 @@
 		stalled.Send(make([]byte, 100))
 		q, remote := newQueue()
 		q.Send([]byte("a line\n"))
-		if line, err := Line(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
+		if line, err := ReadLine(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
 			t.Errorf("%q, %v", line, err)
 		}
 		if q.Send(make([]byte, 11)) || stalled.Send([]byte("x")) {
@@ -68,7 +68,7 @@
 		q := NewWriteQueue(local)
 		q.Send([]byte("a "), []byte("line\r\n"))
 		q.Close()
-		if line, err := Line(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
+		if line, err := ReadLine(bufio.NewReader(remote)); err != nil || string(line) != "a line" {
 			t.Errorf("%q, %v", line, err)
 		}
 		<-q.Done()
@@ -76,7 +76,7 @@
 }
 
 func TestLineTooLong(t *testing.T) {
-	if _, err := Line(bufio.NewReaderSize(strings.NewReader(strings.Repeat("x", 99)), 16)); !errors.Is(err, ErrLong) {
+	if _, err := ReadLine(bufio.NewReaderSize(strings.NewReader(strings.Repeat("x", 99)), 16)); !errors.Is(err, ErrLineTooLong) {
 		t.Error(err)
 	}
 }
--- a/internal/sock/writequeue.go
+++ b/internal/sock/writequeue.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// ErrFull is the error of a connection that was closed because its peer does not read.
-var ErrFull = errors.New("write queue is full")
+// ErrQueueFull is the error of a connection that was closed because its peer does not read.
+var ErrQueueFull = errors.New("write queue is full")
 
 const (
 	defaultQueueLimit = 1 << 20 // bytes; a Server sets its own limit
@@ -23,9 +23,9 @@
 
 // Budget bounds the bytes queued for writing to the peers of a server.
 type Budget struct {
-	Peer, All int // bytes, for one peer and for all together
-	Spare     int // bytes that each peer may have queued even if the total is used up
-	used      atomic.Int64
+	PerPeer, Total int // bytes, for one peer and for all together
+	Guaranteed     int // bytes that each peer may have queued even if the total is used up
+	used           atomic.Int64
 }
 
 // WriteQueue writes to one connection, in order, from a goroutine that exists only while data is queued. The connection
@@ -66,7 +66,7 @@
 		added += len(part)
 	}
 	if q.size+added > q.limit || q.exceedsBudget(q.size+added, added) {
-		q.err = ErrFull
+		q.err = ErrQueueFull
 		q.kill()
 		return false
 	}
@@ -82,7 +82,7 @@
 // exceedsBudget reports whether added bytes, which bring this queue to size, exceed the budget of all peers together.
 // Peers that do not read may use up that budget; a queue within its guaranteed bytes is still accepted.
 func (q *WriteQueue) exceedsBudget(size, added int) bool {
-	return q.budget != nil && size > q.budget.Spare && q.budget.used.Load()+int64(added) > int64(q.budget.All)
+	return q.budget != nil && size > q.budget.Guaranteed && q.budget.used.Load()+int64(added) > int64(q.budget.Total)
 }
 
 // addSize adds delta to the number of queued bytes. The caller holds the lock.
@@ -148,9 +148,9 @@
 	}
 }
 
-// CloseIfQuiet is Close for the reader of a Server's connection, if no unread data has arrived and nothing is queued
+// CloseIfIdle is Close for the reader of a Server's connection, if no unread data has arrived and nothing is queued
 // for writing. Otherwise it returns false and changes nothing.
-func (q *WriteQueue) CloseIfQuiet() bool {
+func (q *WriteQueue) CloseIfIdle() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.dead || q.closing || q.writing {
@@ -179,9 +179,9 @@
 	}
 }
 
-// Wait sets the time until which the connection's reader waits for data; the zero time is no limit. It has no effect
+// SetReadDeadline sets the time until which the connection's reader waits for data; the zero time is no limit. It has no effect
 // once the connection is closing, when the reader must not wait.
-func (q *WriteQueue) Wait(until time.Time) {
+func (q *WriteQueue) SetReadDeadline(until time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if !q.closing && !q.stopping {
@@ -205,8 +205,8 @@
 	return q.stopping
 }
 
-// Wake ends the current wait of the connection's reader, whose read fails with os.ErrDeadlineExceeded.
-func (q *WriteQueue) Wake() { q.Wait(past) }
+// WakeReader ends the current wait of the connection's reader, whose read fails with os.ErrDeadlineExceeded.
+func (q *WriteQueue) WakeReader() { q.SetReadDeadline(past) }
 
 // halfCloser is a connection whose writing half can be closed alone.
 type halfCloser interface{ CloseWrite() error }
--- a/internal/standin/collector.go
+++ b/internal/standin/collector.go
@@ -87,7 +87,7 @@
 		return
 	}
 	c.mu.Unlock()
-	answer := export.Answer(b, ledger.SumOf(body))
+	answer := export.AcknowledgementBody(b, ledger.SumOf(body))
 	switch fault {
 	case 3: // kept, and the answer is lost
 		panic(http.ErrAbortHandler)
@@ -98,7 +98,7 @@
 	case 5: // another batch's
 		other := *b
 		other.Seq++
-		w.Write(export.Answer(&other, ledger.SumOf(body)))
+		w.Write(export.AcknowledgementBody(&other, ledger.SumOf(body)))
 	case 6:
 		w.Write([]byte("thank you"))
 	case 8: // later than the sender waits
--- a/internal/uwsgi/client.go
+++ b/internal/uwsgi/client.go
@@ -86,14 +86,14 @@
 func (c *Client) do(ctx context.Context, handle, class string, patience time.Duration, body []byte) (control.Outcome, []byte) {
 	number := c.next.Add(1)
 	var dialer net.Dialer
-	conn, err := dialer.DialContext(ctx, "tcp", c.opt.Below[number%uint64(len(c.opt.Below))])
+	conn, err := dialer.DialContext(ctx, "tcp", c.opt.DownstreamServers[number%uint64(len(c.opt.DownstreamServers))])
 	if err != nil {
 		return outcomeOfError(err), nil
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Unix(1, 0)) })()
-	head := Packet("REQUEST_METHOD", "POST", "PATH_INFO", c.opt.Prefix+class, "CONTENT_LENGTH", strconv.Itoa(len(body)),
-		c.opt.Vars.Budget, strconv.FormatInt(max(1, patience.Milliseconds()), 10),
+	head := EncodeHead("REQUEST_METHOD", "POST", "PATH_INFO", c.opt.PathPrefix+class, "CONTENT_LENGTH", strconv.Itoa(len(body)),
+		c.opt.Vars.Deadline, strconv.FormatInt(max(1, patience.Milliseconds()), 10),
 		c.opt.Vars.Token, handle+"."+strconv.FormatUint(number, 10))
 	out := net.Buffers{head, body}
 	if _, err := out.WriteTo(conn); err != nil {
@@ -131,7 +131,7 @@
 func readResponse(in *bufio.Reader) (status int, notRun bool, body []byte, err error) {
 	size := -1
 	for first := true; ; first = false {
-		line, err := sock.Line(in)
+		line, err := sock.ReadLine(in)
 		if err != nil {
 			return 0, false, nil, unexpectedEOF(err)
 		}
--- a/internal/uwsgi/client_test.go
+++ b/internal/uwsgi/client_test.go
@@ -15,7 +15,7 @@
 // newClient returns a client of the server at addr, with two calls at a time, and its events.
 func newClient(addr string) (*uwsgi.Client, chan core.Event) {
 	opt := uwsgi.Defaults()
-	opt.Below, opt.MaxCalls = []string{addr}, 2
+	opt.DownstreamServers, opt.MaxCalls = []string{addr}, 2
 	events := make(chan core.Event, 16)
 	return uwsgi.NewClient(opt, func(e core.Event) { events <- e }), events
 }
@@ -43,7 +43,7 @@
 			client, events := newClient(server.Addr)
 			client.Call("h", 7, "quote", 0, 5*time.Second, false, []byte("body"))
 			p := server.Accept()
-			p.Bytes(string(uwsgi.Packet("REQUEST_METHOD", "POST", "PATH_INFO", "/quote", "CONTENT_LENGTH", "4",
+			p.Bytes(string(uwsgi.EncodeHead("REQUEST_METHOD", "POST", "PATH_INFO", "/quote", "CONTENT_LENGTH", "4",
 				"HTTP_X_BUDGET_MS", "5000", "HTTP_IDEMPOTENCY_KEY", "h.1")) + "body")
 			p.Send(c.reply)
 			p.Close()
--- a/internal/uwsgi/front.go
+++ b/internal/uwsgi/front.go
@@ -60,7 +60,7 @@
 	s.draining = true
 	if drainDeadline := time.Now().Add(left); s.reading && drainDeadline.Before(s.deadline) {
 		s.deadline = drainDeadline
-		s.outbound.Wait(drainDeadline) // the next read reports an error
+		s.outbound.SetReadDeadline(drainDeadline) // the next read reports an error
 	}
 }
 
@@ -73,7 +73,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reading, s.deadline = true, time.Now().Add(limit)
-	s.outbound.Wait(s.deadline)
+	s.outbound.SetReadDeadline(s.deadline)
 }
 
 // endRead ends the reading of the packet and reports whether the server drains.
@@ -81,7 +81,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reading = false
-	s.outbound.Wait(time.Time{})
+	s.outbound.SetReadDeadline(time.Time{})
 	return s.draining
 }
 
@@ -89,7 +89,7 @@
 func (f *Front) Handle(conn net.Conn, outbound *sock.WriteQueue) {
 	arrived := time.Now()
 	s := &session{conn: conn, outbound: outbound}
-	s.beginRead(time.Duration(f.opt.ReadMs) * time.Millisecond)
+	s.beginRead(time.Duration(f.opt.ReadTimeoutMs) * time.Millisecond)
 	f.core.Send(core.SessionOpened{Session: s, Single: true})
 	defer f.core.Send(core.SessionClosed{Session: s})
 	in := bufio.NewReaderSize(conn, 4<<10)
@@ -99,7 +99,7 @@
 		f.answerBadPacket(outbound, err, draining)
 		return
 	}
-	if path := variables.get("PATH_INFO"); path == f.opt.Health && path != "" {
+	if path := variables.get("PATH_INFO"); path == f.opt.HealthPath && path != "" {
 		f.core.Send(core.HealthCheck{Session: s, Reply: reply{outbound}})
 		f.awaitEnd(s, in, "")
 		return
@@ -144,7 +144,7 @@
 		outbound.Send(response(503, "leaving", []byte(headerNotRun+": 1\r\nRetry-After: 1\r\n")))
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		outbound.Send(response(408, "the packet did not come in time", nil))
-	case errors.Is(err, ErrLarge):
+	case errors.Is(err, ErrBodyTooLarge):
 		outbound.Send(response(413, "body too large", nil))
 	default:
 		outbound.Send(response(400, "malformed packet", nil))
--- a/internal/uwsgi/front_test.go
+++ b/internal/uwsgi/front_test.go
@@ -32,7 +32,7 @@
 
 // packet returns a complete request with the body "body"; more holds further variables and values.
 func packet(path string, more ...string) string {
-	return string(uwsgi.Packet(append([]string{"PATH_INFO", path, "CONTENT_LENGTH", "4", "REMOTE_USER", "desk 3"}, more...)...)) + "body"
+	return string(uwsgi.EncodeHead(append([]string{"PATH_INFO", path, "CONTENT_LENGTH", "4", "REMOTE_USER", "desk 3"}, more...)...)) + "body"
 }
 
 const token = "HTTP_IDEMPOTENCY_KEY"
@@ -78,7 +78,7 @@
 		"modifier1":         {"\x05\x00\x00\x00", 400},
 		"size past end":     {"\x00\x04\x00\x00\x09\x00ab", 400},
 		"key without value": {"\x00\x03\x00\x00\x01\x00a", 400},
-		"invalid length":    {string(uwsgi.Packet("CONTENT_LENGTH", "-1")), 400},
+		"invalid length":    {string(uwsgi.EncodeHead("CONTENT_LENGTH", "-1")), 400},
 		"no token":          {packet("/book"), 400},
 		"long token":        {packet("/book", token, strings.Repeat("k", 129)), 400},
 		"invalid deadline":  {packet("/quote", "HTTP_X_BUDGET_MS", "soon"), 400},
@@ -86,9 +86,9 @@
 		"invalid rank":      {packet("/quote", "HTTP_X_RANK", "NaN"), 400},
 		"unknown class":     {packet("/walk"), 404},
 		"no path":           {"\x00\x00\x00\x00", 404},
-		"too large":         {string(uwsgi.Packet("PATH_INFO", "/quote", "CONTENT_LENGTH", long)), 413},
+		"too large":         {string(uwsgi.EncodeHead("PATH_INFO", "/quote", "CONTENT_LENGTH", long)), 413},
 		"slow head":         {"\x00\x09", 408},
-		"slow body":         {string(uwsgi.Packet("CONTENT_LENGTH", "4")) + "bo", 408},
+		"slow body":         {string(uwsgi.EncodeHead("CONTENT_LENGTH", "4")) + "bo", 408},
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
@@ -133,7 +133,7 @@
 			t.Error(diff)
 		}
 		otherBody := dialGateway()
-		otherBody.Send(string(uwsgi.Packet("PATH_INFO", "/book", "CONTENT_LENGTH", "4", token, "k")) + "ydob")
+		otherBody.Send(string(uwsgi.EncodeHead("PATH_INFO", "/book", "CONTENT_LENGTH", "4", token, "k")) + "ydob")
 		if got := otherBody.Rest(); !strings.HasPrefix(got, "HTTP/1.1 409 ") {
 			t.Errorf("another body read %q", got)
 		}
@@ -246,7 +246,7 @@
 func TestHealth(t *testing.T) {
 	runScenario(t, func(w *scenario.World, dial func() *scenario.Peer) {
 		p := dial()
-		p.Send(string(uwsgi.Packet("PATH_INFO", "/status")))
+		p.Send(string(uwsgi.EncodeHead("PATH_INFO", "/status")))
 		if got := p.Rest(); !strings.HasPrefix(got, "HTTP/1.1 200 ") {
 			t.Errorf("read %q", got)
 		}
--- a/internal/uwsgi/packet.go
+++ b/internal/uwsgi/packet.go
@@ -18,8 +18,8 @@
 var (
 	// ErrPacket is wrapped by every error about a malformed packet.
 	ErrPacket = errors.New("malformed uwsgi packet")
-	// ErrLarge reports a body over the limit.
-	ErrLarge = errors.New("body too large")
+	// ErrBodyTooLarge reports a body over the limit.
+	ErrBodyTooLarge = errors.New("body too large")
 )
 
 const headLen = 4 // bytes of modifier1, size and modifier2
@@ -91,7 +91,7 @@
 		return variables, nil, fmt.Errorf("%w: CONTENT_LENGTH %q", ErrPacket, length)
 	}
 	if bodySize > uint64(maxBody) {
-		return variables, nil, fmt.Errorf("%w: %d bytes, at most %d", ErrLarge, bodySize, maxBody)
+		return variables, nil, fmt.Errorf("%w: %d bytes, at most %d", ErrBodyTooLarge, bodySize, maxBody)
 	}
 	body := make([]byte, bodySize)
 	if _, err := io.ReadFull(in, body); err != nil {
@@ -100,8 +100,8 @@
 	return variables, body, nil
 }
 
-// Packet encodes a request without its body. The pairs are alternating keys and values.
-func Packet(pairs ...string) []byte {
+// EncodeHead encodes a request without its body. The pairs are alternating keys and values.
+func EncodeHead(pairs ...string) []byte {
 	out := make([]byte, headLen, 512)
 	for _, s := range pairs {
 		out = binary.LittleEndian.AppendUint16(out, uint16(len(s)))
--- a/internal/uwsgi/packet_test.go
+++ b/internal/uwsgi/packet_test.go
@@ -17,7 +17,7 @@
 	site := core.Config{Classes: []string{"quote", "book"},
 		Control: control.Config{Classes: []control.Class{{Worth: 1}, {Worth: 3, Effect: control.Keyed}}}}
 	bands := newRankBands(site.Control.Classes)
-	f.Add(append(Packet("PATH_INFO", "/book", "CONTENT_LENGTH", "2", opt.Vars.Token, "k", opt.Vars.Rank, "0.5"), "ab"...))
+	f.Add(append(EncodeHead("PATH_INFO", "/book", "CONTENT_LENGTH", "2", opt.Vars.Token, "k", opt.Vars.Rank, "0.5"), "ab"...))
 	f.Add([]byte("\x00\x04\x00\x00\x09\x00ab"))
 	f.Fuzz(func(t *testing.T, p []byte) {
 		variables, body, err := readPacket(bufio.NewReader(bytes.NewReader(p)), opt.MaxBody)
--- a/internal/uwsgi/request.go
+++ b/internal/uwsgi/request.go
@@ -15,33 +15,33 @@
 
 // Options is the table [uwsgi] of the operator's file.
 type Options struct {
-	Listen   string   `toml:"listen"`    // "host:port", or ":port" on the platform's own host; empty for no front
-	Prefix   string   `toml:"prefix"`    // precedes the class in PATH_INFO
-	Health   string   `toml:"health"`    // PATH_INFO of health checks; empty for none
-	MaxBody  int      `toml:"max_body"`  // bytes
-	MaxConns int      `toml:"max_conns"` // open connections
-	ReadMs   int      `toml:"read_ms"`   // time limit for a complete packet
-	HeldKB   float64  `toml:"held_kb"`   // memory in kilobytes of a request without its own value
-	Vars     Vars     `toml:"vars"`
-	Below    []string `toml:"below"`     // uwsgi servers for downstream calls; empty for the platform's index
-	MaxCalls int      `toml:"max_calls"` // in flight to those servers
+	Listen            string   `toml:"listen"`    // "host:port", or ":port" on the platform's own host; empty for no front
+	PathPrefix        string   `toml:"prefix"`    // precedes the class in PATH_INFO
+	HealthPath        string   `toml:"health"`    // PATH_INFO of health checks; empty for none
+	MaxBody           int      `toml:"max_body"`  // bytes
+	MaxConns          int      `toml:"max_conns"` // open connections
+	ReadTimeoutMs     int      `toml:"read_ms"`   // time limit for a complete packet
+	DefaultMemoryKB   float64  `toml:"held_kb"`   // memory in kilobytes of a request without its own value
+	Vars              Vars     `toml:"vars"`
+	DownstreamServers []string `toml:"below"`     // uwsgi servers for downstream calls; empty for the platform's index
+	MaxCalls          int      `toml:"max_calls"` // in flight to those servers
 }
 
 // Vars names the variables that carry the properties of a request; one with an empty name is not read.
 type Vars struct {
-	Tenant string `toml:"tenant"`
-	Budget string `toml:"deadline"`
-	Token  string `toml:"token"`
-	User   string `toml:"user"`
-	Rank   string `toml:"rank"`
-	Memory string `toml:"memory"`
-	Caller string `toml:"caller"`
+	Tenant   string `toml:"tenant"`
+	Deadline string `toml:"deadline"`
+	Token    string `toml:"token"`
+	User     string `toml:"user"`
+	Rank     string `toml:"rank"`
+	Memory   string `toml:"memory"`
+	Caller   string `toml:"caller"`
 }
 
 // Defaults returns the options that apply where the operator's file sets none.
 func Defaults() Options {
-	return Options{Prefix: "/", Health: "/status", MaxBody: 2 << 10, MaxConns: 128, ReadMs: 2000, HeldKB: 64, MaxCalls: 128,
-		Vars: Vars{Tenant: "HTTP_X_STAND", Budget: "HTTP_X_BUDGET_MS", Token: "HTTP_IDEMPOTENCY_KEY",
+	return Options{PathPrefix: "/", HealthPath: "/status", MaxBody: 2 << 10, MaxConns: 128, ReadTimeoutMs: 2000, DefaultMemoryKB: 64, MaxCalls: 128,
+		Vars: Vars{Tenant: "HTTP_X_STAND", Deadline: "HTTP_X_BUDGET_MS", Token: "HTTP_IDEMPOTENCY_KEY",
 			User: "REMOTE_USER", Rank: "HTTP_X_RANK", Memory: "HTTP_X_HELD_KB", Caller: "REMOTE_ADDR"}}
 }
 
@@ -55,7 +55,7 @@
 // response.
 func (o *Options) request(variables vars, body []byte, site *core.Config, bands rankBands, arrived time.Time) (q core.IncomingRequest, problem string) {
 	q = core.IncomingRequest{Handle: newHandle(), Arrived: arrived, Body: body, Class: -1}
-	if name, ok := strings.CutPrefix(variables.get("PATH_INFO"), o.Prefix); ok {
+	if name, ok := strings.CutPrefix(variables.get("PATH_INFO"), o.PathPrefix); ok {
 		q.Class = site.ClassIndex(name)
 	}
 	if q.Class < 0 {
@@ -67,7 +67,7 @@
 		return q, "a keyed class needs a token of 1 to 128 bytes"
 	}
 	q.Caller = uint32(hash(variables.get(o.Vars.Caller)))
-	if ms, given, ok := parseNumber(variables.get(o.Vars.Budget), maxWaitMs); !ok {
+	if ms, given, ok := parseNumber(variables.get(o.Vars.Deadline), maxWaitMs); !ok {
 		return q, "the deadline is no number of milliseconds"
 	} else if given {
 		q.Budget = max(time.Duration(ms*float64(time.Millisecond)), time.Millisecond)
@@ -76,7 +76,7 @@
 	if !ok {
 		return q, "the memory is no number of kilobytes"
 	}
-	if q.Memory = o.HeldKB; given && kb > 0 {
+	if q.Memory = o.DefaultMemoryKB; given && kb > 0 {
 		q.Memory = kb
 	}
 	rank, given, ok := parseNumber(variables.get(o.Vars.Rank), 1)
