--- a/cmd/larchcontrol/faults_test.go
+++ b/cmd/larchcontrol/faults_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/controlclient"
 	"larchscale/internal/fleet/controlnode"
 	"larchscale/internal/fleet/driver"
@@ -171,16 +171,16 @@
 }
 
 // member returns the member of a name, as the leader knows it; its zero value = none.
-func (f *tierTest) member(name string) agree.Member {
+func (f *tierTest) member(name string) consensus.Member {
 	leader := f.Leader()
 	if leader == nil {
-		return agree.Member{}
+		return consensus.Member{}
 	}
 	status, err := leader.State()
-	if i := slices.IndexFunc(status.Members, func(m agree.Member) bool { return m.Name == name }); err == nil && i >= 0 {
+	if i := slices.IndexFunc(status.Members, func(m consensus.Member) bool { return m.Name == name }); err == nil && i >= 0 {
 		return status.Members[i]
 	}
-	return agree.Member{}
+	return consensus.Member{}
 }
 
 // oneDigest waits until all nodes agree on all that is agreed.
@@ -290,11 +290,11 @@
 	stop func()
 }
 
-// Look implements driver.Body.
-func (o *observer) Look() takeout.Report { return takeout.Report{Warm: true} }
+// Report implements driver.Process.
+func (o *observer) Report() takeout.Report { return takeout.Report{Warm: true} }
 
-// Hold implements driver.Body.
-func (o *observer) Hold(bool) {}
+// HoldHealth implements driver.Process.
+func (o *observer) HoldHealth(bool) {}
 
 func (o *observer) configure(revision uint64, changed []watch.Update) {
 	o.mu.Lock()
--- a/cmd/larchcontrol/main_test.go
+++ b/cmd/larchcontrol/main_test.go
@@ -208,7 +208,7 @@
 	}
 	f.until("document "+key+" is agreed", 15*time.Second, func() bool {
 		return slices.ContainsFunc(f.Nodes, func(n *standin.ControlNode) bool {
-			return n.Say(driver.Word{Part: controlnode.ConfigurationPart, Data: data}) == nil
+			return n.Say(driver.Command{Part: controlnode.ConfigurationPart, Data: data}) == nil
 		})
 	})
 }
@@ -303,7 +303,7 @@
 	token := s.Stats()["fleet.life"]
 	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{s.Name}, Most: 1, Floor: 0}
 	f.until("the plan is taken", 20*time.Second, func() bool {
-		return f.Nodes[1].Say(driver.Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return f.Nodes[1].Say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
 	})
 	f.until("the server is out", 20*time.Second, func() bool {
 		return s.Stats()["fleet.phase"] == float64(takeout.Out) && standin.Health(s.Admin) == 503
--- a/cmd/larchcontrol/serve.go
+++ b/cmd/larchcontrol/serve.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return fmt.Errorf("sessions: %w", err)
 	}
-	accept := &stream.Server{TLS: certificates, Silence: session.Expiry, MaxSessions: n.settings.MaxSessions, Meter: &n.meter, Log: n.log, Accept: n.node.Accept}
+	accept := &stream.Server{TLS: certificates, ReadTimeout: session.Expiry, MaxSessions: n.settings.MaxSessions, Meter: &n.meter, Log: n.log, Accept: n.node.Accept}
 	go accept.Serve(ctx, servers)
 	if n.settings.Admin == "" {
 		return nil
@@ -124,7 +124,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /stats", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		w.Write(n.driver.Lines())
+		w.Write(n.driver.Metrics())
 		w.Write(n.meter.Metrics())
 		w.Write(n.between.metrics())
 	})
@@ -139,7 +139,7 @@
 func (n *controlNode) handOver(ctx context.Context) {
 	ctx, stop := context.WithTimeout(ctx, handOverWithin)
 	defer stop()
-	if err := n.driver.HandOver(ctx); err != nil {
+	if err := n.driver.TransferLeadership(ctx); err != nil {
 		n.log.Warn("handing over", "err", err)
 	}
 }
--- a/cmd/larchctl/document.go
+++ b/cmd/larchctl/document.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	return a.say(con, driver.Word{Part: controlnode.ConfigurationPart, Data: data}, done)
+	return a.say(con, driver.Command{Part: controlnode.ConfigurationPart, Data: data}, done)
 }
 
 type putDocumentCmd struct {
@@ -72,7 +72,7 @@
 	var document controlnode.DocumentStatus
 	found := false
 	err := c.ask(func(ctx context.Context, l *link.Client) (err error) {
-		found, err = driver.Item(ctx, l, controlnode.ConfigurationPart, c.Key, &document)
+		found, err = driver.FetchItem(ctx, l, controlnode.ConfigurationPart, c.Key, &document)
 		return err
 	})
 	if err == nil && !found {
@@ -91,7 +91,7 @@
 func (c *listDocumentCmd) Run(con *console) error {
 	var documents []controlnode.DocumentStatus
 	if err := c.ask(func(ctx context.Context, l *link.Client) error {
-		return driver.Stands(ctx, l, controlnode.ConfigurationPart, &documents)
+		return driver.FetchModuleStatus(ctx, l, controlnode.ConfigurationPart, &documents)
 	}); err != nil {
 		return err
 	}
--- a/cmd/larchctl/fleet.go
+++ b/cmd/larchctl/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"larchscale/internal/config"
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
@@ -103,22 +103,22 @@
 // state asks how the fleet stands.
 func (a *atFleet) state() (s driver.Status, err error) {
 	err = a.ask(func(ctx context.Context, c *link.Client) error {
-		s, err = driver.State(ctx, c)
+		s, err = driver.FetchStatus(ctx, c)
 		return err
 	})
 	return s, err
 }
 
 // say sends a word and prints what became of it.
-func (a *atFleet) say(con *console, word driver.Word, done string) error {
-	if err := a.ask(func(ctx context.Context, c *link.Client) error { return driver.Say(ctx, c, word) }); err != nil {
+func (a *atFleet) say(con *console, word driver.Command, done string) error {
+	if err := a.ask(func(ctx context.Context, c *link.Client) error { return driver.SendCommand(ctx, c, word) }); err != nil {
 		return err
 	}
 	return con.print(map[string]any{"done": done}, func(w io.Writer) { fmt.Fprintln(w, done) })
 }
 
 func (a *atFleet) entry(con *console, e takeout.Entry, done string) error {
-	return a.say(con, driver.Word{Entry: e}, done)
+	return a.say(con, driver.Command{Entry: e}, done)
 }
 
 type foundCmd struct {
@@ -126,7 +126,7 @@
 }
 
 func (c *foundCmd) Run(con *console) error {
-	return c.say(con, driver.Word{Found: true}, "the fleet is founded")
+	return c.say(con, driver.Command{Found: true}, "the fleet is founded")
 }
 
 // ofPlan names a plan.
@@ -234,7 +234,7 @@
 		return err
 	}
 	done := "plan " + c.Plan + " takes out " + strings.Join(p.Boxes, ", ")
-	if would, err := driver.Would(s, p, time.Now()); err == nil {
+	if would, err := driver.PredictPlan(s, p, time.Now()); err == nil {
 		for _, x := range would.Waits {
 			done += "; for now it waits: " + strings.TrimSpace(x.Box+" "+x.Why)
 		}
@@ -253,7 +253,7 @@
 	}
 	return con.whole(s.Leader != "", s.Members, func(w io.Writer) {
 		rows := [][]string{{"zone", "box", "id", "at", "part", "heard"}}
-		slices.SortStableFunc(s.Members, func(a, b agree.Member) int {
+		slices.SortStableFunc(s.Members, func(a, b consensus.Member) int {
 			return cmp.Or(strings.Compare(a.Zone, b.Zone), strings.Compare(a.Name, b.Name))
 		})
 		for _, m := range s.Members {
@@ -283,7 +283,7 @@
 	if err != nil {
 		return err
 	}
-	would, err := driver.Would(s, p, time.Now())
+	would, err := driver.PredictPlan(s, p, time.Now())
 	if err != nil {
 		return badInput{err}
 	}
--- a/cmd/larchctl/sessions.go
+++ b/cmd/larchctl/sessions.go
@@ -26,7 +26,7 @@
 	}
 	ask := func(t target) error {
 		return t.ask(func(ctx context.Context, c *link.Client) error {
-			return driver.Stands(ctx, c, controlnode.SessionPart, &s)
+			return driver.FetchModuleStatus(ctx, c, controlnode.SessionPart, &s)
 		})
 	}
 	if err := ask(own); err != nil || s.Leads || s.Leader == "" {
--- a/cmd/larchctl/trial.go
+++ b/cmd/larchctl/trial.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	return a.say(con, driver.Word{Part: trials.Part, Data: data}, done)
+	return a.say(con, driver.Command{Part: trials.Part, Data: data}, done)
 }
 
 type trialStopCmd struct {
@@ -87,7 +87,9 @@
 
 func (c *trialStatusCmd) Run(con *console) error {
 	var s trials.Status
-	err := c.ask(func(ctx context.Context, l *link.Client) error { return driver.Stands(ctx, l, trials.Part, &s) })
+	err := c.ask(func(ctx context.Context, l *link.Client) error {
+		return driver.FetchModuleStatus(ctx, l, trials.Part, &s)
+	})
 	if err != nil {
 		return errors.Join(err, errors.New("trials need fleet.take_over"))
 	}
--- a/cmd/larchscale/fleet.go
+++ b/cmd/larchscale/fleet.go
@@ -61,7 +61,7 @@
 }
 
 // newMember makes this server's membership of the fleet, served at mux and reached over the link.
-func (s *server) newMember(ctx context.Context, peerLink *link.Link, mux *http.ServeMux) *driver.Part {
+func (s *server) newMember(ctx context.Context, peerLink *link.Link, mux *http.ServeMux) *driver.Membership {
 	body := &body{figures: s.core.Metrics, holder: s.holder, guess: guess(s.config)}
 	modules := func() []driver.Module { return nil }
 	if s.claims != nil {
@@ -69,13 +69,13 @@
 		modules = func() []driver.Module { return append(s.membership.Modules(), s.experiments.Module()) }
 	}
 	way := s.operator.Ledger.Peers.Options
-	part := driver.NewPart(func() (*driver.Driver, error) {
+	part := driver.NewMembership(func() (*driver.Driver, error) {
 		return driver.New(s.operator.Fleet, s.config.Name, way.Listen, way.Peers(), peerLink, body, s.log, modules()...)
 	}, s.log)
 	mux.Handle("/fleet/", part)
-	s.metrics = part.Lines
+	s.metrics = part.Metrics
 	if s.claims != nil {
-		s.metrics = joinMetrics(part.Lines, s.claims.Lines)
+		s.metrics = joinMetrics(part.Metrics, s.claims.Lines)
 	}
 	return part
 }
@@ -216,8 +216,8 @@
 	most    float64
 }
 
-// Look implements driver.Body.
-func (b *body) Look() takeout.Report {
+// Report implements driver.Process.
+func (b *body) Report() takeout.Report {
 	f, now := b.figures(), time.Now()
 	if now.Sub(b.read) >= time.Second/2 {
 		served := uint64(0)
@@ -231,5 +231,5 @@
 	return takeout.Report{Warm: warm, Open: f.Active, KeyedUntil: f.KeyedUntil.UnixMilli(), Load: b.load, Capacity: b.most, Failing: !f.Serving}
 }
 
-// Hold implements driver.Body.
-func (b *body) Hold(on bool) { b.holder.Set(admin.ByFleet, on) }
+// HoldHealth implements driver.Process.
+func (b *body) HoldHealth(on bool) { b.holder.Set(admin.ByFleet, on) }
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -18,7 +18,7 @@
 	"go.etcd.io/raft/v3"
 
 	"larchscale/internal/faultfs"
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/raftlog"
 	"larchscale/internal/fleet/takeout"
@@ -226,7 +226,7 @@
 	}
 	const entries = 200 // about what an hour of plans writes
 	for i := range entries {
-		if err := at.Say(context.Background(), driver.Word{Entry: takeout.Entry{Kind: []takeout.Kind{takeout.Pause, takeout.Resume}[i%2],
+		if err := at.Say(context.Background(), driver.Command{Entry: takeout.Entry{Kind: []takeout.Kind{takeout.Pause, takeout.Resume}[i%2],
 			Plan: takeout.Plan{ID: "disks"}}}); err == nil {
 			return errors.New("a plan that is over was paused")
 		}
@@ -315,18 +315,18 @@
 // large counts, for a fleet of many boxes with nothing to do, the messages and bytes a second at its leader, and the
 // messages at another box.
 func (c fleetCmd) large() (messages, bytes, another float64, err error) {
-	nodes := map[uint64]*agree.Node{}
+	nodes := map[uint64]*consensus.Node{}
 	var id uint64
-	add := func(found bool) (*agree.Node, error) {
+	add := func(found bool) (*consensus.Node, error) {
 		id++
 		store, err := raftlog.Open(faultfs.New(id), fmt.Sprint("n", id), func() uint64 { return id }, 1<<20)
 		if err == nil && found {
-			err = agree.Found(store, agree.Member{Name: "n1", Zone: "a", Addr: "n1"})
+			err = consensus.Bootstrap(store, consensus.Member{Name: "n1", Zone: "a", Addr: "n1"})
 		}
 		if err != nil {
 			return nil, err
 		}
-		n, err := agree.New(store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)})
+		n, err := consensus.New(store, &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)})
 		nodes[id] = n
 		return n, err
 	}
@@ -359,7 +359,7 @@
 						}
 					}
 					if m.Snapshot {
-						n.SnapshotSent(m.To, true)
+						n.ReportSnapshot(m.To, true)
 					}
 				}
 			}
@@ -377,15 +377,15 @@
 		if err != nil {
 			return 0, 0, 0, err
 		}
-		m := agree.Member{ID: n.ID(), Name: fmt.Sprint("n", id), Zone: string(rune('a' + i%3)), Addr: fmt.Sprint("n", id)}
-		if err := first.Change(&agree.Change{Kind: agree.Admit, Member: m}); err != nil {
+		m := consensus.Member{ID: n.ID(), Name: fmt.Sprint("n", id), Zone: string(rune('a' + i%3)), Addr: fmt.Sprint("n", id)}
+		if err := first.Change(&consensus.Change{Kind: consensus.Admit, Member: m}); err != nil {
 			return 0, 0, 0, err
 		}
 		if err := settle(); err != nil {
 			return 0, 0, 0, err
 		}
 		if i < 5 {
-			if err := first.Change(&agree.Change{Kind: agree.Promote, Member: m}); err != nil {
+			if err := first.Change(&consensus.Change{Kind: consensus.Promote, Member: m}); err != nil {
 				return 0, 0, 0, err
 			}
 		}
--- a/cmd/measure/trial.go
+++ b/cmd/measure/trial.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			return err
 		}
-		return f.Members[0].Say(context.Background(), driver.Word{Part: trials.Part, Data: data})
+		return f.Members[0].Say(context.Background(), driver.Command{Part: trials.Part, Data: data})
 	}
 	start := func(id string) error {
 		return say(trials.Word{Start: &trial.Spec{ID: id, By: "measure", Reason: "measure", Split: trial.Subject, Thing: standin.Classes[0], Values: [2]string{trials.Present, below.Addr}, Salt: c.Seed,
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -11,7 +11,7 @@
 	"larchscale/client/route"
 	"larchscale/internal/admin"
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/forecast"
 	"larchscale/internal/fleet/hand"
@@ -120,12 +120,12 @@
 // membersBytes is the agreed state of members, leases and placement, as a snapshot has it.
 func membersBytes(s Size) float64 {
 	n := int(s.Servers)
-	members := agree.State{Members: make([]agree.Member, n)}
+	members := consensus.State{Members: make([]consensus.Member, n)}
 	leases := lease.State{Boxes: make([]lease.Box, n)}
 	placement := place.State{Boxes: make([]string, n), Homes: &place.Homes{}}
 	for i := range n {
 		name := fmt.Sprintf("server-%04d", i)
-		members.Members[i] = agree.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
+		members.Members[i] = consensus.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
 		leases.Boxes[i] = lease.Box{Name: name, Zone: "zone-1", Incarnation: 1000, Life: 1_000_000, Index: 1_000_000, Pool: "10.123.123.123:4567"}
 		placement.Boxes[i] = name
 	}
@@ -143,11 +143,11 @@
 // statusBytes is the answer to an operator who asks how the fleet stands, in plain JSON.
 func statusBytes(s Size) float64 {
 	n := int(s.Servers)
-	status := driver.Status{Members: make([]agree.Member, n), Reports: map[string]takeout.Report{}}
+	status := driver.Status{Members: make([]consensus.Member, n), Reports: map[string]takeout.Report{}}
 	status.Boxes = make([]takeout.Box, n)
 	for i := range n {
 		name := fmt.Sprintf("server-%04d", i)
-		status.Members[i] = agree.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
+		status.Members[i] = consensus.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
 		status.Boxes[i] = takeout.Box{Name: name, Zone: "zone-1"}
 		status.Reports[name] = takeout.Report{Incarnation: 1000, Heard: 1_790_000_000_000, Capacity: 123.456, Load: 108.123, Warm: true, Open: 10}
 	}
--- a/internal/fleet/configuration/state_test.go
+++ b/internal/fleet/configuration/state_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/watch"
 )
@@ -260,7 +260,7 @@
 
 // An agreed part, saved and loaded, goes on as the one that it was saved from.
 func TestSaveAndLoad(t *testing.T) {
-	a := agree.NewAgreed[State, Entry](PartName)
+	a := consensus.NewTypedStateMachine[State, Entry](PartName)
 	if data, err := a.Save(); data != nil || err != nil {
 		t.Errorf("an empty part saves %x, %v", data, err)
 	}
@@ -271,7 +271,7 @@
 			t.Errorf("entry %d: %v, want %v", i, err, want)
 		}
 	}
-	b := agree.NewAgreed[State, Entry](PartName)
+	b := consensus.NewTypedStateMachine[State, Entry](PartName)
 	reload(t, a, b)
 	if _, changed := b.State.Changed(); changed {
 		t.Error("a state that was loaded tells a change")
@@ -282,14 +282,14 @@
 	if d := b.State.Document("a"); d == nil || d.Revision != 3 || b.State.Document("c") != nil {
 		t.Errorf("documents %v", b.State.Documents)
 	}
-	if err := a.Apply(5, []byte{0xff}); !errors.Is(err, agree.ErrNewer) {
+	if err := a.Apply(5, []byte{0xff}); !errors.Is(err, consensus.ErrUnknownVersion) {
 		t.Errorf("what is no entry: %v", err)
 	}
 }
 
-func applyEncoded(t fataler, a agree.Part, index uint64, e *Entry) error {
+func applyEncoded(t fataler, a consensus.StateMachine, index uint64, e *Entry) error {
 	t.Helper()
-	data, err := agree.Encode(e)
+	data, err := consensus.Encode(e)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
@@ -297,7 +297,7 @@
 }
 
 // reload gives a part what another one saved, and compares them.
-func reload(t fataler, from, to *agree.Agreed[State, Entry, *State]) {
+func reload(t fataler, from, to *consensus.TypedStateMachine[State, Entry, *State]) {
 	t.Helper()
 	data, err := from.Save()
 	if err != nil {
@@ -341,8 +341,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		model := model{}
 		lastChange := uint64(0)
-		first := agree.NewAgreed[State, Entry](PartName)
-		second := agree.NewAgreed[State, Entry](PartName)
+		first := consensus.NewTypedStateMachine[State, Entry](PartName)
+		second := consensus.NewTypedStateMachine[State, Entry](PartName)
 		limits := watch.Limits{Bytes: 1 << 10, Updates: rapid.IntRange(0, 20).Draw(t, "updates kept")}
 		histories := []*watch.History{watch.NewHistory(limits), watch.NewHistory(limits)}
 		followers := []*follower{newFollower(histories[0]), newFollower(histories[1])}
@@ -358,7 +358,7 @@
 			if changed {
 				lastChange = index
 			}
-			for i, part := range []*agree.Agreed[State, Entry, *State]{first, second} {
+			for i, part := range []*consensus.TypedStateMachine[State, Entry, *State]{first, second} {
 				if err := applyEncoded(t, part, index, e); !errors.Is(err, want) {
 					t.Fatalf("%v: %v, want %v", e, err, want)
 				}
--- a/internal/fleet/agree/node.go
+++ b/internal/fleet/consensus/node.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"encoding/binary"
@@ -24,7 +24,7 @@
 	maxEntryBytesPerMessage = 1 << 20  // bytes of entries in one message
 	maxUncommittedBytes     = 4 << 20  // bytes of proposals that no majority has yet
 	maxInflightMessages     = 64       // messages in flight to one node
-	MaxFrame                = 16 << 20 // bytes; larger messages are refused
+	MaxMessageBytes         = 16 << 20 // bytes; larger messages are refused
 )
 
 // Store is a node's persistent raft state.
@@ -42,7 +42,7 @@
 	raw          *raft.RawNode
 	store        Store
 	state        State
-	machines     map[string]Part
+	machines     map[string]StateMachine
 	pendingReads []raft.ReadState // confirmed, but of entries that are not applied yet
 	confState    *raftpb.ConfState
 	applied      uint64
@@ -58,8 +58,8 @@
 	Data     []byte
 }
 
-// Applied is a committed entry that this node has applied, or the error that kept it from taking effect.
-type Applied struct {
+// AppliedEntry is a committed entry that this node has applied, or the error that kept it from taking effect.
+type AppliedEntry struct {
 	Index    uint64
 	Proposer uint64
 	Token    uint64
@@ -72,15 +72,15 @@
 // Output is the result of a Flush. The state that the messages depend on is already on disk.
 type Output struct {
 	Messages []Message
-	Applied  []Applied
+	Applied  []AppliedEntry
 	Reads    []uint64 // ids of reads that are confirmed
 	Restored bool     // the state was replaced by another node's snapshot
 }
 
-// Found initializes an empty store as a new fleet, with this node as its only voter.
-func Found(store Store, m Member) error {
+// Bootstrap initializes an empty store as a new fleet, with this node as its only voter.
+func Bootstrap(store Store, m Member) error {
 	if last, err := store.LastIndex(); err != nil || last > 0 {
-		return fmt.Errorf("the log already has %d entries, a new fleet needs an empty one: %w", last, errors.Join(err, ErrMember))
+		return fmt.Errorf("the log already has %d entries, a new fleet needs an empty one: %w", last, errors.Join(err, ErrMembership))
 	}
 	m.ID, m.Voter = store.ID(), true
 	s := State{Members: []Member{m}}
@@ -98,8 +98,8 @@
 
 // New starts a node from its store. With an empty store the node waits until a leader admits it. The additional state
 // machines have to be empty.
-func New(store Store, logger raft.Logger, machines ...Part) (*Node, error) {
-	n := &Node{store: store, confState: &raftpb.ConfState{}, machines: map[string]Part{}}
+func New(store Store, logger raft.Logger, machines ...StateMachine) (*Node, error) {
+	n := &Node{store: store, confState: &raftpb.ConfState{}, machines: map[string]StateMachine{}}
 	for _, machine := range machines {
 		n.machines[machine.Name()] = machine
 	}
@@ -165,7 +165,7 @@
 
 // Receive processes a message of a peer. A malformed or misdirected message returns an error and changes nothing.
 func (n *Node) Receive(data []byte) error {
-	if len(data) > MaxFrame {
+	if len(data) > MaxMessageBytes {
 		return fmt.Errorf("fleet: message of %d bytes is too large", len(data))
 	}
 	m := &raftpb.Message{}
@@ -181,11 +181,11 @@
 	return nil
 }
 
-// Unreachable reports that a message to a node could not be sent.
-func (n *Node) Unreachable(id uint64) { n.raw.ReportUnreachable(id) }
+// ReportUnreachable reports that a message to a node could not be sent.
+func (n *Node) ReportUnreachable(id uint64) { n.raw.ReportUnreachable(id) }
 
-// SnapshotSent reports whether a snapshot reached a node.
-func (n *Node) SnapshotSent(id uint64, ok bool) {
+// ReportSnapshot reports whether a snapshot reached a node.
+func (n *Node) ReportSnapshot(id uint64, ok bool) {
 	status := raft.SnapshotFinish
 	if !ok {
 		status = raft.SnapshotFailure
@@ -201,9 +201,9 @@
 	return n.propose(command{Proposer: n.ID(), Token: token, Entry: *e}, leaderOnly)
 }
 
-// ProposePart proposes an entry of an additional state machine, as Propose does. leaderOnly marks an entry that only
+// ProposeTo proposes an entry of an additional state machine, as Propose does. leaderOnly marks an entry that only
 // the leader derives.
-func (n *Node) ProposePart(token uint64, part string, entry []byte, leaderOnly bool) error {
+func (n *Node) ProposeTo(token uint64, part string, entry []byte, leaderOnly bool) error {
 	return n.propose(command{Proposer: n.ID(), Token: token, Part: part, Data: entry}, leaderOnly)
 }
 
@@ -248,9 +248,9 @@
 	return nil
 }
 
-// Read has the leader confirm with a majority that it still leads. Flush returns the id once that is confirmed and
+// ReadIndex has the leader confirm with a majority that it still leads. Flush returns the id once that is confirmed and
 // all entries committed before the call are applied. The id of a read that is lost is never returned.
-func (n *Node) Read(id uint64) error {
+func (n *Node) ReadIndex(id uint64) error {
 	if _, leads := n.Leads(); !leads {
 		return ErrNoLeader
 	}
@@ -258,8 +258,8 @@
 	return nil
 }
 
-// Transfer hands the leadership to another voter, if this node is the leader.
-func (n *Node) Transfer(id uint64) { n.raw.TransferLeader(id) }
+// TransferLeadership hands the leadership to another voter, if this node is the leader.
+func (n *Node) TransferLeadership(id uint64) { n.raw.TransferLeader(id) }
 
 // Campaign starts an election at once.
 func (n *Node) Campaign() error { return n.raw.Campaign() }
@@ -292,7 +292,7 @@
 		}
 		for _, e := range rd.CommittedEntries {
 			a, ok := n.apply(e)
-			if errors.Is(a.Err, ErrNewer) {
+			if errors.Is(a.Err, ErrUnknownVersion) {
 				return Output{}, n.fail(a.Err)
 			}
 			if ok {
@@ -313,7 +313,7 @@
 	// A node ignores a snapshot whose configuration does not contain it. A node that may lead therefore makes a
 	// snapshot that is newer than the entry which admitted the member.
 	voter := slices.Contains(n.confState.GetVoters(), n.ID())
-	admitted := slices.ContainsFunc(out.Applied, func(a Applied) bool {
+	admitted := slices.ContainsFunc(out.Applied, func(a AppliedEntry) bool {
 		return a.Change != nil && (a.Change.Kind == Admit && voter || a.Change.Kind == Promote && a.Change.Member.ID == n.ID())
 	})
 	if n.store.Full() || admitted {
@@ -334,7 +334,7 @@
 }
 
 // apply applies a committed entry; false = the entry is empty.
-func (n *Node) apply(e *raftpb.Entry) (a Applied, ok bool) {
+func (n *Node) apply(e *raftpb.Entry) (a AppliedEntry, ok bool) {
 	a.Index = e.GetIndex()
 	if e.GetType() != raftpb.EntryType_EntryNormal {
 		cc := &raftpb.ConfChangeV2{}
@@ -361,11 +361,11 @@
 	case c.Part == "":
 		a.Entry = &c.Entry
 	case machine == nil:
-		a.Err = fmt.Errorf("entry %d is of the unknown state machine %q: %w", a.Index, c.Part, ErrNewer)
+		a.Err = fmt.Errorf("entry %d is of the unknown state machine %q: %w", a.Index, c.Part, ErrUnknownVersion)
 		return a, true
 	}
 	if c.Term != 0 && c.Term != e.GetTerm() {
-		a.Err = fmt.Errorf("proposed in term %d, committed in term %d: %w", c.Term, e.GetTerm(), ErrStale)
+		a.Err = fmt.Errorf("proposed in term %d, committed in term %d: %w", c.Term, e.GetTerm(), ErrStaleTerm)
 		return a, true
 	}
 	if machine != nil {
--- a/internal/fleet/agree/parts.go
+++ b/internal/fleet/consensus/parts.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -7,14 +7,14 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrNewer is returned for an entry or a snapshot of a format that this version of the program cannot read.
+// ErrUnknownVersion is returned for an entry or a snapshot of a format that this version of the program cannot read.
 // Skipping the unknown content would let the nodes' states diverge, so the node stops participating.
-var ErrNewer = errors.New("of another version of the program")
+var ErrUnknownVersion = errors.New("of another version of the program")
 
-// Part is a replicated state machine in addition to members and maintenance plans. Its state changes only by
+// StateMachine is a replicated state machine in addition to members and maintenance plans. Its state changes only by
 // entries and by Load, in the same way on every node. An incompatible format in a later version of the program needs
 // a new name.
-type Part interface {
+type StateMachine interface {
 	// Name returns the name by which entries, snapshots and reports identify the state machine.
 	Name() string
 	// Apply applies an entry. An error that wraps ErrUnknownVersion stops this node; any other error is the result of the
@@ -32,37 +32,37 @@
 	Apply(index uint64, e *E) error
 }
 
-// Agreed implements StateMachine for a state S with entries E. Only the node changes the state; others may
+// TypedStateMachine implements StateMachine for a state S with entries E. Only the node changes the state; others may
 // read it.
-type Agreed[S, E any, P applier[S, E]] struct {
+type TypedStateMachine[S, E any, P applier[S, E]] struct {
 	State       S
 	name        string
 	initialized bool
 }
 
-// NewAgreed returns an empty state machine.
-func NewAgreed[S, E any, P applier[S, E]](name string) *Agreed[S, E, P] {
-	return &Agreed[S, E, P]{name: name}
+// NewTypedStateMachine returns an empty state machine.
+func NewTypedStateMachine[S, E any, P applier[S, E]](name string) *TypedStateMachine[S, E, P] {
+	return &TypedStateMachine[S, E, P]{name: name}
 }
 
 // Name implements StateMachine.
-func (a *Agreed[S, E, P]) Name() string { return a.name }
+func (a *TypedStateMachine[S, E, P]) Name() string { return a.name }
 
-// Began reports whether an entry has been applied.
-func (a *Agreed[S, E, P]) Began() bool { return a.initialized }
+// Initialized reports whether an entry has been applied.
+func (a *TypedStateMachine[S, E, P]) Initialized() bool { return a.initialized }
 
 // Apply implements StateMachine. An entry that does not decode is taken for one of another version.
-func (a *Agreed[S, E, P]) Apply(index uint64, entry []byte) error {
+func (a *TypedStateMachine[S, E, P]) Apply(index uint64, entry []byte) error {
 	var e E
 	if err := strictDecoder.Unmarshal(entry, &e); err != nil {
-		return fmt.Errorf("%s: entry %d: %w: %w", a.name, index, ErrNewer, err)
+		return fmt.Errorf("%s: entry %d: %w: %w", a.name, index, ErrUnknownVersion, err)
 	}
 	a.initialized = true
 	return P(&a.State).Apply(index, &e)
 }
 
 // Save implements StateMachine.
-func (a *Agreed[S, E, P]) Save() ([]byte, error) {
+func (a *TypedStateMachine[S, E, P]) Save() ([]byte, error) {
 	if !a.initialized {
 		return nil, nil
 	}
@@ -70,11 +70,11 @@
 }
 
 // Load implements StateMachine.
-func (a *Agreed[S, E, P]) Load(state []byte) error {
+func (a *TypedStateMachine[S, E, P]) Load(state []byte) error {
 	var s S
 	if state != nil {
 		if err := strictDecoder.Unmarshal(state, &s); err != nil {
-			return fmt.Errorf("%s: %w: %w", a.name, ErrNewer, err)
+			return fmt.Errorf("%s: %w: %w", a.name, ErrUnknownVersion, err)
 		}
 	}
 	a.State, a.initialized = s, state != nil
@@ -125,7 +125,7 @@
 			return err
 		}
 		if len(fields) == 0 || boundedDecoder.Unmarshal(fields[0], &decoded.Version) != nil || decoded.Version != snapshotVersion {
-			return fmt.Errorf("snapshot of version %d: %w", decoded.Version, ErrNewer)
+			return fmt.Errorf("snapshot of version %d: %w", decoded.Version, ErrUnknownVersion)
 		}
 		if err := boundedDecoder.Unmarshal(data, &decoded); err != nil {
 			return err
@@ -135,13 +135,13 @@
 	}
 	for name := range decoded.Parts {
 		if n.machines[name] == nil {
-			return fmt.Errorf("snapshot with the unknown state machine %q: %w", name, ErrNewer)
+			return fmt.Errorf("snapshot with the unknown state machine %q: %w", name, ErrUnknownVersion)
 		}
 	}
 	for name, machine := range n.machines {
 		saved, err := machine.Save()
 		if err == nil && saved != nil && decoded.Parts[name] == nil {
-			err = fmt.Errorf("snapshot without state machine %q, which has entries: %w", name, ErrNewer)
+			err = fmt.Errorf("snapshot without state machine %q, which has entries: %w", name, ErrUnknownVersion)
 		}
 		if err != nil {
 			return err
--- a/internal/fleet/agree/parts_test.go
+++ b/internal/fleet/consensus/parts_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"errors"
@@ -31,11 +31,11 @@
 	return nil
 }
 
-func startSingleNode(t *testing.T, disk *faultfs.Disk, bootstrap bool, machines ...Part) (*Node, error) {
+func startSingleNode(t *testing.T, disk *faultfs.Disk, bootstrap bool, machines ...StateMachine) (*Node, error) {
 	t.Helper()
 	store, err := raftlog.Open(disk, "n1", func() uint64 { return 1 }, 4<<10)
 	if err == nil && bootstrap {
-		err = Found(store, Member{Name: "n1", Zone: "a", Addr: "n1"})
+		err = Bootstrap(store, Member{Name: "n1", Zone: "a", Addr: "n1"})
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,7 @@
 
 func TestStateMachineIsReplicatedRestoredAndRefusedByOtherVersions(t *testing.T) {
 	disk := faultfs.New(1)
-	machine := NewAgreed[sum, add]("tally")
+	machine := NewTypedStateMachine[sum, add]("tally")
 	n, err := startSingleNode(t, disk, true, machine)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	propose := func(n *Node, e any) (Output, error) {
 		data, err := Encode(e)
 		if err == nil {
-			err = n.ProposePart(7, "tally", data, true)
+			err = n.ProposeTo(7, "tally", data, true)
 		}
 		if err != nil {
 			t.Fatal(err)
@@ -77,7 +77,7 @@
 	if after, _ := n.Digest(); after == before || machine.State.Sum != 2 {
 		t.Errorf("sum %d, digest %x before and %x after", machine.State.Sum, before, after)
 	}
-	if err := n.Read(9); err != nil {
+	if err := n.ReadIndex(9); err != nil {
 		t.Fatal(err)
 	}
 	if out, err := n.Flush(); err != nil || !slices.Equal(out.Reads, []uint64{9}) {
@@ -89,23 +89,23 @@
 		}
 	}
 	disk.Restart()
-	restarted := NewAgreed[sum, add]("tally")
+	restarted := NewTypedStateMachine[sum, add]("tally")
 	if n, err = startSingleNode(t, disk, false, restarted); err != nil || restarted.State != machine.State {
 		t.Fatalf("state %+v after a restart, %+v before: %v", restarted.State, machine.State, err)
 	}
-	if _, err := propose(n, newerAdd{2, 2}); !errors.Is(err, ErrNewer) {
+	if _, err := propose(n, newerAdd{2, 2}); !errors.Is(err, ErrUnknownVersion) {
 		t.Errorf("an entry with an unknown field: %v", err)
 	}
-	if _, err := n.Flush(); !errors.Is(err, ErrNewer) {
+	if _, err := n.Flush(); !errors.Is(err, ErrUnknownVersion) {
 		t.Errorf("Flush after the failure: %v", err)
 	}
 	disk.Restart()
-	if _, err = startSingleNode(t, disk, false); !errors.Is(err, ErrNewer) {
+	if _, err = startSingleNode(t, disk, false); !errors.Is(err, ErrUnknownVersion) {
 		t.Errorf("start without the state machine: %v", err)
 	}
-	other := &Node{machines: map[string]Part{"tally": machine}}
+	other := &Node{machines: map[string]StateMachine{"tally": machine}}
 	data, _ := encoder.Marshal(&other.state)
-	if err := other.load(data); !errors.Is(err, ErrNewer) || machine.State.Sum == 0 {
+	if err := other.load(data); !errors.Is(err, ErrUnknownVersion) || machine.State.Sum == 0 {
 		t.Errorf("snapshot of a program without the state machine: %v", err)
 	}
 	var state State
--- a/internal/fleet/agree/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -1,4 +1,4 @@
-package agree
+package consensus
 
 import (
 	"cmp"
@@ -117,7 +117,7 @@
 		Step: func(state, input, output any) (bool, any) {
 			previous := state.(takeout.State)
 			err, _ := output.(error)
-			if errors.Is(err, ErrStale) {
+			if errors.Is(err, ErrStaleTerm) {
 				return true, previous
 			}
 			s, e := previous.Clone(), input.(takeout.Entry)
@@ -172,7 +172,7 @@
 		w.fatal("%s: %v", h.name, err)
 	}
 	if bootstrap {
-		if err := Found(h.store, Member{Name: h.name, Zone: h.zone, Addr: h.name}); err != nil {
+		if err := Bootstrap(h.store, Member{Name: h.name, Zone: h.zone, Addr: h.name}); err != nil {
 			w.fatal("%v", err)
 		}
 	}
@@ -268,7 +268,7 @@
 // reportSnapshot tells the sender of a snapshot whether it arrived.
 func (w *world) reportSnapshot(p packet, ok bool) {
 	if from := w.hosts[p.from]; p.Snapshot && from.node != nil {
-		from.node.SnapshotSent(p.To, ok)
+		from.node.ReportSnapshot(p.To, ok)
 	}
 }
 
@@ -299,20 +299,20 @@
 			view.Reports[o.name] = takeout.Report{Incarnation: o.incarnation, Heard: view.Now, Capacity: 100, Load: 40, Warm: warm}
 		}
 		if w.canReach(j, i) && o.node != nil && s.Member(o.store.ID()) == nil { // it sends a join request
-			if c, err := s.Knock(Member{ID: o.store.ID(), Name: o.name, Zone: o.zone, Addr: o.name}, reporting); err == nil && c != nil {
+			if c, err := s.JoinChange(Member{ID: o.store.ID(), Name: o.name, Zone: o.zone, Addr: o.name}, reporting); err == nil && c != nil {
 				h.node.Change(c)
 				return
 			}
 		}
 	}
-	if c := s.Voters(wantedVoters, reporting); c != nil {
+	if c := s.PromotionChange(wantedVoters, reporting); c != nil {
 		h.node.Change(c)
 		return
 	}
 	decision := takeout.Next(&s.Work, view)
 	if decision.Transfer != "" {
-		if m := s.Named(decision.Transfer); m != nil {
-			h.node.Transfer(m.ID)
+		if m := s.MemberByName(decision.Transfer); m != nil {
+			h.node.TransferLeadership(m.ID)
 		}
 	}
 	for _, e := range decision.Entries {
@@ -378,7 +378,7 @@
 		if p := w.hostIndex(m.To); p >= 0 {
 			w.inFlight = append(w.inFlight, packet{i, p, w.now + 1 + w.rnd.IntN(2), m})
 		} else {
-			h.node.Unreachable(m.To)
+			h.node.ReportUnreachable(m.To)
 			w.reportSnapshot(packet{i, i, 0, m}, false)
 		}
 	}
--- a/internal/fleet/agree/state.go
+++ b/internal/fleet/consensus/state.go
@@ -1,7 +1,7 @@
-// Package agree replicates the state of a fleet among its members: who is a member, and which maintenance plans
+// Package consensus replicates the state of a fleet among its members: who is a member, and which maintenance plans
 // exist. The state changes only by entries of a log that raft (go.etcd.io/raft/v3) replicates. A Node is driven by
 // ticks, messages and proposals, and does no I/O except through its Store.
-package agree
+package consensus
 
 import (
 	"errors"
@@ -31,9 +31,9 @@
 
 // Errors that a Node returns.
 var (
-	ErrNoLeader = errors.New("no leader is known: a majority may be out of reach")
-	ErrStale    = errors.New("the proposer was the leader of another term")
-	ErrMember   = errors.New("membership")
+	ErrNoLeader   = errors.New("no leader is known: a majority may be out of reach")
+	ErrStaleTerm  = errors.New("the proposer was the leader of another term")
+	ErrMembership = errors.New("membership")
 )
 
 // Member returns the member with an id; nil = unknown.
@@ -45,8 +45,8 @@
 	return &s.Members[i]
 }
 
-// Named returns the member with a name; nil = unknown.
-func (s *State) Named(name string) *Member {
+// MemberByName returns the member with a name; nil = unknown.
+func (s *State) MemberByName(name string) *Member {
 	i := slices.IndexFunc(s.Members, func(m Member) bool { return m.Name == name })
 	if i < 0 {
 		return nil
@@ -96,41 +96,41 @@
 	case Remove:
 		s.Members = slices.DeleteFunc(s.Members, func(m Member) bool { return m.ID == c.Member.ID })
 	default:
-		return fmt.Errorf("unknown change of kind %d: %w", c.Kind, ErrMember)
+		return fmt.Errorf("unknown change of kind %d: %w", c.Kind, ErrMembership)
 	}
 	return nil
 }
 
-// Knock derives the change that a join request calls for; nil = the node is a member already. A name stays taken
+// JoinChange derives the change that a join request calls for; nil = the node is a member already. A name stays taken
 // for as long as its member reports.
-func (s *State) Knock(m Member, reporting func(id uint64) bool) (*Change, error) {
+func (s *State) JoinChange(m Member, reporting func(id uint64) bool) (*Change, error) {
 	if m.ID == 0 || m.Name == "" || m.Addr == "" {
-		return nil, fmt.Errorf("invalid join request: node %q with id %x at %q: %w", m.Name, m.ID, m.Addr, ErrMember)
+		return nil, fmt.Errorf("invalid join request: node %q with id %x at %q: %w", m.Name, m.ID, m.Addr, ErrMembership)
 	}
 	if existing := s.Member(m.ID); existing != nil {
 		if existing.Name != m.Name {
-			return nil, fmt.Errorf("node %s asks to join with the id of %s: %w", m.Name, existing.Name, ErrMember)
+			return nil, fmt.Errorf("node %s asks to join with the id of %s: %w", m.Name, existing.Name, ErrMembership)
 		}
 		if existing.Addr == m.Addr {
 			return nil, nil
 		}
 		return &Change{Admit, m}, nil
 	}
-	if sameName := s.Named(m.Name); sameName != nil {
+	if sameName := s.MemberByName(m.Name); sameName != nil {
 		if reporting(sameName.ID) {
-			return nil, fmt.Errorf("another node named %s is reporting from %s: %w", m.Name, sameName.Addr, ErrMember)
+			return nil, fmt.Errorf("another node named %s is reporting from %s: %w", m.Name, sameName.Addr, ErrMembership)
 		}
 		return &Change{Remove, *sameName}, nil // the new id is admitted at its next join request
 	}
 	if len(s.Members) >= limits.MaxMeshServers {
-		return nil, fmt.Errorf("the fleet has the maximum of %d members: %w", limits.MaxMeshServers, ErrMember)
+		return nil, fmt.Errorf("the fleet has the maximum of %d members: %w", limits.MaxMeshServers, ErrMembership)
 	}
 	return &Change{Admit, m}, nil
 }
 
-// Voters derives the next change towards the wanted number of voters. It promotes a learner that reports, of
+// PromotionChange derives the next change towards the wanted number of voters. It promotes a learner that reports, of
 // the zone with the fewest voters first; nil = there are enough voters, or no learner qualifies.
-func (s *State) Voters(want int, reporting func(id uint64) bool) *Change {
+func (s *State) PromotionChange(want int, reporting func(id uint64) bool) *Change {
 	votersByZone := map[string]int{}
 	voterCount := 0
 	for _, m := range s.Members {
@@ -155,9 +155,9 @@
 	return &Change{Promote, *best}
 }
 
-// Gone derives the change that removes from raft a member which the maintenance state no longer contains;
+// RemovalChange derives the change that removes from raft a member which the maintenance state no longer contains;
 // nil = there is none, except perhaps self: the leader cannot remove itself.
-func (s *State) Gone(self uint64) *Change {
+func (s *State) RemovalChange(self uint64) *Change {
 	for _, m := range s.Members {
 		if m.ID != self && s.Work.Box(m.Name) == nil {
 			return &Change{Remove, m}
--- a/internal/fleet/controlclient/client.go
+++ b/internal/fleet/controlclient/client.go
@@ -31,8 +31,8 @@
 // Server is the app server as its session sees it. Its methods must not block.
 type Server struct {
 	Name string
-	Pool string      // address of its worker pool; "" = it offers none
-	Body driver.Body // its health, load and capacity
+	Pool string         // address of its worker pool; "" = it offers none
+	Body driver.Process // its health, load and capacity
 	// Applied returns the revision of the configuration in force.
 	Applied func() uint64
 	// Configure takes the documents that changed, as of a revision. It is called from a goroutine of its own, one call at a
@@ -123,7 +123,7 @@
 	if c.ticks%reconcileEach == 0 {
 		c.reconcile(time.Now().UnixMilli())
 	}
-	local := session.Local{Report: c.server.Body.Look(), Applied: c.server.Applied()}
+	local := session.Local{Report: c.server.Body.Report(), Applied: c.server.Applied()}
 	local.Report.Incarnation = c.client.Incarnation()
 	c.do(ctx, c.client.Tick(boottime.Now(), local))
 }
@@ -198,7 +198,7 @@
 		c.hold(false, now)
 		return
 	}
-	report := c.server.Body.Look()
+	report := c.server.Body.Report()
 	state := localState(c.client)
 	local := takeout.Local{Incarnation: c.client.Incarnation(), Warm: report.Warm, Open: report.Open, KeyedUntil: report.KeyedUntil, Held: c.heldSince, DrainFor: int64(c.options.DrainMs)}
 	act := takeout.Agent(&state, c.server.Name, local, now)
@@ -223,7 +223,7 @@
 	if on {
 		c.heldSince = now
 	}
-	c.server.Body.Hold(on)
+	c.server.Body.HoldHealth(on)
 }
 
 // localState returns the part of the agreed state of plans that is of this server, as its view has it.
--- a/internal/fleet/controlclient/client_test.go
+++ b/internal/fleet/controlclient/client_test.go
@@ -61,14 +61,14 @@
 	held  atomic.Bool
 }
 
-func (b *body) Look() takeout.Report {
+func (b *body) Report() takeout.Report {
 	if b.looks.Add(1) > 3 {
 		panic("no load")
 	}
 	return takeout.Report{Warm: true}
 }
 
-func (b *body) Hold(on bool) { b.held.Store(on) }
+func (b *body) HoldHealth(on bool) { b.held.Store(on) }
 
 // A panic ends the session alone, and says so.
 func TestAPanicEndsTheSessionAlone(t *testing.T) {
--- a/internal/fleet/controlnode/digest.go
+++ b/internal/fleet/controlnode/digest.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/session"
 )
@@ -71,7 +71,7 @@
 }
 
 // Receive implements driver.Module.
-func (s *sessions) Receive(from agree.Member, data []byte, _ time.Time) {
+func (s *sessions) Receive(from consensus.Member, data []byte, _ time.Time) {
 	m := new(message)
 	if err := decoder.Unmarshal(data, m); err != nil {
 		s.node.log.Debug("fleet", "do", "receive", "from", from.Name, "err", err)
@@ -151,8 +151,8 @@
 	}
 }
 
-// Lead implements driver.Module: the reports of all servers count in what the leader decides of plans.
-func (s *sessions) Lead(now time.Time) {
+// LeaderTick implements driver.Module: the reports of all servers count in what the leader decides of plans.
+func (s *sessions) LeaderTick(now time.Time) {
 	if s.leads() {
 		s.host.SetReports(s.collector.Reports(boottime.Now(), now.UnixMilli()))
 	}
@@ -176,8 +176,8 @@
 	return out
 }
 
-// Heard implements driver.Module.
-func (s *sessions) Heard(from agree.Member, data []byte, _ time.Time) {
+// ReceiveReport implements driver.Module.
+func (s *sessions) ReceiveReport(from consensus.Member, data []byte, _ time.Time) {
 	var report nodeReport
 	if err := decoder.Unmarshal(data, &report); err != nil {
 		s.node.log.Debug("fleet", "do", "report", "from", from.Name, "err", err)
@@ -185,6 +185,6 @@
 	}
 	s.nodes[from.Name] = report
 	maps.DeleteFunc(s.nodes, func(name string, _ nodeReport) bool {
-		return !slices.ContainsFunc(s.host.Members(), func(m agree.Member) bool { return m.Name == name })
+		return !slices.ContainsFunc(s.host.Members(), func(m consensus.Member) bool { return m.Name == name })
 	})
 }
--- a/internal/fleet/controlnode/documents.go
+++ b/internal/fleet/controlnode/documents.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/configuration"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/session"
 )
@@ -15,22 +15,22 @@
 // documents is the module with the agreed configuration. Every change of a document goes into the history in the order of
 // the log.
 type documents struct {
-	*agree.Agreed[configuration.State, configuration.Entry, *configuration.State]
+	*consensus.TypedStateMachine[configuration.State, configuration.Entry, *configuration.State]
 	baseModule
 	node *Node
 	host *driver.Host
 }
 
 func newDocuments(n *Node) *documents {
-	return &documents{Agreed: agree.NewAgreed[configuration.State, configuration.Entry](configurationPart), node: n}
+	return &documents{TypedStateMachine: consensus.NewTypedStateMachine[configuration.State, configuration.Entry](configurationPart), node: n}
 }
 
-// Begin implements driver.Module.
-func (d *documents) Begin(h *driver.Host) { d.host = h }
+// Start implements driver.Module.
+func (d *documents) Start(h *driver.Host) { d.host = h }
 
-// Apply implements agree.Part.
+// Apply implements consensus.StateMachine.
 func (d *documents) Apply(index uint64, entry []byte) error {
-	err := d.Agreed.Apply(index, entry)
+	err := d.TypedStateMachine.Apply(index, entry)
 	changed, ok := d.State.Changed()
 	if !ok {
 		return err
@@ -47,9 +47,9 @@
 	return err
 }
 
-// Load implements agree.Part.
+// Load implements consensus.StateMachine.
 func (d *documents) Load(state []byte) error {
-	err := d.Agreed.Load(state)
+	err := d.TypedStateMachine.Load(state)
 	d.node.sessions.restored = true
 	return err
 }
@@ -77,8 +77,8 @@
 // errNotReady is a fleet whose nodes do not all run a program that knows documents.
 var errNotReady = errors.New("not all control nodes are heard of, or run a program that knows configuration documents")
 
-// Order implements driver.Ordered.
-func (d *documents) Order(word []byte) (any, error) {
+// DecodeCommand implements driver.CommandHandler.
+func (d *documents) DecodeCommand(word []byte) (any, error) {
 	var command Command
 	if err := json.Unmarshal(word, &command); err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -90,7 +90,7 @@
 	if err := entry.Validate(); err != nil {
 		return nil, err
 	}
-	if !d.Began() && !d.host.Ready() {
+	if !d.Initialized() && !d.host.SupportedByAll() {
 		return nil, errNotReady
 	}
 	return entry, nil
@@ -110,8 +110,8 @@
 	return DocumentStatus{Key: document.Key, Bytes: len(document.Value), Revision: document.Revision, By: document.By, At: document.At}
 }
 
-// Stands implements driver.Ordered: all documents without their values.
-func (d *documents) Stands() any {
+// Status implements driver.CommandHandler: all documents without their values.
+func (d *documents) Status() any {
 	out := make([]DocumentStatus, len(d.State.Documents))
 	for i := range d.State.Documents {
 		out[i] = newDocumentStatus(&d.State.Documents[i])
@@ -119,7 +119,7 @@
 	return out
 }
 
-// Item implements driver.Itemized: one document with its value; nil = there is none.
+// Item implements driver.ItemReader: one document with its value; nil = there is none.
 func (d *documents) Item(key string) any {
 	document := d.State.Document(key)
 	if document == nil {
--- a/internal/fleet/controlnode/documents_test.go
+++ b/internal/fleet/controlnode/documents_test.go
@@ -4,8 +4,8 @@
 	"log/slog"
 	"testing"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/configuration"
+	"larchscale/internal/fleet/consensus"
 )
 
 // A node that gets raft's snapshot knows of the newest change also if that deleted a document: servers that have it are not
@@ -19,7 +19,7 @@
 		{Kind: configuration.Delete, Key: "b", By: "staff"},
 		{Kind: configuration.Delete, Key: "b", By: "staff"}, // there is none any longer: no change
 	} {
-		data, err := agree.Encode(&entry)
+		data, err := consensus.Encode(&entry)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/controlnode/leases.go
+++ b/internal/fleet/controlnode/leases.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
 )
@@ -13,7 +13,7 @@
 // leases is the module with the leases of all app servers. The leader renews them: what the nodes sent waits for a round
 // of raft's read index, and the grants go back to the node that the renewal came from.
 type leases struct {
-	*agree.Agreed[lease.State, lease.Entry, *lease.State]
+	*consensus.TypedStateMachine[lease.State, lease.Entry, *lease.State]
 	baseModule
 	node    *Node
 	host    *driver.Host
@@ -21,15 +21,15 @@
 	rounds  map[uint64]uint64 // reads that are not confirmed, to the granter's rounds
 }
 
-// Begin implements driver.Module.
-func (l *leases) Begin(h *driver.Host) { l.host = h }
+// Start implements driver.Module.
+func (l *leases) Start(h *driver.Host) { l.host = h }
 
 // ready reports whether entries of the part may be proposed: all nodes know it.
-func (l *leases) ready() bool { return l.Began() || l.host.Ready() }
+func (l *leases) ready() bool { return l.Initialized() || l.host.SupportedByAll() }
 
-// Load implements agree.Part.
+// Load implements consensus.StateMachine.
 func (l *leases) Load(state []byte) error {
-	err := l.Agreed.Load(state)
+	err := l.TypedStateMachine.Load(state)
 	l.node.sessions.restored = true
 	return err
 }
@@ -48,7 +48,7 @@
 // renew takes renewals that came from a node.
 func (l *leases) renew(renewals []lease.Renewal, at time.Duration) {
 	term, leads := l.host.Leads()
-	if !leads || !l.Began() {
+	if !leads || !l.Initialized() {
 		return
 	}
 	l.granter.Lead(term, at)
@@ -66,7 +66,7 @@
 	if !ok {
 		return
 	}
-	read, err := l.host.Read()
+	read, err := l.host.ReadIndex()
 	if err != nil {
 		l.host.Log().Debug("fleet", "do", "round", "err", err)
 		return
@@ -74,8 +74,8 @@
 	l.rounds[read] = round
 }
 
-// Read implements driver.Module: a round is confirmed, and with it all before it.
-func (l *leases) Read(id uint64, _ time.Time) {
+// ReadConfirmed implements driver.Module: a round is confirmed, and with it all before it.
+func (l *leases) ReadConfirmed(id uint64, _ time.Time) {
 	round, ok := l.rounds[id]
 	if !ok {
 		return
@@ -88,9 +88,9 @@
 	l.node.sessions.sendGrants(l.granter.Confirmed(&l.State, round))
 }
 
-// Lead implements driver.Module: the leader declares those lost whose lease is over by every clock.
-func (l *leases) Lead(time.Time) {
-	if !l.Began() {
+// LeaderTick implements driver.Module: the leader declares those lost whose lease is over by every clock.
+func (l *leases) LeaderTick(time.Time) {
+	if !l.Initialized() {
 		return
 	}
 	term, _ := l.host.Leads()
@@ -102,7 +102,7 @@
 			l.granter.Refused(entry.Box, entry.Life)
 		}
 	}
-	work := l.host.Work()
+	work := l.host.MaintenanceState()
 	for i := range l.State.Boxes {
 		if b := &l.State.Boxes[i]; b.Lost && work.Box(b.Name) == nil {
 			l.propose(lease.Entry{Kind: lease.Gone, Box: b.Name}, true)
@@ -116,8 +116,8 @@
 	}
 }
 
-// Lines implements driver.Module.
-func (l *leases) Lines(time.Time) []byte {
+// Metrics implements driver.Module.
+func (l *leases) Metrics(time.Time) []byte {
 	lives := 0
 	for i := range l.State.Boxes {
 		if !l.State.Boxes[i].Lost {
--- a/internal/fleet/controlnode/node.go
+++ b/internal/fleet/controlnode/node.go
@@ -8,7 +8,7 @@
 	"log/slog"
 	"time"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/stream"
@@ -49,7 +49,7 @@
 // New returns a node whose sessions can be accepted once its modules have begun.
 func New(options Options, log *slog.Logger) *Node {
 	n := &Node{options: options, log: log}
-	n.leases = &leases{Agreed: agree.NewAgreed[lease.State, lease.Entry](leasePart), node: n, granter: lease.NewGranter(lease.ControlTierTerms), rounds: map[uint64]uint64{}}
+	n.leases = &leases{TypedStateMachine: consensus.NewTypedStateMachine[lease.State, lease.Entry](leasePart), node: n, granter: lease.NewGranter(lease.ControlTierTerms), rounds: map[uint64]uint64{}}
 	n.documents = newDocuments(n)
 	n.sessions = newSessions(n)
 	return n
@@ -66,41 +66,41 @@
 // Drain has the node take no more sessions and end those that it has. The channel is closed when there are none.
 func (n *Node) Drain() <-chan struct{} { return n.sessions.drain() }
 
-// Look implements driver.Body: a control node is always warm, and no capacity is lost with it. What is open on it are its
+// Report implements driver.Process: a control node is always warm, and no capacity is lost with it. What is open on it are its
 // sessions.
-func (n *Node) Look() takeout.Report {
+func (n *Node) Report() takeout.Report {
 	return takeout.Report{Warm: true, Open: int(n.sessions.count.Load())}
 }
 
-// Hold implements driver.Body: a node that is taken out sends its sessions to the others, and takes none until it is in again.
-func (n *Node) Hold(on bool) { n.sessions.held.Store(on) }
+// HoldHealth implements driver.Process: a node that is taken out sends its sessions to the others, and takes none until it is in again.
+func (n *Node) HoldHealth(on bool) { n.sessions.held.Store(on) }
 
 // baseModule implements the methods of driver.Module that a module has no use for.
 type baseModule struct{}
 
-// Applied implements driver.Module.
-func (baseModule) Applied(time.Time) {}
+// StateChanged implements driver.Module.
+func (baseModule) StateChanged(time.Time) {}
 
 // Tick implements driver.Module.
 func (baseModule) Tick(time.Time) {}
 
-// Lead implements driver.Module.
-func (baseModule) Lead(time.Time) {}
+// LeaderTick implements driver.Module.
+func (baseModule) LeaderTick(time.Time) {}
 
-// Read implements driver.Module.
-func (baseModule) Read(uint64, time.Time) {}
+// ReadConfirmed implements driver.Module.
+func (baseModule) ReadConfirmed(uint64, time.Time) {}
 
 // Report implements driver.Module.
 func (baseModule) Report(time.Time) []byte { return nil }
 
-// Heard implements driver.Module.
-func (baseModule) Heard(agree.Member, []byte, time.Time) {}
+// ReceiveReport implements driver.Module.
+func (baseModule) ReceiveReport(consensus.Member, []byte, time.Time) {}
 
 // Receive implements driver.Module.
-func (baseModule) Receive(agree.Member, []byte, time.Time) {}
+func (baseModule) Receive(consensus.Member, []byte, time.Time) {}
 
-// Lines implements driver.Module.
-func (baseModule) Lines(time.Time) []byte { return nil }
+// Metrics implements driver.Module.
+func (baseModule) Metrics(time.Time) []byte { return nil }
 
-// End implements driver.Module.
-func (baseModule) End() {}
+// Stop implements driver.Module.
+func (baseModule) Stop() {}
--- a/internal/fleet/controlnode/propose.go
+++ b/internal/fleet/controlnode/propose.go
@@ -14,11 +14,11 @@
 
 // join has the server of a session made a member of the fleet, if it is none or has moved to another zone.
 func (s *sessions) join(p *peer, at time.Duration) {
-	box := s.host.Work().Box(p.hello.Server)
+	box := s.host.MaintenanceState().Box(p.hello.Server)
 	if box != nil && box.Zone == p.hello.Zone || !elapsed(&p.joinedAt, at) {
 		return
 	}
-	s.host.ProposeWork(takeout.Entry{Kind: takeout.Join, At: time.Now().UnixMilli(), Box: p.hello.Server, Zone: p.hello.Zone})
+	s.host.ProposeMaintenance(takeout.Entry{Kind: takeout.Join, At: time.Now().UnixMilli(), Box: p.hello.Server, Zone: p.hello.Zone})
 }
 
 // propose asks for what a server proposes of itself. What it says of others, or of another process, is dropped.
@@ -33,14 +33,14 @@
 }
 
 func (s *sessions) proposeStep(p *peer, phase takeout.Phase, at time.Duration) {
-	if s.host.Work().Box(p.hello.Server) == nil {
+	if s.host.MaintenanceState().Box(p.hello.Server) == nil {
 		return // it joins first
 	}
 	if phase != p.steppedFor {
 		p.steppedFor, p.steppedAt = phase, 0
 	}
 	if elapsed(&p.steppedAt, at) {
-		s.host.ProposeWork(takeout.Entry{Kind: takeout.Step, At: time.Now().UnixMilli(), Box: p.hello.Server, Incarnation: p.hello.Incarnation, Phase: phase})
+		s.host.ProposeMaintenance(takeout.Entry{Kind: takeout.Step, At: time.Now().UnixMilli(), Box: p.hello.Server, Incarnation: p.hello.Incarnation, Phase: phase})
 	}
 }
 
@@ -64,7 +64,7 @@
 
 // found proposes which fleet this is, as the leader, once all nodes know the part.
 func (s *sessions) found() {
-	if _, leads := s.host.Leads(); leads && s.host.Ready() {
+	if _, leads := s.host.Leads(); leads && s.host.SupportedByAll() {
 		if err := s.host.Propose(identityEntry{Fleet: 1 + rand.Uint64N(1<<63)}, true); err != nil {
 			s.node.log.Debug("fleet", "do", "found", "err", err)
 		}
--- a/internal/fleet/controlnode/publish.go
+++ b/internal/fleet/controlnode/publish.go
@@ -12,14 +12,14 @@
 // recentUpdates bounds what a node keeps for servers that are a little behind.
 var recentUpdates = watch.Limits{Bytes: 4 << 20, Updates: 1 << 14}
 
-// Load implements agree.Part.
+// Load implements consensus.StateMachine.
 func (s *sessions) Load(state []byte) error {
 	s.restored = true
-	return s.Agreed.Load(state)
+	return s.TypedStateMachine.Load(state)
 }
 
-// Applied implements driver.Module: what the log changed goes into the history, and to the sessions.
-func (s *sessions) Applied(time.Time) {
+// StateChanged implements driver.Module: what the log changed goes into the history, and to the sessions.
+func (s *sessions) StateChanged(time.Time) {
 	s.begin()
 	index := s.host.Index()
 	if s.restored {
@@ -47,7 +47,7 @@
 // publish puts what is agreed of those servers into the history for which it changed, as of a revision. Both lists are in
 // the order of names.
 func (s *sessions) publish(revision uint64) {
-	work, leases := s.host.Work(), &s.node.leases.State
+	work, leases := s.host.MaintenanceState(), &s.node.leases.State
 	if work.Index == s.worked && leases.Index == s.leased {
 		return
 	}
--- a/internal/fleet/controlnode/refusals_test.go
+++ b/internal/fleet/controlnode/refusals_test.go
@@ -127,7 +127,7 @@
 			f.t.Errorf("%s with a server's certificate: %v", path, err)
 		}
 	}
-	if _, err := driver.State(ctx, client); err != nil {
+	if _, err := driver.FetchStatus(ctx, client); err != nil {
 		f.t.Errorf("the state with a server's certificate: %v", err)
 	}
 }
--- a/internal/fleet/controlnode/sessions.go
+++ b/internal/fleet/controlnode/sessions.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 	"time"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/watch"
@@ -37,7 +37,7 @@
 
 // sessions is the module with the sessions of this node, and as the leader with the sum of all nodes'.
 type sessions struct {
-	*agree.Agreed[identity, identityEntry, *identity]
+	*consensus.TypedStateMachine[identity, identityEntry, *identity]
 	baseModule
 	node *Node
 	host *driver.Host // set before begun is closed
@@ -78,13 +78,13 @@
 }
 
 func newSessions(n *Node) *sessions {
-	return &sessions{Agreed: agree.NewAgreed[identity, identityEntry](SessionPart), node: n,
+	return &sessions{TypedStateMachine: consensus.NewTypedStateMachine[identity, identityEntry](SessionPart), node: n,
 		begun: make(chan struct{}), over: make(chan struct{}), drained: make(chan struct{}),
 		history: watch.NewHistory(recentUpdates), published: map[string]standing{}, peers: map[uint64]*peer{}, nodes: map[string]nodeReport{}, fresh: true}
 }
 
-// Begin implements driver.Module.
-func (s *sessions) Begin(h *driver.Host) {
+// Start implements driver.Module.
+func (s *sessions) Start(h *driver.Host) {
 	s.host = h
 	s.rebuild()
 	s.begin()
@@ -109,7 +109,7 @@
 	enter := !s.entered
 	s.entered = true
 	s.mu.Unlock()
-	if enter && !s.host.Enter(s.receiveAll) { // the next tick looks
+	if enter && !s.host.Enqueue(s.receiveAll) { // the next tick looks
 		s.mu.Lock()
 		s.entered = false
 		s.mu.Unlock()
@@ -253,8 +253,8 @@
 	}
 }
 
-// End implements driver.Module: a node that takes no part any longer has no sessions.
-func (s *sessions) End() {
+// Stop implements driver.Module: a node that takes no part any longer has no sessions.
+func (s *sessions) Stop() {
 	close(s.over)
 	select {
 	case <-s.drained:
@@ -263,8 +263,8 @@
 	}
 }
 
-// Lines implements driver.Module.
-func (s *sessions) Lines(time.Time) []byte {
+// Metrics implements driver.Module.
+func (s *sessions) Metrics(time.Time) []byte {
 	own := s.nodeReport()
 	out := fmt.Appendf(nil, "fleet.sessions=%d\nfleet.revision=%d\nfleet.configuration=%d\nfleet.restored=%d\n", own.Sessions, own.Revision, s.node.documents.newest(), s.restores)
 	if s.leads() {
--- a/internal/fleet/controlnode/snapshot_test.go
+++ b/internal/fleet/controlnode/snapshot_test.go
@@ -60,7 +60,7 @@
 				if err != nil {
 					f.t.Error(err)
 				}
-				if err := driver.Say(f.t.Context(), client, driver.Word{Part: controlnode.ConfigurationPart, Data: data}); err != nil {
+				if err := driver.SendCommand(f.t.Context(), client, driver.Command{Part: controlnode.ConfigurationPart, Data: data}); err != nil {
 					f.t.Error(err)
 				}
 			}
--- a/internal/fleet/controlnode/status.go
+++ b/internal/fleet/controlnode/status.go
@@ -35,13 +35,13 @@
 	Revision uint64 // that it has applied
 }
 
-// Order implements driver.Ordered.
-func (s *sessions) Order([]byte) (any, error) {
+// DecodeCommand implements driver.CommandHandler.
+func (s *sessions) DecodeCommand([]byte) (any, error) {
 	return nil, errors.New("sessions take no commands")
 }
 
-// Stands implements driver.Ordered.
-func (s *sessions) Stands() any {
+// Status implements driver.CommandHandler.
+func (s *sessions) Status() any {
 	self := s.host.Self().Name
 	own := s.nodeReport()
 	out := Status{Node: self, Leader: s.host.Leader(), Fleet: s.State.Fleet, Configuration: s.node.documents.newest(), Digest: s.node.documents.State.Digest(), Nodes: []NodeStatus{own.status(self)}}
--- a/internal/fleet/controlnode/tier_test.go
+++ b/internal/fleet/controlnode/tier_test.go
@@ -54,13 +54,13 @@
 	stop    func()
 }
 
-// Look implements driver.Body.
-func (s *testServer) Look() takeout.Report {
+// Report implements driver.Process.
+func (s *testServer) Report() takeout.Report {
 	return takeout.Report{Warm: true, Capacity: 100, Load: 30}
 }
 
-// Hold implements driver.Body.
-func (s *testServer) Hold(on bool) { s.held.Store(on) }
+// HoldHealth implements driver.Process.
+func (s *testServer) HoldHealth(on bool) { s.held.Store(on) }
 
 // tier is a control tier with servers, all in one process.
 type tier struct {
@@ -94,7 +94,7 @@
 		n.start()
 	}
 	t.Cleanup(f.close)
-	f.until("the fleet is founded", func() bool { return f.nodes[0].say(driver.Word{Found: true}) == nil })
+	f.until("the fleet is founded", func() bool { return f.nodes[0].say(driver.Command{Found: true}) == nil })
 	for i := range servers {
 		f.serve(fmt.Sprint("app-", i+1))
 	}
@@ -189,7 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accept := &stream.Server{TLS: config, Silence: session.Expiry, MaxSessions: 64, Meter: &stream.Meter{}, Log: n.tier.log, Accept: n.node.Accept}
+	accept := &stream.Server{TLS: config, ReadTimeout: session.Expiry, MaxSessions: 64, Meter: &stream.Meter{}, Log: n.tier.log, Accept: n.node.Accept}
 	ctx, end := context.WithCancel(context.Background())
 	var running []chan struct{}
 	for _, run := range []func(){
@@ -220,13 +220,13 @@
 	defer client.Close()
 	ctx, stop := context.WithTimeout(context.Background(), 2*time.Second)
 	defer stop()
-	return driver.State(ctx, client)
+	return driver.FetchStatus(ctx, client)
 }
 
-func (n *testNode) say(word driver.Word) error {
+func (n *testNode) say(word driver.Command) error {
 	client := n.link.Dial(n.name, n.addr)
 	defer client.Close()
-	return driver.Say(n.tier.t.Context(), client, word)
+	return driver.SendCommand(n.tier.t.Context(), client, word)
 }
 
 // metric returns a metric of the node; -1 = it is not there.
@@ -234,7 +234,7 @@
 	if n.stop == nil {
 		return -1
 	}
-	return metric(n.driver.Lines(), name)
+	return metric(n.driver.Metrics(), name)
 }
 
 func metric(lines []byte, name string) int {
@@ -415,7 +415,7 @@
 		f.t.Fatal(err)
 	}
 	f.until("the command is agreed", func() bool {
-		err := f.nodes[2].say(driver.Word{Part: controlnode.ConfigurationPart, Data: data})
+		err := f.nodes[2].say(driver.Command{Part: controlnode.ConfigurationPart, Data: data})
 		return err == nil || command.Delete && strings.Contains(err.Error(), "unknown document")
 	})
 }
@@ -429,7 +429,7 @@
 	client := leader.link.Dial(leader.name, leader.addr)
 	defer client.Close()
 	var status controlnode.Status
-	if err := driver.Stands(f.t.Context(), client, controlnode.SessionPart, &status); err != nil {
+	if err := driver.FetchModuleStatus(f.t.Context(), client, controlnode.SessionPart, &status); err != nil {
 		return false
 	}
 	sessions := 0
@@ -443,7 +443,7 @@
 func (f *tier) item(key string, into *controlnode.DocumentStatus) (bool, error) {
 	client := f.nodes[0].link.Dial(f.nodes[0].name, f.nodes[0].addr)
 	defer client.Close()
-	return driver.Item(f.t.Context(), client, controlnode.ConfigurationPart, key, into)
+	return driver.FetchItem(f.t.Context(), client, controlnode.ConfigurationPart, key, into)
 }
 
 // takeOut has a plan take out a server, which is another process afterwards.
@@ -457,7 +457,7 @@
 	}
 	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{name}, Most: 1, Floor: 0.1}
 	f.until("the plan is taken", func() bool {
-		return f.nodes[1].say(driver.Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return f.nodes[1].say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
 	})
 	f.until(name+" is out", func() bool { return server.metric("fleet.phase") == int(takeout.Out) && server.held.Load() })
 	server.stop()
@@ -513,7 +513,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := old.driver.HandOver(ctx); err != nil {
+		if err := old.driver.TransferLeadership(ctx); err != nil {
 			t.Fatal(err)
 		}
 		after, err := old.state()
@@ -521,7 +521,7 @@
 			t.Fatalf("%s led in term %d, now %q in term %d, %v", old.name, before.Term, after.Leader, after.Term, err)
 		}
 		f.until("all servers have leases of the new leader", func() bool { return f.settled() && f.leader().name == after.Leader })
-		if err := old.driver.HandOver(ctx); err != nil {
+		if err := old.driver.TransferLeadership(ctx); err != nil {
 			t.Errorf("%s does not lead and has nothing to hand over: %v", old.name, err)
 		}
 	}
@@ -531,7 +531,7 @@
 func TestNobodyToHandOverTo(t *testing.T) {
 	f := newTier(t, 1, 0, false)
 	f.until("the node leads", func() bool { return f.leader() != nil })
-	if err := f.nodes[0].driver.HandOver(t.Context()); !errors.Is(err, driver.ErrNoSuccessor) {
+	if err := f.nodes[0].driver.TransferLeadership(t.Context()); !errors.Is(err, driver.ErrNoSuccessor) {
 		t.Error(err)
 	}
 }
@@ -551,7 +551,7 @@
 	t.Logf("%s is taken out with %d of 5 sessions", out.name, out.metric("fleet.sessions"))
 	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{out.name}, Most: 1, Floor: 0.1}
 	f.until("the plan is taken", func() bool {
-		return out.say(driver.Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return out.say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
 	})
 	f.until(out.name+" is out", func() bool {
 		status, err := out.state()
@@ -587,10 +587,10 @@
 	f := newTier(t, 1, 1, false)
 	f.until("the server has a lease", f.settled)
 	n := f.nodes[0]
-	n.node.Hold(true)
-	f.until("the session has ended", func() bool { return n.openSessions() == 0 && n.node.Look().Open == 0 })
-	n.node.Hold(false)
-	f.until("the server has a session again", func() bool { return f.settled() && n.openSessions() == 1 && n.node.Look().Open == 1 })
+	n.node.HoldHealth(true)
+	f.until("the session has ended", func() bool { return n.openSessions() == 0 && n.node.Report().Open == 0 })
+	n.node.HoldHealth(false)
+	f.until("the server has a session again", func() bool { return f.settled() && n.openSessions() == 1 && n.node.Report().Open == 1 })
 }
 
 // openSessions asks a node how many sessions it has at this moment; -1 = it does not answer.
@@ -598,7 +598,7 @@
 	client := n.link.Dial(n.name, n.addr)
 	defer client.Close()
 	var status controlnode.Status
-	if err := driver.Stands(n.tier.t.Context(), client, controlnode.SessionPart, &status); err != nil {
+	if err := driver.FetchModuleStatus(n.tier.t.Context(), client, controlnode.SessionPart, &status); err != nil {
 		return -1
 	}
 	for _, node := range status.Nodes {
--- a/internal/fleet/driver/client.go
+++ b/internal/fleet/driver/client.go
@@ -12,8 +12,8 @@
 	"larchscale/internal/link"
 )
 
-// State asks a server for its status.
-func State(ctx context.Context, c *link.Client) (s Status, err error) {
+// FetchStatus asks a server for its status.
+func FetchStatus(ctx context.Context, c *link.Client) (s Status, err error) {
 	body, err := c.Get(ctx, "/fleet/state", nil)
 	if err == nil {
 		err = json.Unmarshal(body, &s)
@@ -21,8 +21,8 @@
 	return s, err
 }
 
-// Stands asks a server for the status of a module, and decodes it into s.
-func Stands(ctx context.Context, c *link.Client, module string, s any) error {
+// FetchModuleStatus asks a server for the status of a module, and decodes it into s.
+func FetchModuleStatus(ctx context.Context, c *link.Client, module string, s any) error {
 	body, err := c.Get(ctx, "/fleet/state", url.Values{"part": {module}})
 	if err == nil {
 		err = json.Unmarshal(body, s)
@@ -30,8 +30,8 @@
 	return err
 }
 
-// Item asks a server for one item of a module's state, and decodes it into s; false = there is none.
-func Item(ctx context.Context, c *link.Client, module, key string, s any) (found bool, err error) {
+// FetchItem asks a server for one item of a module's state, and decodes it into s; false = there is none.
+func FetchItem(ctx context.Context, c *link.Client, module, key string, s any) (found bool, err error) {
 	body, err := c.Get(ctx, "/fleet/state", url.Values{"part": {module}, "key": {key}})
 	if errors.Is(err, link.ErrNotFound) {
 		return false, nil
@@ -42,9 +42,9 @@
 	return err == nil, err
 }
 
-// Say sends a command of an operator to a server. It returns the command's error, or that the server did not
+// SendCommand sends a command of an operator to a server. It returns the command's error, or that the server did not
 // answer.
-func Say(ctx context.Context, c *link.Client, command Word) error {
+func SendCommand(ctx context.Context, c *link.Client, command Command) error {
 	request, err := json.Marshal(command)
 	if err != nil {
 		return err
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	var answer Answer
+	var answer CommandResult
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return err
 	}
@@ -63,9 +63,9 @@
 	return nil
 }
 
-// Would predicts what a plan would lead to if it were proposed now: the order of its servers, and what its first
+// PredictPlan predicts what a plan would lead to if it were proposed now: the order of its servers, and what its first
 // grant would wait for, as far as the reports in the status tell. Nothing is changed.
-func Would(status Status, plan takeout.Plan, now time.Time) (outcome struct {
+func PredictPlan(status Status, plan takeout.Plan, now time.Time) (outcome struct {
 	Order []takeout.Place
 	Waits []takeout.Wait
 }, err error) {
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -16,7 +16,7 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/raftlog"
 	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
@@ -41,22 +41,22 @@
 	expiresAtTick int        // the tick after which nobody waits any longer
 }
 
-// Body is this process as the driver sees it. Its methods must not block.
-type Body interface {
-	// Look returns the current report on this process. The driver fills in its incarnation and the time.
-	Look() takeout.Report
-	// Hold makes the health check fail, or ends that.
-	Hold(on bool)
+// Process is this process as the driver sees it. Its methods must not block.
+type Process interface {
+	// Report returns the current report on this process. The driver fills in its incarnation and the time.
+	Report() takeout.Report
+	// HoldHealth makes the health check fail, or ends that.
+	HoldHealth(on bool)
 }
 
 // Driver is a server's membership of the fleet.
 type Driver struct {
 	opt           Options
-	self          agree.Member
+	self          consensus.Member
 	joinTargets   []link.Peer       // servers of the configuration, asked in turn to admit this one
 	addrOverrides map[string]string // addresses by server name that replace those of the replicated state
 	link          *link.Link
-	process       Body
+	process       Process
 	log           *slog.Logger
 	queue         chan func()
 	done          chan struct{}
@@ -68,7 +68,7 @@
 	modules          []Module
 	supportedModules map[uint64][]string // by member id, the names of the modules that the member's program has
 	pendingReads     map[uint64]pendingRead
-	node             *agree.Node
+	node             *consensus.Node
 	store            *raftlog.Log
 	incarnation      uint64
 	ticks            int
@@ -81,17 +81,17 @@
 	lastToken        uint64
 	transferTarget   uint64 // raft's id of the voter that transfer chose; 0 = none
 	pendingProposals map[uint64]pendingProposal
-	lastSender       agree.Member // the sender of the newest messages, who gets the replies until the members are known
+	lastSender       consensus.Member // the sender of the newest messages, who gets the replies until the members are known
 	joinSender       *sender
 	joinAttempts     int
 	decision         takeout.Decision
 	action           takeout.Act
-	metrics          atomic.Pointer[Figures]
+	metrics          atomic.Pointer[Metrics]
 }
 
 // New opens the fleet's log of a server. addr is where other servers reach it. The modules have to be new; the driver
 // owns them from here on.
-func New(opt Options, name, addr string, joinTargets []link.Peer, l *link.Link, process Body, log *slog.Logger, modules ...Module) (*Driver, error) {
+func New(opt Options, name, addr string, joinTargets []link.Peer, l *link.Link, process Process, log *slog.Logger, modules ...Module) (*Driver, error) {
 	dir := wal.Dir(opt.Dir)
 	if err := dir.Make(); err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
@@ -104,7 +104,7 @@
 	for _, server := range joinTargets {
 		addrOverrides[server.Name] = server.Addr
 	}
-	d := &Driver{opt: opt, self: agree.Member{Name: name, Zone: opt.Zone, Addr: addr}, joinTargets: joinTargets, addrOverrides: addrOverrides, link: l, process: process, log: log, lock: lock,
+	d := &Driver{opt: opt, self: consensus.Member{Name: name, Zone: opt.Zone, Addr: addr}, joinTargets: joinTargets, addrOverrides: addrOverrides, link: l, process: process, log: log, lock: lock,
 		queue: make(chan func(), maxQueuedEvents), done: make(chan struct{}), reports: map[string]takeout.Report{}, senders: map[uint64]*sender{}, pendingProposals: map[uint64]pendingProposal{}, joinAttempts: rand.IntN(max(1, len(joinTargets))),
 		modules: modules, supportedModules: map[uint64][]string{}, pendingReads: map[uint64]pendingRead{}}
 	if err := d.open(); err != nil {
@@ -139,11 +139,11 @@
 }
 
 func (d *Driver) startNode() (err error) {
-	machines := make([]agree.Part, len(d.modules))
+	machines := make([]consensus.StateMachine, len(d.modules))
 	for i, m := range d.modules {
 		machines[i] = m
 	}
-	d.node, err = agree.New(d.store, raftLogger{d.log}, machines...)
+	d.node, err = consensus.New(d.store, raftLogger{d.log}, machines...)
 	return err
 }
 
@@ -155,7 +155,7 @@
 			d.log.Error("fleet", "do", "panic", "err", p, "stack", string(debug.Stack()))
 		}
 		for _, m := range d.modules {
-			m.End()
+			m.Stop()
 		}
 		for _, s := range d.senders {
 			s.close()
@@ -168,7 +168,7 @@
 	}()
 	d.ctx = ctx
 	for _, m := range d.modules {
-		m.Begin(&Host{d, m.Name()})
+		m.Start(&Host{d, m.Name()})
 	}
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
@@ -239,14 +239,14 @@
 		return
 	}
 	// A plan may be waiting for the change.
-	if r := d.process.Look(); r.Warm != d.lastReport.Warm || r.Failing != d.lastReport.Failing {
+	if r := d.process.Report(); r.Warm != d.lastReport.Warm || r.Failing != d.lastReport.Failing {
 		d.sendReport(ctx, now)
 	}
 	d.actOnState(now)
 	if _, leads := d.node.Leads(); leads {
 		d.lead(now)
 		for _, m := range d.modules {
-			m.Lead(now)
+			m.LeaderTick(now)
 		}
 	}
 }
@@ -280,15 +280,15 @@
 	now := time.Now()
 	if len(out.Applied) > 0 || out.Restored {
 		for _, m := range d.modules {
-			m.Applied(now)
+			m.StateChanged(now)
 		}
 	}
 	d.deliverReads(out.Reads, now)
 	for _, m := range out.Messages {
 		if !d.senderTo(ctx, m.To).queueMessage(outgoingMessage{m.Data, m.Snapshot}) {
-			d.node.Unreachable(m.To)
+			d.node.ReportUnreachable(m.To)
 			if m.Snapshot {
-				d.node.SnapshotSent(m.To, false)
+				d.node.ReportSnapshot(m.To, false)
 			}
 		}
 	}
@@ -306,7 +306,7 @@
 }
 
 // receive processes raft messages. A server that is being admitted knows no members yet: it answers the sender.
-func (d *Driver) receive(from agree.Member, messages [][]byte) {
+func (d *Driver) receive(from consensus.Member, messages [][]byte) {
 	d.lastSender = from
 	for _, m := range messages {
 		if err := d.node.Receive(m); err != nil {
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -21,10 +21,10 @@
 // fakeProcess is a process that is warm and has no open requests.
 type fakeProcess struct{ healthHeld atomic.Bool }
 
-func (s *fakeProcess) Look() takeout.Report {
+func (s *fakeProcess) Report() takeout.Report {
 	return takeout.Report{Warm: true, Capacity: 100, Load: 30}
 }
-func (s *fakeProcess) Hold(on bool) { s.healthHeld.Store(on) }
+func (s *fakeProcess) HoldHealth(on bool) { s.healthHeld.Store(on) }
 
 // testServer is a server with a directory and an address that outlive its processes.
 type testServer struct {
@@ -74,15 +74,15 @@
 func (s *testServer) state() (Status, bool) {
 	client := s.link.Dial(s.name, s.addr)
 	defer client.Close()
-	status, err := State(context.Background(), client)
+	status, err := FetchStatus(context.Background(), client)
 	return status, err == nil
 }
 
 // command sends a command, and returns its error; "" = success.
-func (s *testServer) command(command Word) string {
+func (s *testServer) command(command Command) string {
 	client := s.link.Dial(s.name, s.addr)
 	defer client.Close()
-	if err := Say(s.t.Context(), client, command); err != nil {
+	if err := SendCommand(s.t.Context(), client, command); err != nil {
 		return err.Error()
 	}
 	return ""
@@ -128,10 +128,10 @@
 			}
 		}
 	}()
-	if errText := all[0].command(Word{Found: true}); errText != "" {
+	if errText := all[0].command(Command{Found: true}); errText != "" {
 		t.Fatal(errText)
 	}
-	if errText := all[0].command(Word{Found: true}); errText == "" {
+	if errText := all[0].command(Command{Found: true}); errText == "" {
 		t.Fatal("a second fleet was founded on the same log")
 	}
 	until(t, "three voters in service", func() bool {
@@ -149,10 +149,10 @@
 		return true
 	})
 	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{"n1", "n2", "n3"}, Most: 1, Floor: 0.1}
-	if errText := all[2].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}); errText != "" {
+	if errText := all[2].command(Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}); errText != "" {
 		t.Fatal(errText)
 	}
-	if errText := all[1].command(Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); errText == "" {
+	if errText := all[1].command(Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); errText == "" {
 		t.Fatal("a plan for an unknown server was accepted")
 	}
 	outCount := map[string]int{}
@@ -234,7 +234,7 @@
 			t.Errorf("%s %q: %d, want %d", c.path, c.body, res.StatusCode, c.code)
 		}
 	}
-	if errText := s.command(Word{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "p"}}}); errText == "" {
+	if errText := s.command(Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "p"}}}); errText == "" {
 		t.Error("a command was accepted without a leader")
 	}
 	if _, ok := s.state(); !ok {
--- a/internal/fleet/driver/figures.go
+++ b/internal/fleet/driver/figures.go
@@ -7,8 +7,8 @@
 	"larchscale/internal/fleet/takeout"
 )
 
-// Figures are the fleet's metrics on the admin endpoint, as this server sees the fleet.
-type Figures struct {
+// Metrics are the fleet's metrics on the admin endpoint, as this server sees the fleet.
+type Metrics struct {
 	Leader  bool // this server is the leader
 	Known   bool // a leader is known: a majority is connected
 	Term    uint64
@@ -22,8 +22,8 @@
 	modules []byte // metrics of the modules
 }
 
-// Lines returns the metrics as lines of the admin endpoint. It is safe for concurrent use.
-func (d *Driver) Lines() []byte {
+// Metrics returns the metrics as lines of the admin endpoint. It is safe for concurrent use.
+func (d *Driver) Metrics() []byte {
 	f := d.metrics.Load()
 	if f == nil {
 		return nil
@@ -36,7 +36,7 @@
 // publishMetrics updates what Driver.Metrics returns.
 func (d *Driver) publishMetrics(now time.Time) {
 	s := d.node.State()
-	f := &Figures{Index: s.Work.Index, Members: len(s.Members), Out: s.Work.Away(), Known: d.node.Leader() != 0}
+	f := &Metrics{Index: s.Work.Index, Members: len(s.Members), Out: s.Work.Away(), Known: d.node.Leader() != 0}
 	f.Term, f.Leader = d.node.Leads()
 	me := s.Member(d.self.ID)
 	for _, m := range s.Members {
@@ -56,7 +56,7 @@
 		f.Phase = b.Phase
 	}
 	for _, m := range d.modules {
-		f.modules = append(f.modules, m.Lines(now)...)
+		f.modules = append(f.modules, m.Metrics(now)...)
 	}
 	d.metrics.Store(f)
 }
--- a/internal/fleet/driver/fleet_test.go
+++ b/internal/fleet/driver/fleet_test.go
@@ -281,7 +281,7 @@
 			f.must(m.FullDisk())
 			f.must(standin.Until("its membership ends", 20*time.Second, func() bool {
 				// The entry is written to the log even though it is refused.
-				f.Member("n3").Say(t.Context(), driver.Word{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
+				f.Member("n3").Say(t.Context(), driver.Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
 				return strings.Contains(m.Log(), "do=keep")
 			}))
 			l, err := standin.DialLine(m.Listen)
--- a/internal/fleet/driver/handover.go
+++ b/internal/fleet/driver/handover.go
@@ -7,17 +7,17 @@
 	"slices"
 	"time"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
 // ErrNoSuccessor means that no other voter can become the leader.
 var ErrNoSuccessor = errors.New("no other voter is reporting, warm and in service")
 
-// HandOver transfers the leadership to another voter if this server has it. It returns once another server
+// TransferLeadership transfers the leadership to another voter if this server has it. It returns once another server
 // leads or the context ends. It is called from outside the loop, before the process ends, so that the others need not
 // wait for an election timeout.
-func (d *Driver) HandOver(ctx context.Context) error {
+func (d *Driver) TransferLeadership(ctx context.Context) error {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	for wasLeader := false; ; {
@@ -52,7 +52,7 @@
 
 // soleVoter reports whether no other server votes.
 func (d *Driver) soleVoter() bool {
-	return !slices.ContainsFunc(d.node.State().Members, func(m agree.Member) bool { return m.Voter && m.ID != d.self.ID })
+	return !slices.ContainsFunc(d.node.State().Members, func(m consensus.Member) bool { return m.Voter && m.ID != d.self.ID })
 }
 
 // runOnLoop runs a function on the loop, and returns its result.
@@ -81,12 +81,12 @@
 		d.transferTarget = m.ID
 		d.log.Info("fleet", "do", "hand over", "to", m.Name)
 	}
-	d.node.Transfer(m.ID)
+	d.node.TransferLeadership(m.ID)
 	return nil
 }
 
 // successor returns the first voter that reports, is warm and is in service; nil = there is none.
-func (d *Driver) successor(now time.Time) *agree.Member {
+func (d *Driver) successor(now time.Time) *consensus.Member {
 	s := d.node.State()
 	for i := range s.Members {
 		m := &s.Members[i]
--- a/internal/fleet/driver/http.go
+++ b/internal/fleet/driver/http.go
@@ -10,12 +10,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
 // maxMessagesBody limits the raft messages of one request.
-const maxMessagesBody = agree.MaxFrame + 1<<10
+const maxMessagesBody = consensus.MaxMessageBytes + 1<<10
 
 // maxReportBytes limits a report and a join request.
 const maxReportBytes = 64 << 10
@@ -26,16 +26,16 @@
 // notParticipating is the answer of a server whose membership has ended, or not begun.
 const notParticipating = "this box takes no part in the fleet now"
 
-// Word is an operator's command as it is sent. It founds a fleet, goes to a module, or proposes an entry.
-type Word struct {
+// Command is an operator's command as it is sent. It founds a fleet, goes to a module, or proposes an entry.
+type Command struct {
 	Found bool
 	Part  string          `json:",omitempty"` // the module that reads Data; "" = none
 	Data  json.RawMessage `json:",omitempty"`
 	Entry takeout.Entry
 }
 
-// Answer is the outcome of a command.
-type Answer struct {
+// CommandResult is the outcome of a command.
+type CommandResult struct {
 	Error string // "" = success
 }
 
@@ -52,7 +52,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fleet/messages", func(w http.ResponseWriter, r *http.Request) {
 		frames, err := readFrames(r.Body, maxMessagesBody)
-		var from agree.Member
+		var from consensus.Member
 		if err == nil && len(frames) == 0 {
 			err = errors.New("nobody's")
 		}
@@ -69,7 +69,7 @@
 	})
 	mux.HandleFunc("POST /fleet/part", func(w http.ResponseWriter, r *http.Request) {
 		frames, err := readFrames(r.Body, maxBatch+2*maxModuleMessage)
-		var from agree.Member
+		var from consensus.Member
 		var messages []moduleMessage
 		if err == nil {
 			from, messages, err = decodeModuleMessages(frames)
@@ -147,7 +147,7 @@
 }
 
 func (d *Driver) handleCommand(w http.ResponseWriter, r *http.Request) {
-	var command Word
+	var command Command
 	decoder := json.NewDecoder(io.LimitReader(r.Body, maxCommandBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&command); err != nil {
@@ -178,7 +178,7 @@
 			return
 		}
 	}
-	answer := Answer{}
+	answer := CommandResult{}
 	if err != nil {
 		answer.Error = err.Error()
 	}
--- a/internal/fleet/driver/line.go
+++ b/internal/fleet/driver/line.go
@@ -152,10 +152,10 @@
 	}
 	s.d.enqueue(func() {
 		if !ok {
-			s.d.node.Unreachable(s.id)
+			s.d.node.ReportUnreachable(s.id)
 		}
 		if snapshot {
-			s.d.node.SnapshotSent(s.id, ok)
+			s.d.node.ReportSnapshot(s.id, ok)
 		}
 	})
 	if !ok { // a server that fails at once is not called again at full speed
--- a/internal/fleet/driver/members.go
+++ b/internal/fleet/driver/members.go
@@ -7,12 +7,12 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 )
 
 // bootstrap starts a new fleet with this server as its only member.
 func (d *Driver) bootstrap() error {
-	if err := agree.Found(d.store, d.self); err != nil {
+	if err := consensus.Bootstrap(d.store, d.self); err != nil {
 		return err
 	}
 	if err := d.startNode(); err != nil {
@@ -37,7 +37,7 @@
 
 // handleJoinRequest handles a join request. Only the leader admits a server; another server forwards the request to
 // the leader once.
-func (d *Driver) handleJoinRequest(m agree.Member) error {
+func (d *Driver) handleJoinRequest(m consensus.Member) error {
 	if _, leads := d.node.Leads(); leads {
 		return d.admit(m)
 	}
@@ -48,20 +48,20 @@
 	if s := d.senders[d.node.Leader()]; s != nil {
 		s.queueReport("/fleet/passed", data)
 	}
-	return agree.ErrNoLeader
+	return consensus.ErrNoLeader
 }
 
 // admit handles a join request that came directly or was forwarded.
-func (d *Driver) admit(m agree.Member) error {
+func (d *Driver) admit(m consensus.Member) error {
 	state := d.node.State()
 	if _, leads := d.node.Leads(); !leads {
-		return agree.ErrNoLeader
+		return consensus.ErrNoLeader
 	}
 	if !d.opt.mayJoin(m.Name) {
-		return fmt.Errorf("%.70q is none of the nodes that the fleet is made of: %w", m.Name, agree.ErrMember)
+		return fmt.Errorf("%.70q is none of the nodes that the fleet is made of: %w", m.Name, consensus.ErrMembership)
 	}
 	now := time.Now()
-	c, err := state.Knock(m, func(id uint64) bool { return d.reporting(state, id, now) })
+	c, err := state.JoinChange(m, func(id uint64) bool { return d.reporting(state, id, now) })
 	if err != nil {
 		d.log.Warn("fleet", "do", "knock", "box", m.Name, "addr", m.Addr, "err", err)
 		return err
@@ -73,12 +73,12 @@
 }
 
 // reporting reports whether a member's newest report is recent.
-func (d *Driver) reporting(state *agree.State, id uint64, now time.Time) bool {
+func (d *Driver) reporting(state *consensus.State, id uint64, now time.Time) bool {
 	m := state.Member(id)
 	return m != nil && d.hasFreshReport(m, now)
 }
 
-func (d *Driver) hasFreshReport(m *agree.Member, now time.Time) bool {
+func (d *Driver) hasFreshReport(m *consensus.Member, now time.Time) bool {
 	if m.ID == d.self.ID {
 		return true
 	}
@@ -86,7 +86,7 @@
 	return ok && r.Fresh(now.UnixMilli(), int64(d.opt.SilentMs))
 }
 
-func (d *Driver) proposeChange(c *agree.Change) {
+func (d *Driver) proposeChange(c *consensus.Change) {
 	if err := d.node.Change(c); err != nil {
 		d.log.Warn("fleet", "do", "change", "kind", c.Kind, "box", c.Member.Name, "err", err)
 	}
--- a/internal/fleet/driver/modules.go
+++ b/internal/fleet/driver/modules.go
@@ -8,50 +8,50 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
 // Module is a replicated state machine together with what this server does about its state. Its methods are called on
 // the driver's loop, one at a time, and must not block.
 type Module interface {
-	agree.Part
-	// Begin is called once with the module's host, before all other methods except Load, and Apply for the entries of
+	consensus.StateMachine
+	// Start is called once with the module's host, before all other methods except Load, and Apply for the entries of
 	// the log.
-	Begin(h *Host)
-	// Applied is called after the replicated state has changed: the module's own, the members or the maintenance
+	Start(h *Host)
+	// StateChanged is called after the replicated state has changed: the module's own, the members or the maintenance
 	// plans.
-	Applied(now time.Time)
+	StateChanged(now time.Time)
 	// Tick is called every 100 ms.
 	Tick(now time.Time)
-	// Lead is called on the leader after every other Tick, to propose what follows from the state.
-	Lead(now time.Time)
-	// Read is called once a Host.ReadIndex is confirmed.
-	Read(id uint64, now time.Time)
+	// LeaderTick is called on the leader after every other Tick, to propose what follows from the state.
+	LeaderTick(now time.Time)
+	// ReadConfirmed is called once a Host.ReadIndex is confirmed.
+	ReadConfirmed(id uint64, now time.Time)
 	// Report returns what the voters are told every second, at most maxModuleMessage bytes; nil = nothing.
 	Report(now time.Time) []byte
-	// Heard receives the module's report of another server.
-	Heard(from agree.Member, report []byte, now time.Time)
+	// ReceiveReport receives the module's report of another server.
+	ReceiveReport(from consensus.Member, report []byte, now time.Time)
 	// Receive receives a message that a module sent with Host.Send, on another server or on this one.
-	Receive(from agree.Member, message []byte, now time.Time)
-	// Lines returns the module's current metrics for the admin endpoint, one "name=value" a line.
-	Lines(now time.Time) []byte
-	// End is called once the loop has ended: this process no longer takes part in the fleet.
-	End()
+	Receive(from consensus.Member, message []byte, now time.Time)
+	// Metrics returns the module's current metrics for the admin endpoint, one "name=value" a line.
+	Metrics(now time.Time) []byte
+	// Stop is called once the loop has ended: this process no longer takes part in the fleet.
+	Stop()
 }
 
-// Ordered is a module that takes commands of operators. Its methods are called as those of Module are.
-type Ordered interface {
-	// Order decodes a command, and returns the entry to propose, whose outcome is the command's. An error
+// CommandHandler is a module that takes commands of operators. Its methods are called as those of Module are.
+type CommandHandler interface {
+	// DecodeCommand decodes a command, and returns the entry to propose, whose outcome is the command's. An error
 	// refuses the command, with a one-line text for the operator.
-	Order(command []byte) (entry any, err error)
-	// Stands returns the status of the module, to be encoded as JSON. It shares no memory with what the module
+	DecodeCommand(command []byte) (entry any, err error)
+	// Status returns the status of the module, to be encoded as JSON. It shares no memory with what the module
 	// changes.
-	Stands() any
+	Status() any
 }
 
-// Itemized is a module whose state has items that can be read by key.
-type Itemized interface {
+// ItemReader is a module whose state has items that can be read by key.
+type ItemReader interface {
 	// Item returns an item, to be encoded as JSON; nil = there is none. It shares no memory with what the module
 	// changes.
 	Item(key string) any
@@ -67,16 +67,16 @@
 }
 
 // Self returns this server. Its field Voter is not set.
-func (h *Host) Self() agree.Member { return h.d.self }
+func (h *Host) Self() consensus.Member { return h.d.self }
 
 // Incarnation returns the number of this process among those of the server.
 func (h *Host) Incarnation() uint64 { return h.d.incarnation }
 
 // Members returns the members in the replicated state, sorted by id. They must not be changed.
-func (h *Host) Members() []agree.Member { return h.d.node.State().Members }
+func (h *Host) Members() []consensus.Member { return h.d.node.State().Members }
 
-// Member reports whether this server has been admitted.
-func (h *Host) Member() bool { return h.d.node.State().Member(h.d.self.ID) != nil }
+// IsMember reports whether this server has been admitted.
+func (h *Host) IsMember() bool { return h.d.node.State().Member(h.d.self.ID) != nil }
 
 // Leads reports whether this server is the leader as far as it knows, and returns its current term.
 func (h *Host) Leads() (term uint64, leads bool) { return h.d.node.Leads() }
@@ -91,17 +91,17 @@
 
 // Report returns the newest report of a server, and whether it is recent. Only voters receive reports.
 func (h *Host) Report(name string) (r takeout.Report, fresh bool) {
-	m := h.d.node.State().Named(name)
+	m := h.d.node.State().MemberByName(name)
 	if m == nil {
 		return r, false
 	}
 	return h.d.reports[name], h.d.hasFreshReport(m, time.Now())
 }
 
-// Ready reports whether every member has announced that its program has the module. Until then no entry of
+// SupportedByAll reports whether every member has announced that its program has the module. Until then no entry of
 // the module may be proposed: a member without the module would have to end its membership.
-func (h *Host) Ready() bool {
-	return !slices.ContainsFunc(h.d.node.State().Members, func(m agree.Member) bool {
+func (h *Host) SupportedByAll() bool {
+	return !slices.ContainsFunc(h.d.node.State().Members, func(m consensus.Member) bool {
 		return m.ID != h.d.self.ID && !slices.Contains(h.d.supportedModules[m.ID], h.module)
 	})
 }
@@ -109,12 +109,12 @@
 // Propose proposes an entry of the module; leaderOnly marks one that only the leader derives. The outcome shows in
 // the state; an error means that the entry was not proposed.
 func (h *Host) Propose(entry any, leaderOnly bool) error {
-	data, err := agree.Encode(entry)
+	data, err := consensus.Encode(entry)
 	if err != nil {
 		return fmt.Errorf("%s: %w", h.module, err)
 	}
 	h.d.lastToken++
-	return h.d.node.ProposePart(h.d.lastToken, h.module, data, leaderOnly)
+	return h.d.node.ProposeTo(h.d.lastToken, h.module, data, leaderOnly)
 }
 
 // Send sends a message to the module of a server, possibly of this one; false = the queue is full, or there is no
@@ -123,15 +123,15 @@
 	if to == h.d.self.Name {
 		return h.d.enqueue(func() { h.d.deliver(moduleMessage{h.module, message}, h.d.self) })
 	}
-	m := h.d.node.State().Named(to)
+	m := h.d.node.State().MemberByName(to)
 	return m != nil && len(message) <= maxModuleMessage && h.d.senderTo(h.d.ctx, m.ID).queueModuleMessage(moduleMessage{h.module, message})
 }
 
-// Read has the leader confirm with a majority that it still leads. Module.ReadConfirmed is called with the id once
+// ReadIndex has the leader confirm with a majority that it still leads. Module.ReadConfirmed is called with the id once
 // that is confirmed, which may never be.
-func (h *Host) Read() (id uint64, err error) {
+func (h *Host) ReadIndex() (id uint64, err error) {
 	h.d.lastToken++
-	if err := h.d.node.Read(h.d.lastToken); err != nil {
+	if err := h.d.node.ReadIndex(h.d.lastToken); err != nil {
 		return 0, err
 	}
 	h.d.pendingReads[h.d.lastToken] = pendingRead{h.module, h.d.ticks + readTimeoutTicks}
@@ -141,16 +141,16 @@
 // Index returns the index of the last entry that this server has applied.
 func (h *Host) Index() uint64 { return h.d.node.Applied() }
 
-// Work returns the replicated state of maintenance plans, which must not be changed.
-func (h *Host) Work() *takeout.State { return &h.d.node.State().Work }
+// MaintenanceState returns the replicated state of maintenance plans, which must not be changed.
+func (h *Host) MaintenanceState() *takeout.State { return &h.d.node.State().Work }
 
-// ProposeWork proposes an entry of the maintenance plans. The outcome shows in their state.
-func (h *Host) ProposeWork(entry takeout.Entry) { h.d.propose(&entry, nil) }
+// ProposeMaintenance proposes an entry of the maintenance plans. The outcome shows in their state.
+func (h *Host) ProposeMaintenance(entry takeout.Entry) { h.d.propose(&entry, nil) }
 
 // SetReports sets the newest reports of servers that are not members of the raft group. It drops the reports of
 // servers that the maintenance state no longer contains.
 func (h *Host) SetReports(reports map[string]takeout.Report) {
-	work := h.Work()
+	work := h.MaintenanceState()
 	for name, report := range reports {
 		if work.Box(name) != nil {
 			h.d.reports[name] = report
@@ -163,24 +163,24 @@
 	}
 }
 
-// Enter queues a function for the loop; false = the queue is full, or the loop has ended. It is safe for concurrent
+// Enqueue queues a function for the loop; false = the queue is full, or the loop has ended. It is safe for concurrent
 // use.
-func (h *Host) Enter(f func()) bool { return h.d.enqueue(f) }
+func (h *Host) Enqueue(f func()) bool { return h.d.enqueue(f) }
 
 // Log returns the server's logger.
 func (h *Host) Log() *slog.Logger { return h.d.log }
 
 // handleModuleCommand has a module decode a command, and proposes the resulting entry. result receives the outcome.
-func (d *Driver) handleModuleCommand(command Word, result chan error) {
-	m, ok := d.module(command.Part).(Ordered)
+func (d *Driver) handleModuleCommand(command Command, result chan error) {
+	m, ok := d.module(command.Part).(CommandHandler)
 	if !ok {
 		result <- fmt.Errorf("this server has no module %q that takes commands", command.Part)
 		return
 	}
-	entry, err := m.Order(command.Data)
+	entry, err := m.DecodeCommand(command.Data)
 	var data []byte
 	if err == nil {
-		data, err = agree.Encode(entry)
+		data, err = consensus.Encode(entry)
 	}
 	if err != nil {
 		result <- err
@@ -188,7 +188,7 @@
 	}
 	d.lastToken++
 	d.pendingProposals[d.lastToken] = pendingProposal{result, d.ticks + int(commandTimeout/tick)}
-	if err := d.node.ProposePart(d.lastToken, command.Part, data, false); err != nil {
+	if err := d.node.ProposeTo(d.lastToken, command.Part, data, false); err != nil {
 		delete(d.pendingProposals, d.lastToken)
 		result <- err
 	}
@@ -199,15 +199,15 @@
 	if name == "" {
 		return d.status()
 	}
-	if m, ok := d.module(name).(Ordered); ok {
-		return m.Stands()
+	if m, ok := d.module(name).(CommandHandler); ok {
+		return m.Status()
 	}
 	return nil
 }
 
 // item returns an item of a module's state; nil = there is none.
 func (d *Driver) item(module, key string) any {
-	if m, ok := d.module(module).(Itemized); ok {
+	if m, ok := d.module(module).(ItemReader); ok {
 		return m.Item(key)
 	}
 	return nil
@@ -237,7 +237,7 @@
 }
 
 // deliver passes a message to its module. A message for an unknown module is dropped.
-func (d *Driver) deliver(message moduleMessage, from agree.Member) {
+func (d *Driver) deliver(message moduleMessage, from consensus.Member) {
 	if m := d.module(message.module); m != nil {
 		m.Receive(from, message.data, time.Now())
 	}
@@ -245,13 +245,13 @@
 
 // deliverReports passes the reports of a member's modules to the modules here, and records which of them the member
 // has.
-func (d *Driver) deliverReports(member agree.Member, reports map[string][]byte) {
+func (d *Driver) deliverReports(member consensus.Member, reports map[string][]byte) {
 	now := time.Now()
 	supported := make([]string, 0, len(d.modules))
 	for _, m := range d.modules {
 		if report, ok := reports[m.Name()]; ok {
 			supported = append(supported, m.Name())
-			m.Heard(member, report, now)
+			m.ReceiveReport(member, report, now)
 		}
 	}
 	d.supportedModules[member.ID] = supported
@@ -280,13 +280,13 @@
 	for _, id := range ids {
 		if r, ok := d.pendingReads[id]; ok {
 			delete(d.pendingReads, id)
-			d.module(r.module).Read(id, now)
+			d.module(r.module).ReadConfirmed(id, now)
 		}
 	}
 }
 
 // decodeModuleMessages decodes the frames of one request: the sender, then a module's name and its message in turn.
-func decodeModuleMessages(frames [][]byte) (from agree.Member, out []moduleMessage, err error) {
+func decodeModuleMessages(frames [][]byte) (from consensus.Member, out []moduleMessage, err error) {
 	if len(frames)%2 == 0 {
 		return from, nil, fmt.Errorf("%d frames are no messages of modules", len(frames))
 	}
--- a/internal/fleet/driver/part.go
+++ b/internal/fleet/driver/part.go
@@ -14,10 +14,10 @@
 // lockRetryInterval is how often it is tried to lock a directory that another process of the server still has locked.
 const lockRetryInterval = 250 * time.Millisecond
 
-// Part is a server's membership of the fleet over the lifetime of its process, whether there is one or not.
+// Membership is a server's membership of the fleet over the lifetime of its process, whether there is one or not.
 // While the previous process still has the directory locked, as during a replacement, it waits. If the files belong
 // to another server, are damaged or are of a newer program, it logs that, and the server serves without a membership.
-type Part struct {
+type Membership struct {
 	open    func() (*Driver, error)
 	log     *slog.Logger
 	current atomic.Pointer[activeDriver]
@@ -28,13 +28,13 @@
 	handler http.Handler
 }
 
-// NewPart returns a membership that is opened by open.
-func NewPart(open func() (*Driver, error), log *slog.Logger) *Part {
-	return &Part{open: open, log: log}
+// NewMembership returns a membership that is opened by open.
+func NewMembership(open func() (*Driver, error), log *slog.Logger) *Membership {
+	return &Membership{open: open, log: log}
 }
 
 // Run opens the membership and runs it until the context ends.
-func (p *Part) Run(ctx context.Context) {
+func (p *Membership) Run(ctx context.Context) {
 	for waiting := false; ; waiting = true {
 		d, err := p.open()
 		if err == nil {
@@ -58,7 +58,7 @@
 }
 
 // ServeHTTP serves other servers and operators.
-func (p *Part) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (p *Membership) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if s := p.current.Load(); s != nil {
 		s.handler.ServeHTTP(w, r)
 		return
@@ -66,10 +66,10 @@
 	http.Error(w, notParticipating, http.StatusServiceUnavailable)
 }
 
-// Lines returns the fleet's metrics for the admin endpoint.
-func (p *Part) Lines() []byte {
+// Metrics returns the fleet's metrics for the admin endpoint.
+func (p *Membership) Metrics() []byte {
 	if s := p.current.Load(); s != nil {
-		return s.driver.Lines()
+		return s.driver.Metrics()
 	}
 	return []byte("fleet.known=0\n")
 }
--- a/internal/fleet/driver/reports.go
+++ b/internal/fleet/driver/reports.go
@@ -7,13 +7,13 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
 // sendReport reports on this server to all voters, as each of them may become the leader.
 func (d *Driver) sendReport(ctx context.Context, now time.Time) {
-	r := d.process.Look()
+	r := d.process.Report()
 	r.Incarnation, r.Heard = d.incarnation, now.UnixMilli()
 	d.reports[d.self.Name], d.lastReport = r, r
 	data, err := cbor.Marshal(reportMessage{d.self.ID, r, d.moduleReports(now)})
@@ -39,7 +39,7 @@
 func (d *Driver) receiveReport(message reportMessage) error {
 	m := d.node.State().Member(message.ID)
 	if m == nil {
-		return fmt.Errorf("a report of %x, which is no member: %w", message.ID, agree.ErrMember)
+		return fmt.Errorf("a report of %x, which is no member: %w", message.ID, consensus.ErrMembership)
 	}
 	message.Report.Heard = time.Now().UnixMilli()
 	d.reports[m.Name] = message.Report
--- a/internal/fleet/driver/status.go
+++ b/internal/fleet/driver/status.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
@@ -15,7 +15,7 @@
 	Term        uint64
 	Digest      uint64
 	Self        takeout.Act
-	Members     []agree.Member
+	Members     []consensus.Member
 	takeout.State
 	Waits    []takeout.Wait            // only the leader knows these
 	Reports  map[string]takeout.Report // those that this server has received
--- a/internal/fleet/driver/work.go
+++ b/internal/fleet/driver/work.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/takeout"
 )
 
 // actOnState does what the replicated state says of this server, and proposes its next phase.
 func (d *Driver) actOnState(now time.Time) {
-	report := d.process.Look()
+	report := d.process.Report()
 	local := takeout.Local{Incarnation: d.incarnation, Warm: report.Warm, Open: report.Open, KeyedUntil: report.KeyedUntil, DrainFor: int64(d.opt.DrainMs)}
 	if !d.healthHeldSince.IsZero() {
 		local.Held = d.healthHeldSince.UnixMilli()
@@ -23,7 +23,7 @@
 		if d.healthHeldSince = (time.Time{}); action.Hold {
 			d.healthHeldSince = now
 		}
-		d.process.Hold(action.Hold)
+		d.process.HoldHealth(action.Hold)
 	}
 	if action.Speak && (action.Say != d.proposedPhase || d.ticks-d.proposedAtTick >= reproposeTicks) {
 		d.proposedPhase, d.proposedAtTick = action.Say, d.ticks
@@ -38,19 +38,19 @@
 	for _, m := range s.Members {
 		view.Voters[m.Name] = m.Voter
 	}
-	if c := s.Gone(d.self.ID); c != nil {
+	if c := s.RemovalChange(d.self.ID); c != nil {
 		d.proposeChange(c)
 		return
 	}
-	if c := s.Voters(d.opt.Voters, func(id uint64) bool { return d.reporting(s, id, now) }); c != nil {
+	if c := s.PromotionChange(d.opt.Voters, func(id uint64) bool { return d.reporting(s, id, now) }); c != nil {
 		d.proposeChange(c)
 		return
 	}
 	d.decision = takeout.Next(&s.Work, view)
 	if d.decision.Transfer != "" {
-		if m := s.Named(d.decision.Transfer); m != nil {
+		if m := s.MemberByName(d.decision.Transfer); m != nil {
 			d.log.Info("fleet", "do", "hand over", "to", m.Name)
-			d.node.Transfer(m.ID)
+			d.node.TransferLeadership(m.ID)
 		}
 	}
 	for _, e := range d.decision.Entries {
@@ -59,7 +59,7 @@
 }
 
 // logApplied logs an applied entry that operators want to know of.
-func (d *Driver) logApplied(a agree.Applied) {
+func (d *Driver) logApplied(a consensus.AppliedEntry) {
 	switch {
 	case a.Change != nil:
 		d.log.Info("fleet", "do", "member", "kind", a.Change.Kind, "box", a.Change.Member.Name, "index", a.Index, "err", a.Err)
--- a/internal/fleet/ground/ground.go
+++ b/internal/fleet/ground/ground.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/place"
@@ -84,15 +84,15 @@
 
 // Modules returns new modules for the driver, for each time it is opened.
 func (g *Ground) Modules() []driver.Module {
-	leases := &leaseModule{Agreed: agree.NewAgreed[lease.State, lease.Entry](leaseName), state: g}
-	places := &placementModule{Agreed: agree.NewAgreed[place.State, place.Entry](placeName), state: g, leases: leases}
+	leases := &leaseModule{TypedStateMachine: consensus.NewTypedStateMachine[lease.State, lease.Entry](leaseName), state: g}
+	places := &placementModule{TypedStateMachine: consensus.NewTypedStateMachine[place.State, place.Entry](placeName), state: g, leases: leases}
 	leases.placement = places
 	return []driver.Module{leases, places}
 }
 
 // publish derives a new view. gap means that it does not follow from the previous one by a single entry.
 func (g *Ground) publish(leases *leaseModule, places *placementModule, gap bool) {
-	if leases.host == nil || !leases.Began() || !places.Began() {
+	if leases.host == nil || !leases.Initialized() || !places.Initialized() {
 		return
 	}
 	view := &View{View: *place.NewView(&leases.State, &places.State), Life: leases.holder.Life()}
--- a/internal/fleet/ground/leases.go
+++ b/internal/fleet/ground/leases.go
@@ -7,8 +7,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
 )
@@ -18,7 +18,7 @@
 
 // leaseModule is the module that maintains this server's lease and, on the leader, those of all servers.
 type leaseModule struct {
-	*agree.Agreed[lease.State, lease.Entry, *lease.State]
+	*consensus.TypedStateMachine[lease.State, lease.Entry, *lease.State]
 	state        *Ground
 	placement    *placementModule
 	host         *driver.Host
@@ -35,35 +35,35 @@
 	Grant   *lease.Grant   `cbor:",omitempty"`
 }
 
-// Begin implements driver.Module.
-func (l *leaseModule) Begin(host *driver.Host) {
+// Start implements driver.Module.
+func (l *leaseModule) Start(host *driver.Host) {
 	l.host, l.rounds = host, map[uint64]uint64{}
 	l.holder, l.granter = lease.NewHolder(host.Self().Name, lease.MeshTerms), lease.NewGranter(lease.MeshTerms)
 	l.publishAddresses()
 	l.update(true)
 }
 
-// Apply implements agree.Part. Changes to this process's registration take effect at once, and each view is published
+// Apply implements consensus.StateMachine. Changes to this process's registration take effect at once, and each view is published
 // in order.
 func (l *leaseModule) Apply(index uint64, entry []byte) error {
-	err := l.Agreed.Apply(index, entry)
+	err := l.TypedStateMachine.Apply(index, entry)
 	if l.host != nil {
 		l.update(false)
 	}
 	return err
 }
 
-// Load implements agree.Part.
+// Load implements consensus.StateMachine.
 func (l *leaseModule) Load(state []byte) error {
-	err := l.Agreed.Load(state)
+	err := l.TypedStateMachine.Load(state)
 	if l.host != nil && err == nil {
 		l.restored = true // the entries in between are unknown
 	}
 	return err
 }
 
-// Applied implements driver.Module.
-func (l *leaseModule) Applied(time.Time) {
+// StateChanged implements driver.Module.
+func (l *leaseModule) StateChanged(time.Time) {
 	l.publishAddresses()
 	if l.restored {
 		l.restored = false
@@ -108,7 +108,7 @@
 		l.granter.Follow()
 		clear(l.rounds)
 	}
-	if !l.host.Member() || !l.Began() {
+	if !l.host.IsMember() || !l.Initialized() {
 		return
 	}
 	if l.holder.Life() == 0 && now-l.registeredAt >= registerInterval {
@@ -131,12 +131,12 @@
 	}
 }
 
-// Lead implements driver.Module. The first entry of the state is the leader's own registration, once every member
+// LeaderTick implements driver.Module. The first entry of the state is the leader's own registration, once every member
 // supports the state machine.
-func (l *leaseModule) Lead(time.Time) {
+func (l *leaseModule) LeaderTick(time.Time) {
 	now := boottime.Now()
-	if !l.Began() {
-		if l.host.Ready() && now-l.registeredAt >= registerInterval {
+	if !l.Initialized() {
+		if l.host.SupportedByAll() && now-l.registeredAt >= registerInterval {
 			l.register(now)
 		}
 		return
@@ -157,7 +157,7 @@
 }
 
 func (l *leaseModule) isMember(name string) bool {
-	return slices.ContainsFunc(l.host.Members(), func(m agree.Member) bool { return m.Name == name })
+	return slices.ContainsFunc(l.host.Members(), func(m consensus.Member) bool { return m.Name == name })
 }
 
 // beginRound begins a round for the pending renewals.
@@ -171,7 +171,7 @@
 	if !ok {
 		return
 	}
-	read, err := l.host.Read()
+	read, err := l.host.ReadIndex()
 	if err != nil {
 		l.host.Log().Debug("fleet", "do", "round", "err", err)
 		return
@@ -179,8 +179,8 @@
 	l.rounds[read] = id
 }
 
-// Read implements driver.Module. It confirms a round, and with it all earlier ones.
-func (l *leaseModule) Read(id uint64, _ time.Time) {
+// ReadConfirmed implements driver.Module. It confirms a round, and with it all earlier ones.
+func (l *leaseModule) ReadConfirmed(id uint64, _ time.Time) {
 	round, ok := l.rounds[id]
 	if !ok {
 		return
@@ -208,7 +208,7 @@
 }
 
 // Receive implements driver.Module.
-func (l *leaseModule) Receive(from agree.Member, data []byte, _ time.Time) {
+func (l *leaseModule) Receive(from consensus.Member, data []byte, _ time.Time) {
 	var msg message
 	if err := cbor.Unmarshal(data, &msg); err != nil {
 		l.host.Log().Debug("fleet", "do", "lease", "from", from.Name, "err", err)
@@ -217,7 +217,7 @@
 	switch {
 	case msg.Renewal != nil && msg.Renewal.Box == from.Name:
 		term, leads := l.host.Leads()
-		if !leads || !l.Began() {
+		if !leads || !l.Initialized() {
 			return
 		}
 		now := boottime.Now()
@@ -234,17 +234,17 @@
 // Report implements driver.Module. Leases are renewed by messages, not by reports.
 func (l *leaseModule) Report(time.Time) []byte { return nil }
 
-// Heard implements driver.Module.
-func (l *leaseModule) Heard(agree.Member, []byte, time.Time) {}
+// ReceiveReport implements driver.Module.
+func (l *leaseModule) ReceiveReport(consensus.Member, []byte, time.Time) {}
 
-// End implements driver.Module. A process that has left the fleet holds no lease.
-func (l *leaseModule) End() {
+// Stop implements driver.Module. A process that has left the fleet holds no lease.
+func (l *leaseModule) Stop() {
 	l.holder.Lost()
 	l.publishLease()
 }
 
-// Lines implements driver.Module.
-func (l *leaseModule) Lines(time.Time) []byte {
+// Metrics implements driver.Module.
+func (l *leaseModule) Metrics(time.Time) []byte {
 	registered := 0
 	for i := range l.State.Boxes {
 		if !l.State.Boxes[i].Lost {
--- a/internal/fleet/ground/places.go
+++ b/internal/fleet/ground/places.go
@@ -6,8 +6,8 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"larchscale/internal/fleet/agree"
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/place"
 )
@@ -22,7 +22,7 @@
 
 // placementModule is the module that decides which server holds which replicas.
 type placementModule struct {
-	*agree.Agreed[place.State, place.Entry, *place.State]
+	*consensus.TypedStateMachine[place.State, place.Entry, *place.State]
 	state        *Ground
 	leases       *leaseModule
 	host         *driver.Host
@@ -38,20 +38,20 @@
 	Bits []byte // bit i%8 of byte i/8 is shard i
 }
 
-// Begin implements driver.Module.
-func (p *placementModule) Begin(host *driver.Host) {
+// Start implements driver.Module.
+func (p *placementModule) Start(host *driver.Host) {
 	p.host, p.syncReports, p.lostSince = host, map[string]syncReport{}, map[string]time.Duration{}
 }
 
-// Apply implements agree.Part. Each view is published in order.
+// Apply implements consensus.StateMachine. Each view is published in order.
 func (p *placementModule) Apply(index uint64, entry []byte) error {
-	err := p.Agreed.Apply(index, entry)
+	err := p.TypedStateMachine.Apply(index, entry)
 	p.state.publish(p.leases, p, false)
 	return err
 }
 
-// Applied implements driver.Module.
-func (p *placementModule) Applied(time.Time) {}
+// StateChanged implements driver.Module.
+func (p *placementModule) StateChanged(time.Time) {}
 
 // Tick implements driver.Module.
 func (p *placementModule) Tick(time.Time) {
@@ -61,10 +61,10 @@
 	}
 }
 
-// Lead implements driver.Module.
-func (p *placementModule) Lead(at time.Time) {
+// LeaderTick implements driver.Module.
+func (p *placementModule) LeaderTick(at time.Time) {
 	now := boottime.Now()
-	if !p.leases.Began() || now-p.checkedAt < moveInterval || p.State.Homes == nil && !p.ready(now) {
+	if !p.leases.Initialized() || now-p.checkedAt < moveInterval || p.State.Homes == nil && !p.ready(now) {
 		return
 	}
 	p.checkedAt = now
@@ -106,7 +106,7 @@
 			registered++
 		}
 	}
-	return p.host.Ready() && (registered == len(p.host.Members()) && now-p.waitingSince >= lostServerWait/4 ||
+	return p.host.SupportedByAll() && (registered == len(p.host.Members()) && now-p.waitingSince >= lostServerWait/4 ||
 		now-p.waitingSince >= lostServerWait)
 }
 
@@ -136,7 +136,7 @@
 
 // Report implements driver.Module.
 func (p *placementModule) Report(time.Time) []byte {
-	if !p.Began() {
+	if !p.Initialized() {
 		return nil
 	}
 	data, err := cbor.Marshal(p.syncReport())
@@ -146,8 +146,8 @@
 	return data
 }
 
-// Heard implements driver.Module.
-func (p *placementModule) Heard(from agree.Member, report []byte, _ time.Time) {
+// ReceiveReport implements driver.Module.
+func (p *placementModule) ReceiveReport(from consensus.Member, report []byte, _ time.Time) {
 	var syncReport syncReport
 	if len(report) == 0 {
 		return
@@ -159,17 +159,17 @@
 	p.syncReports[from.Name] = syncReport
 }
 
-// Read implements driver.Module.
-func (p *placementModule) Read(uint64, time.Time) {}
+// ReadConfirmed implements driver.Module.
+func (p *placementModule) ReadConfirmed(uint64, time.Time) {}
 
 // Receive implements driver.Module. The module sends no messages.
-func (p *placementModule) Receive(agree.Member, []byte, time.Time) {}
+func (p *placementModule) Receive(consensus.Member, []byte, time.Time) {}
 
-// End implements driver.Module.
-func (p *placementModule) End() {}
+// Stop implements driver.Module.
+func (p *placementModule) Stop() {}
 
-// Lines implements driver.Module.
-func (p *placementModule) Lines(time.Time) []byte {
+// Metrics implements driver.Module.
+func (p *placementModule) Metrics(time.Time) []byte {
 	view := p.state.View()
 	if view == nil {
 		return nil
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -29,8 +29,8 @@
 // behind: a snapshot of 300 servers takes 25 KB, and applying it takes 300² steps on the receiver.
 const trailingEntries = 256
 
-// ErrNewer means that a log has a format which this program does not know.
-var ErrNewer = errors.New("written by a newer program")
+// ErrNewerVersion means that a log has a format which this program does not know.
+var ErrNewerVersion = errors.New("written by a newer program")
 
 // ErrDamaged means that a record has a valid checksum, but its content makes no sense.
 var ErrDamaged = errors.New("damaged")
@@ -78,9 +78,9 @@
 // ID returns the raft id of this node, which stays the same as long as it keeps its disk.
 func (l *Log) ID() uint64 { return l.id }
 
-// Failed returns why the log can no longer be written; nil = it can. A node whose log has failed no longer takes
+// Err returns why the log can no longer be written; nil = it can. A node whose log has failed no longer takes
 // part.
-func (l *Log) Failed() error { return l.failed }
+func (l *Log) Err() error { return l.failed }
 
 // read processes one record of a log that is opened.
 func (l *Log) read(r []byte) error {
@@ -97,7 +97,7 @@
 			return fmt.Errorf("identity record is too short: %w", ErrDamaged)
 		}
 		if v := binary.LittleEndian.Uint16(body); v != formatVersion {
-			return fmt.Errorf("version %d: %w", v, ErrNewer)
+			return fmt.Errorf("version %d: %w", v, ErrNewerVersion)
 		}
 		l.id = binary.LittleEndian.Uint64(body[2:])
 	case recHardState:
@@ -124,7 +124,7 @@
 		l.snapshot = s
 		return l.ApplySnapshot(s)
 	default:
-		return fmt.Errorf("unknown record of kind %d: %w", kind, ErrNewer)
+		return fmt.Errorf("unknown record of kind %d: %w", kind, ErrNewerVersion)
 	}
 	return nil
 }
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -113,7 +113,7 @@
 				t.Fatal(err)
 			}
 			if err := operation(l); err != nil {
-				if l.Failed() == nil || l.Save(vote(term+1, 1), nil, nil, true) == nil {
+				if l.Err() == nil || l.Save(vote(term+1, 1), nil, nil, true) == nil {
 					t.Fatal("the log still works after a failure")
 				}
 				break
@@ -175,8 +175,8 @@
 		want error
 	}{
 		"another node's":         {write(identity), "n2", wal.ErrForeign},
-		"a newer format":         {write([]byte{recIdentity, formatVersion + 1, 0, 7, 0, 0, 0, 0, 0, 0, 0}), "n1", ErrNewer},
-		"a newer record":         {write(identity, []byte{99}), "n1", ErrNewer},
+		"a newer format":         {write([]byte{recIdentity, formatVersion + 1, 0, 7, 0, 0, 0, 0, 0, 0, 0}), "n1", ErrNewerVersion},
+		"a newer record":         {write(identity, []byte{99}), "n1", ErrNewerVersion},
 		"no identity":            {write(gapEntry), "n1", ErrDamaged},
 		"truncated identity":     {write([]byte{recIdentity, 1}), "n1", ErrDamaged},
 		"gap between entries":    {write(identity, gapEntry), "n1", ErrDamaged},
--- a/internal/fleet/stream/client.go
+++ b/internal/fleet/stream/client.go
@@ -78,7 +78,7 @@
 	protocols.SetUnencryptedHTTP2(d.TLS == nil)
 	transport := &http.Transport{Protocols: protocols, MaxResponseHeaderBytes: maxHeaderBytes, TLSHandshakeTimeout: handshakeTimeout, DisableCompression: true,
 		HTTP2: &http.HTTP2Config{MaxReadFrameSize: maxFrameSize, MaxReceiveBufferPerStream: receiveBuffer,
-			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteWithin},
+			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteTimeout},
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			socket, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 			if err != nil {
--- a/internal/fleet/stream/cut_test.go
+++ b/internal/fleet/stream/cut_test.go
@@ -341,7 +341,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	server := &stream.Server{Silence: time.Minute, MaxSessions: 4, Meter: &stream.Meter{}, Log: slog.New(slog.DiscardHandler), Accept: node.accept}
+	server := &stream.Server{ReadTimeout: time.Minute, MaxSessions: 4, Meter: &stream.Meter{}, Log: slog.New(slog.DiscardHandler), Accept: node.accept}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/fleet/stream/server.go
+++ b/internal/fleet/stream/server.go
@@ -17,7 +17,7 @@
 // Server accepts the sessions of a control node. Its fields are set before Serve.
 type Server struct {
 	TLS         *tls.Config   // nil = no TLS, on loopback
-	Silence     time.Duration // a session that sends nothing for so long ends
+	ReadTimeout time.Duration // a session that sends nothing for so long ends
 	MaxSessions int           // at a time; connections beyond these and SpareConns are closed at once
 	Meter       *Meter
 	Log         *slog.Logger
@@ -45,7 +45,7 @@
 	mux.HandleFunc("POST "+Path, s.handle)
 	server := &http.Server{Handler: mux, Protocols: protocols, ReadHeaderTimeout: handshakeTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		HTTP2: &http.HTTP2Config{MaxConcurrentStreams: 2, MaxReadFrameSize: maxFrameSize, MaxReceiveBufferPerStream: receiveBuffer,
-			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteWithin},
+			MaxReceiveBufferPerConnection: receiveBuffer, WriteByteTimeout: WriteTimeout},
 		ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug)}
 	defer context.AfterFunc(ctx, func() { server.Close() })()
 	listener = meteredListener{link.LimitListener(listener, s.MaxSessions+SpareConns), s.Meter}
@@ -59,7 +59,7 @@
 
 // handle accepts one stream.
 func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	accepted := &Session{request: r, in: newMessageReader(r.Body), out: w, control: http.NewResponseController(w), readTimeout: s.Silence, meter: s.Meter}
+	accepted := &Session{request: r, in: newMessageReader(r.Body), out: w, control: http.NewResponseController(w), readTimeout: s.ReadTimeout, meter: s.Meter}
 	if r.TLS != nil && len(r.TLS.PeerCertificates) > 0 {
 		accepted.identity = r.TLS.PeerCertificates[0]
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	if err := s.control.SetWriteDeadline(time.Now().Add(WriteWithin)); err != nil {
+	if err := s.control.SetWriteDeadline(time.Now().Add(WriteTimeout)); err != nil {
 		return err
 	}
 	if _, err := s.out.Write(data); err != nil {
--- a/internal/fleet/stream/stream.go
+++ b/internal/fleet/stream/stream.go
@@ -24,8 +24,8 @@
 
 // Limits of a stream.
 const (
-	// WriteWithin is the time in which one message has to be written; otherwise its session ends.
-	WriteWithin = 5 * time.Second
+	// WriteTimeout is the time in which one message has to be written; otherwise its session ends.
+	WriteTimeout = 5 * time.Second
 	// SpareConns is the number of connections that a node accepts in addition to its sessions, so that it can tell
 	// the servers which it has no room for where to go, instead of closing their connections.
 	SpareConns = 32
--- a/internal/fleet/stream/stream_test.go
+++ b/internal/fleet/stream/stream_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	meter := &stream.Meter{}
-	server := &stream.Server{TLS: config, Silence: silence, MaxSessions: 16, Meter: meter, Log: slog.New(slog.DiscardHandler), Accept: accept}
+	server := &stream.Server{TLS: config, ReadTimeout: silence, MaxSessions: 16, Meter: meter, Log: slog.New(slog.DiscardHandler), Accept: accept}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
--- a/internal/fleet/trials/fleet_test.go
+++ b/internal/fleet/trials/fleet_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	return m.Say(context.Background(), driver.Word{Part: trials.Part, Data: data})
+	return m.Say(context.Background(), driver.Command{Part: trials.Part, Data: data})
 }
 
 // over tells that a box has a trial's outcome, and notes it.
--- a/internal/fleet/trials/trials.go
+++ b/internal/fleet/trials/trials.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/trial"
 	"larchscale/internal/sequential"
@@ -81,12 +81,12 @@
 
 // Module is the driver's, new for each opening of it.
 func (t *Trials) Module() driver.Module {
-	return &module{Agreed: agree.NewAgreed[trial.State, trial.Entry](Part), trials: t, tallies: map[string]*tally{}, told: map[string]sequential.Verdict{}}
+	return &module{TypedStateMachine: consensus.NewTypedStateMachine[trial.State, trial.Entry](Part), trials: t, tallies: map[string]*tally{}, told: map[string]sequential.Verdict{}}
 }
 
 // module is the part of the fleet's loop.
 type module struct {
-	*agree.Agreed[trial.State, trial.Entry, *trial.State]
+	*consensus.TypedStateMachine[trial.State, trial.Entry, *trial.State]
 	trials  *Trials
 	host    *driver.Host
 	tallies map[string]*tally             // of open trials, by id
@@ -96,14 +96,14 @@
 	units   [2]int64 // of trials that are over
 }
 
-// Begin implements driver.Module.
-func (m *module) Begin(h *driver.Host) {
+// Start implements driver.Module.
+func (m *module) Start(h *driver.Host) {
 	m.host, m.leader = h, trial.NewLeader(h.Self().Name)
 	m.publish()
 }
 
-// Applied implements driver.Module.
-func (m *module) Applied(time.Time) { m.publish() }
+// StateChanged implements driver.Module.
+func (m *module) StateChanged(time.Time) { m.publish() }
 
 // publish has the core's loop choose by the state as it is now.
 func (m *module) publish() {
@@ -174,14 +174,14 @@
 	return m.trials.known.Check(s)
 }
 
-// Order implements driver.Ordered.
-func (m *module) Order(data []byte) (any, error) {
+// DecodeCommand implements driver.CommandHandler.
+func (m *module) DecodeCommand(data []byte) (any, error) {
 	var w Word
 	if err := json.Unmarshal(data, &w); err != nil {
 		return nil, err
 	}
 	switch {
-	case !m.Began() && !m.host.Ready():
+	case !m.Initialized() && !m.host.SupportedByAll():
 		return nil, fmt.Errorf("not every box's program knows of trials yet: %w", trial.ErrInvalid)
 	case w.Start != nil:
 		return trial.Entry{Kind: trial.Start, Spec: *w.Start}, m.follows(w.Start)
@@ -191,8 +191,8 @@
 	return nil, fmt.Errorf("neither a start nor a stop: %w", trial.ErrInvalid)
 }
 
-// Stands implements driver.Ordered: the trials, and how this box counts.
-func (m *module) Stands() any {
+// Status implements driver.CommandHandler: the trials, and how this box counts.
+func (m *module) Status() any {
 	s := Status{State: m.State.Clone(), Box: m.host.Self().Name, Units: map[string][2]int64{}}
 	for id, c := range m.tallies {
 		c.mu.Lock()
@@ -212,10 +212,10 @@
 // Tick implements driver.Module.
 func (m *module) Tick(time.Time) {}
 
-// Lead implements driver.Module: what the boxes say is looked at each second.
-func (m *module) Lead(time.Time) {
+// LeaderTick implements driver.Module: what the boxes say is looked at each second.
+func (m *module) LeaderTick(time.Time) {
 	now := m.trials.now()
-	if !m.Began() || now-m.looked < lookEach {
+	if !m.Initialized() || now-m.looked < lookEach {
 		return
 	}
 	m.looked = now
@@ -267,8 +267,8 @@
 	return data
 }
 
-// Heard implements driver.Module.
-func (m *module) Heard(from agree.Member, data []byte, _ time.Time) {
+// ReceiveReport implements driver.Module.
+func (m *module) ReceiveReport(from consensus.Member, data []byte, _ time.Time) {
 	if len(data) == 0 {
 		return
 	}
@@ -288,17 +288,17 @@
 	}
 }
 
-// Read implements driver.Module.
-func (m *module) Read(uint64, time.Time) {}
+// ReadConfirmed implements driver.Module.
+func (m *module) ReadConfirmed(uint64, time.Time) {}
 
 // Receive implements driver.Module: boxes count, and say nothing to each other.
-func (m *module) Receive(agree.Member, []byte, time.Time) {}
+func (m *module) Receive(consensus.Member, []byte, time.Time) {}
 
-// End implements driver.Module: what comes is not heard any longer, so the lease of this process ends and all is A's.
-func (m *module) End() {}
+// Stop implements driver.Module: what comes is not heard any longer, so the lease of this process ends and all is A's.
+func (m *module) Stop() {}
 
-// Lines implements driver.Module.
-func (m *module) Lines(time.Time) []byte {
+// Metrics implements driver.Module.
+func (m *module) Metrics(time.Time) []byte {
 	units, last := m.units, &trial.Trial{}
 	for _, c := range m.tallies {
 		c.mu.Lock()
--- a/internal/measure/hollow/server.go
+++ b/internal/measure/hollow/server.go
@@ -1,5 +1,5 @@
 // Package hollow runs app servers without their request path: the fleet's driver with its log, link and leases is the
-// real one, on real timers and real connections, and only driver.Body is a stub. Many of them share a process.
+// real one, on real timers and real connections, and only driver.Process is a stub. Many of them share a process.
 package hollow
 
 import (
@@ -53,11 +53,11 @@
 // stub is an app server that is warm and idle.
 type stub struct{}
 
-// Look implements driver.Body.
-func (stub) Look() takeout.Report { return takeout.Report{Warm: true, Capacity: 100, Load: 30} }
+// Report implements driver.Process.
+func (stub) Report() takeout.Report { return takeout.Report{Warm: true, Capacity: 100, Load: 30} }
 
-// Hold implements driver.Body.
-func (stub) Hold(bool) {}
+// HoldHealth implements driver.Process.
+func (stub) HoldHealth(bool) {}
 
 // Listen opens a server's port, on any free one of the loopback interface.
 func Listen(config Config, counter *traffic.Counter) (*Server, error) {
@@ -147,14 +147,14 @@
 }
 
 // Found begins a fleet with this server.
-func (s *Server) Found() error { return s.command(driver.Word{Found: true}) }
+func (s *Server) Found() error { return s.command(driver.Command{Found: true}) }
 
 // ErrRefused is an entry that was agreed and had no effect.
 var ErrRefused = errors.New("refused")
 
 // Commit has an entry committed that changes nothing: a pause of a plan that does not exist.
 func (s *Server) Commit() error {
-	err := s.command(driver.Word{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
+	err := s.command(driver.Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
 	if errors.Is(err, ErrRefused) {
 		return nil
 	}
@@ -162,12 +162,12 @@
 }
 
 // command gives the server an operator's word without a connection.
-func (s *Server) command(word driver.Word) error {
+func (s *Server) command(word driver.Command) error {
 	body, err := json.Marshal(word)
 	if err != nil {
 		return fmt.Errorf("hollow server: %w", err)
 	}
-	var answer driver.Answer
+	var answer driver.CommandResult
 	if err := s.ask(http.MethodPost, "/fleet/command", body, &answer); err != nil {
 		return err
 	}
@@ -195,7 +195,7 @@
 // metrics are those of the server's part in the fleet, by name.
 func (s *Server) metrics() map[string]uint64 {
 	out := map[string]uint64{}
-	for line := range strings.Lines(string(s.driver.Lines())) {
+	for line := range strings.Lines(string(s.driver.Metrics())) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), "=")
 		if n, err := strconv.ParseUint(value, 10, 64); err == nil {
 			out[name] = n
--- a/internal/measure/pure/pure.go
+++ b/internal/measure/pure/pure.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"larchscale/internal/faultfs"
-	"larchscale/internal/fleet/agree"
+	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/raftlog"
 	"larchscale/internal/fleet/takeout"
 )
@@ -33,8 +33,8 @@
 type Costs struct {
 	Look          time.Duration // takeout.Next with a plan in order
 	Arrange       time.Duration // takeout.Next with a plan that has no order yet
-	Named         time.Duration // agree.State.Named, of the member that is last
-	Digest        time.Duration // agree.Node.Digest: what a snapshot holds, encoded, and its sum
+	Named         time.Duration // consensus.State.MemberByName, of the member that is last
+	Digest        time.Duration // consensus.Node.Digest: what a snapshot holds, encoded, and its sum
 	SnapshotBytes int           // of raft's snapshot as it is sent
 }
 
@@ -56,7 +56,7 @@
 	}
 	c.Look = timed(func() { takeout.Next(&state.Work, view) })
 	last := state.Members[len(state.Members)-1].Name
-	c.Named = timed(func() { state.Named(last) })
+	c.Named = timed(func() { state.MemberByName(last) })
 	state.Work.Plans = nil
 	node, size, err := restored(&state)
 	if err != nil {
@@ -87,11 +87,11 @@
 
 // fleetState is that of a fleet in which all serve, with a plan over all. It is written down, not applied: the bounds of
 // what may be applied do not hold it back.
-func fleetState(servers int) agree.State {
-	var s agree.State
+func fleetState(servers int) consensus.State {
+	var s consensus.State
 	plan := takeout.Plan{ID: "plan", By: "measure", Reason: "measure", Most: 1, State: takeout.Running, Index: 1}
 	for i := range servers {
-		s.Members = append(s.Members, agree.Member{ID: uint64(i+1) << 40, Name: name(i), Zone: zone(i), Addr: "127.0.0.1:40000", Voter: i < voters})
+		s.Members = append(s.Members, consensus.Member{ID: uint64(i+1) << 40, Name: name(i), Zone: zone(i), Addr: "127.0.0.1:40000", Voter: i < voters})
 		s.Work.Boxes = append(s.Work.Boxes, takeout.Box{Name: name(i), Zone: zone(i), Incarnation: incarnation, Index: uint64(2 * i)})
 		plan.Boxes = append(plan.Boxes, name(i))
 	}
@@ -110,8 +110,8 @@
 }
 
 // restored is a node that has a state from a snapshot, and the snapshot's size.
-func restored(s *agree.State) (*agree.Node, int, error) {
-	data, err := agree.Encode(s)
+func restored(s *consensus.State) (*consensus.Node, int, error) {
+	data, err := consensus.Encode(s)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -132,7 +132,7 @@
 	if err := store.Save(hard, nil, snapshot, true); err != nil {
 		return nil, 0, err
 	}
-	node, err := agree.New(store, &raft.DefaultLogger{Logger: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)})
+	node, err := consensus.New(store, &raft.DefaultLogger{Logger: slog.NewLogLogger(slog.DiscardHandler, slog.LevelDebug)})
 	return node, proto.Size(snapshot), err
 }
 
--- a/internal/measure/sessions/changes.go
+++ b/internal/measure/sessions/changes.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return fmt.Errorf("change %s: %w", key, err)
 	}
-	word := driver.Word{Part: controlnode.ConfigurationPart, Data: data}
+	word := driver.Command{Part: controlnode.ConfigurationPart, Data: data}
 	for end := time.Now().Add(inForceWithin); ; first++ {
 		node := f.Nodes[first%len(f.Nodes)]
 		err := node.order(ctx, word, first/len(f.Nodes))
@@ -50,10 +50,10 @@
 }
 
 // order gives the node an operator's word on one of its connections.
-func (n *Node) order(ctx context.Context, word driver.Word, connection int) error {
+func (n *Node) order(ctx context.Context, word driver.Command, connection int) error {
 	ctx, cancel := context.WithTimeout(ctx, putWithin)
 	defer cancel()
-	return driver.Say(ctx, n.operators[connection%len(n.operators)], word)
+	return driver.SendCommand(ctx, n.operators[connection%len(n.operators)], word)
 }
 
 // Changes are how long changes took until they were in force at all hollow servers, from when they were asked for.
--- a/internal/measure/sessions/fleet.go
+++ b/internal/measure/sessions/fleet.go
@@ -330,7 +330,7 @@
 		if _, ended := first.process(); ended == nil || first.Stats() == nil {
 			return false, "the first node does not answer"
 		}
-		if err := first.Say(driver.Word{Found: true}); err != nil {
+		if err := first.Say(driver.Command{Found: true}); err != nil {
 			return false, err.Error()
 		}
 		return true, ""
--- a/internal/measure/sessions/hollow.go
+++ b/internal/measure/sessions/hollow.go
@@ -186,8 +186,8 @@
 	report takeout.Report
 }
 
-// Look implements driver.Body.
-func (b *stubBody) Look() takeout.Report {
+// Report implements driver.Process.
+func (b *stubBody) Report() takeout.Report {
 	if now := time.Now(); now.Sub(b.at) >= newLoad {
 		b.at = now
 		b.report = takeout.Report{Warm: true, Capacity: capacity}
@@ -199,8 +199,8 @@
 	return b.report
 }
 
-// Hold implements driver.Body.
-func (b *stubBody) Hold(bool) {}
+// HoldHealth implements driver.Process.
+func (b *stubBody) HoldHealth(bool) {}
 
 // leaseRecord has the leases that ended.
 type leaseRecord struct {
--- a/internal/measure/sessions/node.go
+++ b/internal/measure/sessions/node.go
@@ -184,17 +184,17 @@
 }
 
 // Say gives the node an operator's word.
-func (n *Node) Say(word driver.Word) error {
+func (n *Node) Say(word driver.Command) error {
 	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
 	defer cancel()
-	return driver.Say(ctx, n.operators[0], word)
+	return driver.SendCommand(ctx, n.operators[0], word)
 }
 
 // Sessions is how the sessions stand, as the node knows it.
 func (n *Node) Sessions() (status controlnode.Status, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
 	defer cancel()
-	err = driver.Stands(ctx, n.operators[0], controlnode.SessionPart, &status)
+	err = driver.FetchModuleStatus(ctx, n.operators[0], controlnode.SessionPart, &status)
 	return status, err
 }
 
@@ -202,6 +202,6 @@
 func (n *Node) Documents() (list []controlnode.DocumentStatus, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), askWithin)
 	defer cancel()
-	err = driver.Stands(ctx, n.operators[0], controlnode.ConfigurationPart, &list)
+	err = driver.FetchModuleStatus(ctx, n.operators[0], controlnode.ConfigurationPart, &list)
 	return list, err
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -147,7 +147,7 @@
 	if err := Until("the first takes part", 10*time.Second, func() bool { _, err := f.Members[0].State(); return err == nil }); err != nil {
 		return err
 	}
-	return f.Members[0].Say(context.Background(), driver.Word{Found: true})
+	return f.Members[0].Say(context.Background(), driver.Command{Found: true})
 }
 
 // Close ends all processes.
@@ -320,11 +320,11 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	return driver.State(ctx, c)
+	return driver.FetchStatus(ctx, c)
 }
 
 // Say sends an operator's word to this box.
-func (m *Member) Say(ctx context.Context, w driver.Word) error {
+func (m *Member) Say(ctx context.Context, w driver.Command) error {
 	c, err := m.client()
 	if err != nil {
 		return err
@@ -332,12 +332,12 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(ctx, asks)
 	defer stop()
-	return driver.Say(ctx, c, w)
+	return driver.SendCommand(ctx, c, w)
 }
 
 // Propose has an operator ask this box for a plan.
 func (m *Member) Propose(ctx context.Context, p takeout.Plan) error {
-	return m.Say(ctx, driver.Word{Entry: takeout.Entry{Kind: takeout.Propose, Plan: p}})
+	return m.Say(ctx, driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: p}})
 }
 
 // Start starts its process if it has none and staff do not work on it.
@@ -563,5 +563,5 @@
 	defer c.Close()
 	ctx, stop := context.WithTimeout(context.Background(), time.Second)
 	defer stop()
-	return driver.Stands(ctx, c, part, s)
+	return driver.FetchModuleStatus(ctx, c, part, s)
 }
--- a/internal/standin/tier.go
+++ b/internal/standin/tier.go
@@ -120,7 +120,7 @@
 		return err
 	}
 	first := t.Nodes[0]
-	if err := Until("the fleet is founded", 10*time.Second, func() bool { return first.Say(driver.Word{Found: true}) == nil }); err != nil {
+	if err := Until("the fleet is founded", 10*time.Second, func() bool { return first.Say(driver.Command{Found: true}) == nil }); err != nil {
 		return err
 	}
 	for i := range o.Servers {
@@ -335,14 +335,14 @@
 }
 
 // Say sends an operator's word to the node.
-func (n *ControlNode) Say(w driver.Word) error {
-	return n.ask(func(ctx context.Context, c *link.Client) error { return driver.Say(ctx, c, w) })
+func (n *ControlNode) Say(w driver.Command) error {
+	return n.ask(func(ctx context.Context, c *link.Client) error { return driver.SendCommand(ctx, c, w) })
 }
 
 // State is how the fleet stands, as the node sees it.
 func (n *ControlNode) State() (s driver.Status, err error) {
 	err = n.ask(func(ctx context.Context, c *link.Client) error {
-		s, err = driver.State(ctx, c)
+		s, err = driver.FetchStatus(ctx, c)
 		return err
 	})
 	return s, err
@@ -351,7 +351,7 @@
 // Sessions is how the sessions stand, as the node sees it.
 func (n *ControlNode) Sessions() (s controlnode.Status, err error) {
 	err = n.ask(func(ctx context.Context, c *link.Client) error {
-		return driver.Stands(ctx, c, controlnode.SessionPart, &s)
+		return driver.FetchModuleStatus(ctx, c, controlnode.SessionPart, &s)
 	})
 	return s, err
 }
@@ -359,11 +359,11 @@
 // Documents are all configuration documents with their values, as the node has them.
 func (n *ControlNode) Documents() (out []controlnode.DocumentStatus, err error) {
 	err = n.ask(func(ctx context.Context, c *link.Client) error {
-		if err := driver.Stands(ctx, c, controlnode.ConfigurationPart, &out); err != nil {
+		if err := driver.FetchModuleStatus(ctx, c, controlnode.ConfigurationPart, &out); err != nil {
 			return err
 		}
 		for i := range out {
-			if _, err := driver.Item(ctx, c, controlnode.ConfigurationPart, out[i].Key, &out[i]); err != nil {
+			if _, err := driver.FetchItem(ctx, c, controlnode.ConfigurationPart, out[i].Key, &out[i]); err != nil {
 				return err
 			}
 		}
--- a/internal/versus/fleet.go
+++ b/internal/versus/fleet.go
@@ -274,7 +274,7 @@
 	for i := range errs {
 		all.Go(func() {
 			for range n / len(errs) {
-				err := p.Members[i%len(p.Members)].Say(context.Background(), driver.Word{Entry: takeout.Entry{Kind: takeout.Pause,
+				err := p.Members[i%len(p.Members)].Say(context.Background(), driver.Command{Entry: takeout.Entry{Kind: takeout.Pause,
 					Plan: takeout.Plan{ID: "none", Reason: strings.Repeat("x", 4<<10)}}})
 				if err == nil {
 					errs[i] = errors.New("a plan that is unknown was paused")
