--- a/cmd/larchscale/fleet.go
+++ b/cmd/larchscale/fleet.go
@@ -13,13 +13,13 @@
 	"larchscale/internal/admin"
 	"larchscale/internal/config"
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/desk"
+	"larchscale/internal/fleet/claimstore"
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/ground"
-	"larchscale/internal/fleet/hand"
-	"larchscale/internal/fleet/place"
+	"larchscale/internal/fleet/membership"
+	"larchscale/internal/fleet/placement"
 	"larchscale/internal/fleet/replycache"
 	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/trials"
 	"larchscale/internal/index"
 	"larchscale/internal/link"
@@ -75,7 +75,7 @@
 	mux.Handle("/fleet/", part)
 	s.metrics = part.Metrics
 	if s.claims != nil {
-		s.metrics = joinMetrics(part.Metrics, s.claims.Lines)
+		s.metrics = joinMetrics(part.Metrics, s.claims.Metrics)
 	}
 	return part
 }
@@ -90,7 +90,7 @@
 		mux.Handle("/kept/", s.replies.Handler())
 		s.replies.Stand(s.membership, peerLink, ways(s.operator))
 	}
-	s.claims.Stand(s.membership, peerLink, left)
+	s.claims.Attach(s.membership, peerLink, left)
 	go s.claims.Run(ctx)
 	mux.Handle("/hand/", s.claims.Handler())
 }
@@ -132,7 +132,7 @@
 }
 
 // maxMoves bounds the slices that move at a time: an eighth of all.
-const maxMoves = place.Slices / 8
+const maxMoves = placement.Shards / 8
 
 // leftCalls bounds the calls below that runs of lost boxes make at a time.
 const leftCalls = 8
@@ -143,24 +143,24 @@
 	tests *trials.Trials
 }
 
-// Call implements desk.Calls.
+// Call implements claimstore.Caller.
 func (l *left) Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte) {
 	l.to[l.tests.Found(class)].Call(handle, number, class, subject, patience, once, body)
 }
 
 // newDesk makes the box's desk at which keyed work is claimed in the fleet.
-func newDesk(cfg *config.Config, own *config.Operator, cursor func() uint64, sink func(core.Event), log *slog.Logger) *desk.Desk {
+func newDesk(cfg *config.Config, own *config.Operator, cursor func() uint64, sink func(core.Event), log *slog.Logger) *claimstore.Store {
 	longest := time.Duration(0)
 	for _, k := range cfg.Site.Control.Classes {
 		longest = max(longest, core.ClaimLife(&k))
 	}
 	bytes := cfg.Limits.HomeBytes()
-	return desk.New(desk.Options{Box: cfg.Name, Site: &cfg.Site, Cursor: cursor, Ways: ways(own),
-		Limits: hand.Limits{Records: int(bytes / 1024), Bytes: bytes, Longest: longest}}, sink, log)
+	return claimstore.New(claimstore.Options{Server: cfg.Name, Site: &cfg.Site, Cursor: cursor, Addresses: ways(own),
+		Limits: takeover.Limits{Records: int(bytes / 1024), Bytes: bytes, MaxRetention: longest}}, sink, log)
 }
 
 // newTrials makes what sends calls below where trials have them go.
-func newTrials(cfg *config.Config, own *config.Operator, calls core.Downstream, g *ground.Ground, sink func(core.Event), log *slog.Logger) *trials.Trials {
+func newTrials(cfg *config.Config, own *config.Operator, calls core.Downstream, g *membership.State, sink func(core.Event), log *slog.Logger) *trials.Trials {
 	classes, others := cfg.Site.Classes, map[string]core.Downstream{}
 	if cfg.Index == "" { // no class makes calls here
 		classes = nil
--- a/cmd/larchscale/server.go
+++ b/cmd/larchscale/server.go
@@ -12,9 +12,9 @@
 	"larchscale/internal/config"
 	"larchscale/internal/core"
 	"larchscale/internal/directory"
+	"larchscale/internal/fleet/claimstore"
 	"larchscale/internal/fleet/controlclient"
-	"larchscale/internal/fleet/desk"
-	"larchscale/internal/fleet/ground"
+	"larchscale/internal/fleet/membership"
 	"larchscale/internal/fleet/replycache"
 	"larchscale/internal/fleet/trials"
 	"larchscale/internal/handoff"
@@ -63,9 +63,9 @@
 	endStore   context.CancelFunc // has the store do what it was asked and end
 	storeEnded <-chan struct{}    // closed once it has; nil = it is not waited for
 
-	claims      *desk.Desk     // these three are nil unless the fleet takes over keyed requests
-	membership  *ground.Ground //
-	experiments *trials.Trials //
+	claims      *claimstore.Store // these three are nil unless the fleet takes over keyed requests
+	membership  *membership.State //
+	experiments *trials.Trials    //
 
 	holder  *admin.HealthHolder
 	metrics func() []byte // of the fleet and the reply cache, beside the core's; nil = none
--- a/cmd/larchscale/store.go
+++ b/cmd/larchscale/store.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 	"time"
 
-	"larchscale/internal/fleet/ground"
+	"larchscale/internal/fleet/membership"
 	"larchscale/internal/store"
 )
 
@@ -31,7 +31,7 @@
 func (s *server) openFleetStore() {
 	s.claims = newDesk(s.config, s.operator, s.workers.Cursor, s.core.Send, s.log)
 	s.store = s.claims
-	s.membership = ground.New(ground.Options{Pool: s.config.Pool, Whole: s.claims.Whole, Moves: maxMoves}, s.changeView, s.log)
+	s.membership = membership.New(membership.Options{Pool: s.config.Pool, InSync: s.claims.InSync, MaxMoves: maxMoves}, s.changeView, s.log)
 	s.experiments = newTrials(s.config, s.operator, s.backend, s.membership, s.core.Send, s.log)
 	if len(s.operator.Fleet.TrialCalls) > 0 { // without any, no call goes through them
 		s.backend = s.experiments
@@ -40,8 +40,8 @@
 }
 
 // changeView tells the parts that keep shards of the fleet which of them are this server's.
-func (s *server) changeView(view *ground.View) {
-	s.claims.View(view)
+func (s *server) changeView(view *membership.View) {
+	s.claims.SetView(view)
 	if s.replies != nil {
 		s.replies.View(view)
 	}
--- a/cmd/measure/hand.go
+++ b/cmd/measure/hand.go
@@ -9,8 +9,8 @@
 	"sync"
 	"time"
 
-	"larchscale/internal/fleet/hand"
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/standin"
 )
 
@@ -241,26 +241,26 @@
 		return m.HeapAlloc
 	}
 	const home, holder = "n1", "n2"
-	box := func(name string) *hand.Hand {
-		h := hand.New(hand.Limits{})
-		h.SetView(0, hand.View{Epoch: 1, Self: name, Life: 1, Lives: map[string]uint64{home: 1, holder: 1},
-			Homes: func(int) []string { return []string{home} }, Fresh: func(int) bool { return true }}, time.Hour)
+	box := func(name string) *takeover.Machine {
+		h := takeover.New(takeover.Limits{})
+		h.SetView(0, takeover.View{Epoch: 1, Self: name, Token: 1, Tokens: map[string]uint64{home: 1, holder: 1},
+			Replicas: func(int) []string { return []string{home} }, NewShard: func(int) bool { return true }}, time.Hour)
 		return h
 	}
 	before := heap()
 	h := box(home)
 	from := box(holder) // gone when the home is measured
 	carry := func() {
-		for _, m := range from.Drain(0).Sends {
+		for _, m := range from.TakeOutputs(0).Sends {
 			h.Receive(0, holder, m.Msg)
 		}
-		for _, m := range h.Drain(0).Sends {
+		for _, m := range h.TakeOutputs(0).Sends {
 			from.Receive(0, home, m.Msg)
 		}
 	}
 	for i := range pieces {
-		k := hand.Key{Class: standin.Classes[1], Token: fmt.Sprintf("%032d", i)}
-		from.Claim(0, hand.Piece{Key: k, Body: make([]byte, 256), Handle: fmt.Sprintf("%016x", i), Due: time.Minute, Life: time.Minute})
+		k := takeover.Key{Class: standin.Classes[1], Token: fmt.Sprintf("%032d", i)}
+		from.Claim(0, takeover.KeyedRequest{Key: k, Body: make([]byte, 256), Handle: fmt.Sprintf("%016x", i), Due: time.Minute, Life: time.Minute})
 		carry()
 		if ended {
 			from.Finish(0, k, true, make([]byte, 256), "")
@@ -269,7 +269,7 @@
 	}
 	from = nil
 	after := heap()
-	if n := h.Figures().Records; n != pieces {
+	if n := h.Metrics().Records; n != pieces {
 		return 0, fmt.Errorf("a home has %d of %d pieces", n, pieces)
 	}
 	return float64(after-before) / pieces, nil
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -14,10 +14,10 @@
 	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/forecast"
-	"larchscale/internal/fleet/hand"
 	"larchscale/internal/fleet/lease"
-	"larchscale/internal/fleet/place"
+	"larchscale/internal/fleet/placement"
 	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/trial"
 	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
@@ -47,11 +47,11 @@
 		{"link.maxBoxes", "internal/link/link.go", linkServers + 1, "servers", "the operator's file is refused, and the program does not start"},
 		{"takeout.MaxBoxes", "internal/fleet/takeout/state.go", takeout.MaxBoxes, "servers", "a server that joins is refused"},
 		{"lease.MaxBoxes", "internal/fleet/lease/state.go", lease.MaxBoxes, "servers", "a server gets no lease"},
-		{"place.MaxBoxes", "internal/fleet/place/state.go", place.MaxBoxes, "servers", "a server is not placed on"},
+		{"place.MaxBoxes", "internal/fleet/place/state.go", placement.MaxBoxes, "servers", "a server is not placed on"},
 		{"forecast.MaxBoxes", "internal/fleet/forecast/sketch.go", forecast.MaxBoxes, "servers", "the sketch of a further server is refused"},
 		{"sequential.MaxBoxes", "internal/sequential/sequential.go", sequential.MaxBoxes, "servers", "trials are ended as void more often than their plan allows"},
 		{"trial.MaxHeard", "internal/fleet/trial/count.go", (trial.MaxHeard - trial.MaxKept) / trial.MaxBlocks, "servers", "reports to a trial in its last blocks are refused"},
-		{"hand.Slices, place.Slices", "internal/fleet/hand/hand.go, internal/fleet/place/state.go", hand.Slices, "servers", "servers without a shard"},
+		{"hand.Slices, place.Slices", "internal/fleet/hand/hand.go, internal/fleet/place/state.go", takeover.Shards, "servers", "servers without a shard"},
 		{"route.MaxMembers", "client/route/route.go", route.MaxMembers, "servers", "callers do not know further servers"},
 		{"ledger.MaxNames", "internal/ledger/book.go", ledger.MaxNames, "tenants", "a server with a ledger does not start"},
 		{"ledger.MaxNames", "internal/ledger/book.go", ledger.MaxNames, "routes", "a server with a ledger does not start"},
@@ -97,7 +97,7 @@
 
 // leaseMessages is the renewals and grants a second at the leader, with in-flight takeover.
 func leaseMessages(s Size) float64 {
-	return 2 * (s.Servers - 1) / lease.MeshTerms.Every.Seconds()
+	return 2 * (s.Servers - 1) / lease.MeshTerms.RenewInterval.Seconds()
 }
 
 // admissions is the deliveries of entries that let all servers in one after the other: each goes to all there are.
@@ -110,7 +110,7 @@
 
 // shardImbalance is the shards of the fullest server over the mean, where they are spread as evenly as can be.
 func shardImbalance(s Size) float64 {
-	mean := hand.Slices / s.Servers
+	mean := takeover.Shards / s.Servers
 	return math.Ceil(mean) / mean
 }
 
@@ -121,12 +121,12 @@
 func membersBytes(s Size) float64 {
 	n := int(s.Servers)
 	members := consensus.State{Members: make([]consensus.Member, n)}
-	leases := lease.State{Boxes: make([]lease.Box, n)}
-	placement := place.State{Boxes: make([]string, n), Homes: &place.Homes{}}
+	leases := lease.State{Boxes: make([]lease.Server, n)}
+	placement := placement.State{Boxes: make([]string, n), Homes: &placement.Assignment{}}
 	for i := range n {
 		name := fmt.Sprintf("server-%04d", i)
 		members.Members[i] = consensus.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
-		leases.Boxes[i] = lease.Box{Name: name, Zone: "zone-1", Incarnation: 1000, Life: 1_000_000, Index: 1_000_000, Pool: "10.123.123.123:4567"}
+		leases.Boxes[i] = lease.Server{Name: name, Zone: "zone-1", Incarnation: 1000, Life: 1_000_000, Index: 1_000_000, Pool: "10.123.123.123:4567"}
 		placement.Boxes[i] = name
 	}
 	total := 0
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -30,7 +30,7 @@
 	others := func(s Size) float64 { return s.Servers - 1 }
 	toVoters := func(s Size) float64 { return (s.Servers - 1) * voters }
 	heartbeats := func(s Size) float64 { return (s.Servers-voters)*learnerHeartbeatsPerSecond + (voters-1)*10 }
-	renewals := func(s Size) float64 { return (s.Servers - 1) / lease.MeshTerms.Every.Seconds() }
+	renewals := func(s Size) float64 { return (s.Servers - 1) / lease.MeshTerms.RenewInterval.Seconds() }
 	return []MessageKind{
 		{"report", "each server", "each of 3 voters", Count{"3(n−1) / 1 s", toVoters}, reportPayload(), "`fleet/driver`, newest value wins"},
 		{"heartbeat", "leader", "each voter, each learner", Count{"(n−3) / 1 s + 2 / 0.1 s", heartbeats}, heartbeatPayload(raftpb.MessageType_MsgHeartbeat), "raft"},
--- a/internal/fleet/desk/desk.go
+++ b/internal/fleet/claimstore/desk.go
@@ -1,7 +1,7 @@
-// Package desk stores the claims of the core's keyed requests in the fleet: it implements the core's Store by running
+// Package claimstore stores the claims of the core's keyed requests in the fleet: it implements the core's Store by running
 // package takeover on a goroutine of its own. Claims and outcomes are sent to the replicas of their keys over separate
 // streams, and the in-flight requests of lost servers are brought to an outcome at their worker pools.
-package desk
+package claimstore
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"time"
 
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/ground"
-	"larchscale/internal/fleet/hand"
+	"larchscale/internal/fleet/membership"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/transport"
 	"larchscale/internal/link"
 )
@@ -25,40 +25,40 @@
 
 // Options configure a Store.
 type Options struct {
-	Box    string
-	Site   *core.Config
-	Limits hand.Limits
-	Cursor func() uint64     // current cursor of the worker pool's link
-	Ways   map[string]string // addresses of other servers by name; others are reached at the address that they report
+	Server    string
+	Site      *core.Config
+	Limits    takeover.Limits
+	Cursor    func() uint64     // current cursor of the worker pool's link
+	Addresses map[string]string // addresses of other servers by name; others are reached at the address that they report
 }
 
-// Desk is the claim store of one process.
-type Desk struct {
+// Store is the claim store of one process.
+type Store struct {
 	opt            Options
-	membership     *ground.Ground
+	membership     *membership.State
 	sink           func(core.Event)
 	log            *slog.Logger
 	queue          chan func()
-	pendingDisowns atomic.Int64                          // Disowns that the core has not processed yet
-	machineToken   atomic.Uint64                         // the fencing token under which machine acts
-	coreToken      atomic.Uint64                         // token of the core's claims; 0 = the core must give them up
-	inSync         atomic.Pointer[[hand.Slices / 8]byte] // one bit per shard
-	metrics        atomic.Pointer[hand.Figures]
+	pendingDisowns atomic.Int64                              // Disowns that the core has not processed yet
+	machineToken   atomic.Uint64                             // the fencing token under which machine acts
+	coreToken      atomic.Uint64                             // token of the core's claims; 0 = the core must give them up
+	inSync         atomic.Pointer[[takeover.Shards / 8]byte] // one bit per shard
+	metrics        atomic.Pointer[takeover.Metrics]
 
 	// Used only by the loop.
-	machine     *hand.Hand
+	machine     *takeover.Machine
 	token       uint64 // fencing token of the view that machine has
 	placed      bool   // shards were assigned in that view
-	pendingView *ground.View
-	streams     *transport.Streams[*hand.Msg]
-	takeovers   map[hand.Owner]*poolTakeover
-	calls       Calls
+	pendingView *membership.View
+	streams     *transport.Streams[*takeover.Message]
+	takeovers   map[takeover.Owner]*poolTakeover
+	calls       Caller
 	counts      takeoverCounts
 	callWaits   callWaits
 }
 
-// Calls makes downstream calls for runs of lost servers. Its methods are those of core.Downstream.
-type Calls interface {
+// Caller makes downstream calls for runs of lost servers. Its methods are those of core.Downstream.
+type Caller interface {
 	Call(handle string, number uint64, class string, subject uint64, patience time.Duration, once bool, body []byte)
 }
 
@@ -69,19 +69,19 @@
 
 // New returns a claim store. It can serve as the core's store at once, and refuses requests until the fleet has a
 // placement.
-func New(opt Options, sink func(core.Event), log *slog.Logger) *Desk {
-	return &Desk{opt: opt, sink: sink, log: log, queue: make(chan func(), maxQueue), machine: hand.New(opt.Limits),
-		takeovers: map[hand.Owner]*poolTakeover{}}
+func New(opt Options, sink func(core.Event), log *slog.Logger) *Store {
+	return &Store{opt: opt, sink: sink, log: log, queue: make(chan func(), maxQueue), machine: takeover.New(opt.Limits),
+		takeovers: map[takeover.Owner]*poolTakeover{}}
 }
 
-// Stand sets the membership state and the link that the store uses. It must be called before Run.
-func (d *Desk) Stand(state *ground.Ground, link *link.Link, calls Calls) {
+// Attach sets the membership state and the link that the store uses. It must be called before Run.
+func (d *Store) Attach(state *membership.State, link *link.Link, calls Caller) {
 	d.membership, d.calls = state, calls
 	d.streams = d.newStreams(link)
 }
 
 // Run runs the loop until ctx ends.
-func (d *Desk) Run(ctx context.Context) {
+func (d *Store) Run(ctx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
@@ -103,11 +103,11 @@
 	}
 }
 
-func (d *Desk) now() time.Duration { return d.membership.Now() }
+func (d *Store) now() time.Duration { return d.membership.Now() }
 
 // refreshLease passes on the current end of the lease, and applies a view that waited for the first lease of its token.
-func (d *Desk) refreshLease() {
-	d.machine.Lease(d.membership.Until())
+func (d *Store) refreshLease() {
+	d.machine.ExtendLease(d.membership.LeaseEnd())
 	if view := d.pendingView; view != nil && d.membership.Holds() {
 		d.pendingView = nil
 		d.setView(view)
@@ -115,7 +115,7 @@
 }
 
 // enqueue queues call to run on the loop; it returns false if the queue is full.
-func (d *Desk) enqueue(call func()) bool {
+func (d *Store) enqueue(call func()) bool {
 	select {
 	case d.queue <- call:
 		return true
@@ -124,11 +124,11 @@
 	}
 }
 
-// View queues the next view; it is called on the fleet's loop. It blocks while the queue is full, because without the
+// SetView queues the next view; it is called on the fleet's loop. It blocks while the queue is full, because without the
 // view the store would act under an outdated one.
-func (d *Desk) View(view *ground.View) {
+func (d *Store) SetView(view *membership.View) {
 	d.queue <- func() {
-		if view.Life != d.token && view.Life != 0 && !d.membership.Holds() {
+		if view.Token != d.token && view.Token != 0 && !d.membership.Holds() {
 			d.pendingView = view
 			return
 		}
@@ -138,54 +138,54 @@
 }
 
 // setView passes a view to machine.
-func (d *Desk) setView(view *ground.View) {
-	first := view.Life != d.token || !d.placed // this server was not a replica under this token before
-	d.token, d.placed = view.Life, view.Placed()
-	d.machineToken.Store(view.Life)
-	lives, pools := map[string]uint64{}, map[hand.Owner]string{}
-	for name, server := range view.Lives {
+func (d *Store) setView(view *membership.View) {
+	first := view.Token != d.token || !d.placed // this server was not a replica under this token before
+	d.token, d.placed = view.Token, view.Placed()
+	d.machineToken.Store(view.Token)
+	lives, pools := map[string]uint64{}, map[takeover.Owner]string{}
+	for name, server := range view.Registered {
 		lives[name] = server.Life
 	}
-	for _, server := range view.Lost { // a server that is registered again has its pool to itself
-		pools[hand.Owner{Box: server.Name, Life: server.Life}] = server.Pool
+	for _, server := range view.Expired { // a server that is registered again has its pool to itself
+		pools[takeover.Owner{Box: server.Name, Life: server.Life}] = server.Pool
 	}
-	d.machine.SetView(d.now(), hand.View{Epoch: view.Epoch, Prev: view.Prev, Self: d.opt.Box, Life: view.Life,
-		Lives: lives, Pools: pools,
-		Homes: func(shard int) (out []string) {
-			for _, name := range pairOf(view.Homes(shard)) {
+	d.machine.SetView(d.now(), takeover.View{Epoch: view.Epoch, Prev: view.Prev, Self: d.opt.Server, Token: view.Token,
+		Tokens: lives, Pools: pools,
+		Replicas: func(shard int) (out []string) {
+			for _, name := range pairOf(view.Replicas(shard)) {
 				if name != "" {
 					out = append(out, name)
 				}
 			}
 			return out
 		},
-		Fresh: func(shard int) bool { return first && view.Original(shard, d.opt.Box) },
-	}, d.membership.Until())
+		NewShard: func(shard int) bool { return first && view.HeldSinceOrigin(shard, d.opt.Server) },
+	}, d.membership.LeaseEnd())
 }
 
 func pairOf(a, b string) [2]string { return [2]string{a, b} }
 
-// Whole reports whether this server has all records of a shard. It is safe for use from any goroutine.
-func (d *Desk) Whole(shard int) bool {
+// InSync reports whether this server has all records of a shard. It is safe for use from any goroutine.
+func (d *Store) InSync(shard int) bool {
 	bits := d.inSync.Load()
 	return bits != nil && bits[shard/8]>>(shard%8)&1 == 1
 }
 
-func (d *Desk) publish() {
-	bits := new([hand.Slices / 8]byte)
-	for i := range hand.Slices {
-		if d.machine.Whole(i) {
+func (d *Store) publish() {
+	bits := new([takeover.Shards / 8]byte)
+	for i := range takeover.Shards {
+		if d.machine.InSync(i) {
 			bits[i/8] |= 1 << (i % 8)
 		}
 	}
 	d.inSync.Store(bits)
-	metrics := d.machine.Figures()
+	metrics := d.machine.Metrics()
 	d.metrics.Store(&metrics)
 }
 
 // flush carries out the outputs of machine.
-func (d *Desk) flush(ctx context.Context) {
-	out := d.machine.Drain(d.now())
+func (d *Store) flush(ctx context.Context) {
+	out := d.machine.TakeOutputs(d.now())
 	if out.Disown {
 		d.pendingDisowns.Add(1)
 		d.coreToken.Store(0)
@@ -216,31 +216,31 @@
 	}
 }
 
-var claimStates = map[hand.State]core.Claim{hand.Won: core.ClaimWon, hand.Other: core.ClaimOther, hand.Done: core.ClaimDone,
-	hand.Failed: core.ClaimFailed, hand.Off: core.ClaimConflict, hand.Down: core.ClaimUnavailable}
+var claimStates = map[takeover.ClaimState]core.Claim{takeover.Won: core.ClaimWon, takeover.HeldElsewhere: core.ClaimOther, takeover.Done: core.ClaimDone,
+	takeover.Failed: core.ClaimFailed, takeover.BodyMismatch: core.ClaimConflict, takeover.Unavailable: core.ClaimUnavailable}
 
-func (d *Desk) verdict(verdict hand.Verdict) {
+func (d *Store) verdict(verdict takeover.Verdict) {
 	key, ok := d.coreKey(verdict.Key)
 	if !ok {
 		return
 	}
-	if verdict.State == hand.Down {
+	if verdict.State == takeover.Unavailable {
 		d.log.Info("keys", "do", "refuse", "class", verdict.Key.Class, "why", verdict.Why)
 	}
 	d.sink(core.ClaimAnswered{Key: key, State: claimStates[verdict.State], Result: verdict.Result})
 }
 
-func (d *Desk) coreKey(key hand.Key) (core.Key, bool) {
+func (d *Store) coreKey(key takeover.Key) (core.Key, bool) {
 	class := d.opt.Site.ClassIndex(key.Class)
 	return core.Key{Class: class, Token: key.Token}, class >= 0
 }
 
-func (d *Desk) fleetKey(key core.Key) hand.Key {
-	return hand.Key{Class: d.opt.Site.Classes[key.Class], Token: key.Token}
+func (d *Store) fleetKey(key core.Key) takeover.Key {
+	return takeover.Key{Class: d.opt.Site.Classes[key.Class], Token: key.Token}
 }
 
 // adopt gives the core a request that is run here.
-func (d *Desk) adopt(request hand.Piece) {
+func (d *Store) adopt(request takeover.KeyedRequest) {
 	key, ok := d.coreKey(request.Key)
 	if !ok {
 		d.enqueue(func() { d.machine.Release(d.now(), request.Key) })
@@ -253,18 +253,18 @@
 }
 
 // Claim implements core.Store.
-func (d *Desk) Claim(request core.KeyedRequest) bool {
+func (d *Store) Claim(request core.KeyedRequest) bool {
 	tenant := ""
 	if request.Tenant >= 0 {
 		tenant = d.opt.Site.Tenants[request.Tenant]
 	}
-	claim := hand.Piece{Key: d.fleetKey(request.Key), Sum: request.Sum, Body: request.Body, Handle: request.Handle,
+	claim := takeover.KeyedRequest{Key: d.fleetKey(request.Key), Sum: request.Sum, Body: request.Body, Handle: request.Handle,
 		Cursor: d.opt.Cursor(), Tenant: tenant, Subject: request.Subject,
 		Caller: request.Caller, Rank: request.Rank, Memory: request.Memory, Work: request.Work, Due: request.Left,
 		Life: request.Life}
 	return d.enqueue(func() {
-		if d.pendingDisowns.Load() > 0 || !d.machine.Live(d.now()) {
-			d.verdict(hand.Verdict{Key: claim.Key, State: hand.Down, Why: "this server holds no lease"})
+		if d.pendingDisowns.Load() > 0 || !d.machine.Active(d.now()) {
+			d.verdict(takeover.Verdict{Key: claim.Key, State: takeover.Unavailable, Why: "this server holds no lease"})
 			return
 		}
 		d.machine.Claim(d.now(), claim)
@@ -272,7 +272,7 @@
 }
 
 // Finish implements core.Store. The outcome is reported as finished once it is stored at its replicas.
-func (d *Desk) Finish(key core.Key, _ [32]byte, ok bool, result []byte, _ time.Duration) bool {
+func (d *Store) Finish(key core.Key, _ [32]byte, ok bool, result []byte, _ time.Duration) bool {
 	result = slices.Clone(result)
 	if !d.enqueue(func() { d.machine.Finish(d.now(), d.fleetKey(key), ok, result, why(ok)) }) {
 		d.log.Warn("keys", "do", "finish", "err", "no room")
@@ -288,7 +288,7 @@
 }
 
 // Release implements core.Store.
-func (d *Desk) Release(key core.Key) {
+func (d *Store) Release(key core.Key) {
 	if !d.enqueue(func() { d.machine.Release(d.now(), d.fleetKey(key)) }) {
 		d.log.Warn("keys", "do", "release", "err", "no room")
 	}
@@ -296,9 +296,9 @@
 
 // OwnsClaims implements core.Store. A lease of this process's next token does not cover claims that were made under the
 // previous one. It is safe for use from any goroutine.
-func (d *Desk) OwnsClaims() bool {
+func (d *Store) OwnsClaims() bool {
 	token := d.coreToken.Load()
-	return token != 0 && d.pendingDisowns.Load() == 0 && d.membership.Holds() && d.membership.Life() == token
+	return token != 0 && d.pendingDisowns.Load() == 0 && d.membership.Holds() && d.membership.Token() == token
 }
 
-var _ core.Store = (*Desk)(nil)
+var _ core.Store = (*Store)(nil)
--- a/internal/fleet/desk/fleet_test.go
+++ b/internal/fleet/claimstore/fleet_test.go
@@ -1,4 +1,4 @@
-package desk_test
+package claimstore_test
 
 import (
 	"fmt"
--- a/internal/fleet/desk/heirs.go
+++ b/internal/fleet/claimstore/heirs.go
@@ -1,4 +1,4 @@
-package desk
+package claimstore
 
 import (
 	"context"
@@ -11,20 +11,20 @@
 
 	"larchscale/control"
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/hand"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/pool"
 )
 
 // poolTakeover brings the in-flight requests of one lost process to an outcome at that process's worker pool.
 type poolTakeover struct {
-	keysByHandle map[string]hand.Asked // by handle of the run
+	keysByHandle map[string]takeover.ProbedKey // by handle of the run
 	stop         context.CancelFunc
 }
 
 // probe queries the pool of a lost process for the outcomes of its requests. A link that was closed because another
 // replica of the same process's requests, or that process itself, connected to the pool is made again with the next
 // probe: the pool keeps all notices for each link.
-func (d *Desk) probe(ctx context.Context, probe hand.Probe) {
+func (d *Store) probe(ctx context.Context, probe takeover.Probe) {
 	if active := d.takeovers[probe.Owner]; active != nil {
 		for _, key := range probe.Keys {
 			if active.keysByHandle[key.Handle] != key && key.Handle != "" {
@@ -34,16 +34,16 @@
 		}
 		return
 	}
-	active := &poolTakeover{keysByHandle: map[string]hand.Asked{}}
+	active := &poolTakeover{keysByHandle: map[string]takeover.ProbedKey{}}
 	var left []pool.UnfinishedRun
 	cursor, longest := ^uint64(0), time.Duration(0)
 	for _, key := range probe.Keys {
-		request, ok := d.machine.Piece(d.now(), key.Key)
+		request, ok := d.machine.OpenRequest(d.now(), key.Key)
 		if !ok {
 			continue
 		}
 		if key.Handle == "" {
-			d.machine.Proved(d.now(), key.Key, probe.Owner, hand.Proof{State: hand.Unknown})
+			d.machine.HandleProof(d.now(), key.Key, probe.Owner, takeover.Proof{State: takeover.Unknown})
 			continue
 		}
 		active.keysByHandle[key.Handle] = key
@@ -62,7 +62,7 @@
 }
 
 // followPool runs one link to a lost process's pool.
-func (d *Desk) followPool(ctx context.Context, probe hand.Probe, active *poolTakeover, cursor uint64, left []pool.UnfinishedRun) {
+func (d *Store) followPool(ctx context.Context, probe takeover.Probe, active *poolTakeover, cursor uint64, left []pool.UnfinishedRun) {
 	defer active.stop()
 	select { // a random delay, because the other replicas of its requests connect at the same moment
 	case <-time.After(time.Duration(rand.Int64N(int64(tickInterval)))):
@@ -76,7 +76,7 @@
 			return
 		}
 		d.counts.ended.Add(1)
-		d.proved(key, probe.Owner, hand.Proof{State: hand.Ran, OK: notice.OK, Result: notice.Body})
+		d.proved(key, probe.Owner, takeover.Proof{State: takeover.Ran, OK: notice.OK, Result: notice.Body})
 	})
 	unavailable := errors.Is(err, pool.ErrGap) || errors.Is(err, syscall.ECONNREFUSED)
 	d.log.Info("keys", "do", "taken over", "box", probe.Owner.Box, "life", probe.Owner.Life, "err", err)
@@ -86,20 +86,20 @@
 			return
 		}
 		for _, key := range active.keysByHandle {
-			if _, found := d.machine.Piece(d.now(), key.Key); found {
+			if _, found := d.machine.OpenRequest(d.now(), key.Key); found {
 				d.counts.unknown.Add(1)
-				d.machine.Proved(d.now(), key.Key, probe.Owner, hand.Proof{State: hand.Unknown})
+				d.machine.HandleProof(d.now(), key.Key, probe.Owner, takeover.Proof{State: takeover.Unknown})
 			}
 		}
 	}
 }
 
-func (d *Desk) proved(key hand.Key, owner hand.Owner, proof hand.Proof) {
-	d.queue <- func() { d.machine.Proved(d.now(), key, owner, proof) }
+func (d *Store) proved(key takeover.Key, owner takeover.Owner, proof takeover.Proof) {
+	d.queue <- func() { d.machine.HandleProof(d.now(), key, owner, proof) }
 }
 
 // call makes the downstream call that a run waits for.
-func (d *Desk) call(ctx context.Context, link *pool.SuccessorLink, notice pool.RunEvent, class string) {
+func (d *Store) call(ctx context.Context, link *pool.SuccessorLink, notice pool.RunEvent, class string) {
 	patience := time.Second
 	if end, ok := ctx.Deadline(); ok {
 		patience = min(patience, time.Until(end))
@@ -147,7 +147,7 @@
 
 // Reply processes the end of a call made by Caller, as its sink. If the call failed, the run keeps waiting, and its pool
 // ends it.
-func (d *Desk) Reply(e core.Event) {
+func (d *Store) Reply(e core.Event) {
 	ended, ok := e.(core.CallEnded)
 	if !ok {
 		return
@@ -157,13 +157,13 @@
 	}
 }
 
-// Lines returns the metrics for the admin endpoint. It is safe for use from any goroutine.
-func (d *Desk) Lines() []byte {
+// Metrics returns the metrics for the admin endpoint. It is safe for use from any goroutine.
+func (d *Store) Metrics() []byte {
 	metrics := d.metrics.Load()
 	if metrics == nil {
 		return nil
 	}
 	return fmt.Appendf(nil, "keys.mine=%d\nkeys.records=%d\nkeys.open=%d\nkeys.bytes=%d\nkeys.shut=%d\nkeys.lost=%d\nkeys.ended=%d\nkeys.unknown=%d\n",
-		metrics.Mine, metrics.Records, metrics.Open, metrics.Bytes, metrics.Quarantined, d.counts.lost.Load(),
+		metrics.Claims, metrics.Records, metrics.Open, metrics.Bytes, metrics.Quarantined, d.counts.lost.Load(),
 		d.counts.ended.Load(), d.counts.unknown.Load())
 }
--- a/internal/fleet/desk/heirs_test.go
+++ b/internal/fleet/claimstore/heirs_test.go
@@ -1,4 +1,4 @@
-package desk
+package claimstore
 
 import (
 	"testing"
--- a/internal/fleet/desk/streams.go
+++ b/internal/fleet/claimstore/streams.go
@@ -1,11 +1,11 @@
-package desk
+package claimstore
 
 import (
 	"cmp"
 	"net/http"
 	"time"
 
-	"larchscale/internal/fleet/hand"
+	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/transport"
 	"larchscale/internal/link"
 )
@@ -18,19 +18,19 @@
 )
 
 // newStreams returns the streams to other servers.
-func (d *Desk) newStreams(link *link.Link) *transport.Streams[*hand.Msg] {
-	return transport.New(transport.Options[*hand.Msg]{Server: d.opt.Box, Path: path, Link: link, Waiting: maxWaiting,
+func (d *Store) newStreams(link *link.Link) *transport.Streams[*takeover.Message] {
+	return transport.New(transport.Options[*takeover.Message]{Server: d.opt.Server, Path: path, Link: link, Waiting: maxWaiting,
 		Batch:  maxBatch,
 		Within: 2 * time.Second, Rest: tickInterval, // a server that refuses at once is not asked again at full speed
-		Addr: func(server string) string { return cmp.Or(d.opt.Ways[server], d.membership.Addr(server)) },
-		Lost: func(to string, messages []*hand.Msg, err error) {
+		Addr: func(server string) string { return cmp.Or(d.opt.Addresses[server], d.membership.Addr(server)) },
+		Lost: func(to string, messages []*takeover.Message, err error) {
 			d.log.Debug("keys", "do", "send", "to", to, "messages", len(messages), "err", err)
 		}})
 }
 
 // Handler returns the HTTP handler for the messages of other servers.
-func (d *Desk) Handler() http.Handler {
-	return transport.Handler(path, maxBatch, maxBody, func(from string, messages []*hand.Msg) bool {
+func (d *Store) Handler() http.Handler {
+	return transport.Handler(path, maxBatch, maxBody, func(from string, messages []*takeover.Message) bool {
 		return d.enqueue(func() {
 			for _, message := range messages {
 				if message != nil {
--- a/internal/fleet/controlnode/leases.go
+++ b/internal/fleet/controlnode/leases.go
@@ -53,7 +53,7 @@
 	}
 	l.granter.Lead(term, at)
 	for _, renewal := range renewals {
-		if err := l.granter.Asked(&l.State, renewal, at); err != nil {
+		if err := l.granter.Renew(&l.State, renewal, at); err != nil {
 			l.host.Log().Debug("fleet", "do", "renew", "err", err)
 		}
 	}
@@ -62,7 +62,7 @@
 // round has a majority asked for the renewals that wait.
 func (l *leases) round(term uint64, at time.Duration) {
 	l.granter.Lead(term, at)
-	round, ok := l.granter.Round(at)
+	round, ok := l.granter.BeginRound(at)
 	if !ok {
 		return
 	}
@@ -85,7 +85,7 @@
 			delete(l.rounds, read)
 		}
 	}
-	l.node.sessions.sendGrants(l.granter.Confirmed(&l.State, round))
+	l.node.sessions.sendGrants(l.granter.ConfirmRound(&l.State, round))
 }
 
 // LeaderTick implements driver.Module: the leader declares those lost whose lease is over by every clock.
@@ -96,16 +96,16 @@
 	term, _ := l.host.Leads()
 	at := boottime.Now()
 	l.granter.Lead(term, at)
-	for _, entry := range l.granter.Over(&l.State, at) {
+	for _, entry := range l.granter.ExpiredServers(&l.State, at) {
 		l.host.Log().Warn("fleet", "do", "lost", "server", entry.Box, "token", entry.Life)
 		if err := l.host.Propose(entry, entry.InTerm()); err != nil {
-			l.granter.Refused(entry.Box, entry.Life)
+			l.granter.ProposalFailed(entry.Box, entry.Life)
 		}
 	}
 	work := l.host.MaintenanceState()
 	for i := range l.State.Boxes {
 		if b := &l.State.Boxes[i]; b.Lost && work.Box(b.Name) == nil {
-			l.propose(lease.Entry{Kind: lease.Gone, Box: b.Name}, true)
+			l.propose(lease.Entry{Kind: lease.Removed, Box: b.Name}, true)
 		}
 	}
 }
--- a/internal/fleet/controlnode/propose.go
+++ b/internal/fleet/controlnode/propose.go
@@ -27,7 +27,7 @@
 	if e := proposal.Step; e != nil && e.Kind == takeout.Step && e.Box == server && e.Incarnation == incarnation {
 		s.proposeStep(p, e.Phase, at)
 	}
-	if e := proposal.Live; e != nil && e.Kind == lease.Live && e.Box == server && e.Incarnation == incarnation {
+	if e := proposal.Live; e != nil && e.Kind == lease.Registered && e.Box == server && e.Incarnation == incarnation {
 		s.proposeLive(p, at)
 	}
 }
@@ -46,11 +46,11 @@
 
 func (s *sessions) proposeLive(p *peer, at time.Duration) {
 	leases := s.node.leases
-	held := leases.State.Box(p.hello.Server)
+	held := leases.State.Server(p.hello.Server)
 	if held != nil && held.Incarnation == p.hello.Incarnation && !held.Lost || !leases.ready() || !elapsed(&p.livedAt, at) {
 		return
 	}
-	leases.propose(lease.Entry{Kind: lease.Live, Box: p.hello.Server, Zone: p.hello.Zone, Incarnation: p.hello.Incarnation, Pool: p.hello.Pool}, false)
+	leases.propose(lease.Entry{Kind: lease.Registered, Box: p.hello.Server, Zone: p.hello.Zone, Incarnation: p.hello.Incarnation, Pool: p.hello.Pool}, false)
 }
 
 // elapsed reports whether proposeEach has passed since a time, and sets it if so.
--- a/internal/fleet/controlnode/publish.go
+++ b/internal/fleet/controlnode/publish.go
@@ -58,7 +58,7 @@
 		for len(held) > 0 && held[0].Name < box.Name {
 			held = held[1:]
 		}
-		var lease *lease.Box
+		var lease *lease.Server
 		if len(held) > 0 && held[0].Name == box.Name {
 			lease = &held[0]
 		}
@@ -76,7 +76,7 @@
 }
 
 // publishServer puts what is agreed of a server into the history, if it changed, and ends sessions of its older processes.
-func (s *sessions) publishServer(revision uint64, now standing, held *lease.Box) {
+func (s *sessions) publishServer(revision uint64, now standing, held *lease.Server) {
 	name := now.Box.Name
 	if before, ok := s.published[name]; ok && before == now {
 		return
@@ -96,5 +96,5 @@
 // known returns the newest incarnation of a server that the log has; 0 = none.
 func (s *sessions) known(server string) uint64 {
 	now := s.published[server]
-	return now.incarnation(s.node.leases.State.Box(server))
+	return now.incarnation(s.node.leases.State.Server(server))
 }
--- a/internal/fleet/controlnode/refusals_test.go
+++ b/internal/fleet/controlnode/refusals_test.go
@@ -82,7 +82,7 @@
 		"a proposal for another server":  {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Step, Box: "app-1", Incarnation: 7, Phase: takeout.Returning}})}, session.Invalid},
 		"a proposal for another process": {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Step, Box: "app-9", Incarnation: 8, Phase: takeout.Returning}})}, session.Invalid},
 		"a plan":                         {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Propose, Box: "app-9", Incarnation: 7}})}, session.Invalid},
-		"the end of another's lease":     {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Live: &lease.Entry{Kind: lease.Lost, Box: "app-1", Life: 1}})}, session.Invalid},
+		"the end of another's lease":     {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Live: &lease.Entry{Kind: lease.Expired, Box: "app-1", Life: 1}})}, session.Invalid},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := refusal(t, f.dial("app-9"), c.messages...)
--- a/internal/fleet/controlnode/standing.go
+++ b/internal/fleet/controlnode/standing.go
@@ -26,7 +26,7 @@
 }
 
 // incarnation returns that of the server's newest process that has spoken.
-func (s *standing) incarnation(held *lease.Box) uint64 {
+func (s *standing) incarnation(held *lease.Server) uint64 {
 	if held == nil {
 		return s.Box.Incarnation
 	}
@@ -34,7 +34,7 @@
 }
 
 // newStanding returns what is agreed of a server; held is nil if it never had a lease.
-func newStanding(work *takeout.State, box *takeout.Box, held *lease.Box) standing {
+func newStanding(work *takeout.State, box *takeout.Box, held *lease.Server) standing {
 	out := standing{Standing: session.Standing{Box: *box, PlanOver: planOver(work, box.Plan)}}
 	if held == nil {
 		return out
--- a/internal/fleet/lease/granter.go
+++ b/internal/fleet/lease/granter.go
@@ -54,7 +54,7 @@
 func (g *Granter) Follow() { *g = Granter{terms: g.terms, lastRound: g.lastRound} }
 
 // track returns the state of a server's current token. A token seen for the first time counts as renewed just now.
-func (g *Granter) track(server *Box, now time.Duration) *tracked {
+func (g *Granter) track(server *Server, now time.Duration) *tracked {
 	lease := g.servers[server.Name]
 	if lease == nil || lease.token != server.Life {
 		lease = &tracked{token: server.Life, renewedAt: now}
@@ -63,21 +63,21 @@
 	return lease
 }
 
-// Asked accepts a renewal. now must be read after the renewal arrived. The error says why nothing will be granted.
-func (g *Granter) Asked(s *State, r Renewal, now time.Duration) error {
-	server := s.Box(r.Box)
+// Renew accepts a renewal. now must be read after the renewal arrived. The error says why nothing will be granted.
+func (g *Granter) Renew(s *State, r Renewal, now time.Duration) error {
+	server := s.Server(r.Box)
 	switch {
 	case g.term == 0:
-		return ErrFollows
+		return ErrNotLeader
 	case server == nil:
 		return fmt.Errorf("server %.70q requests a lease: %w", r.Box, ErrUnknown)
 	case server.Life != r.Life || server.Lost:
 		return fmt.Errorf("server %s renews token %d, the log has token %d, expired %v: %w", server.Name, r.Life,
-			server.Life, server.Lost, ErrLife)
+			server.Life, server.Lost, ErrStaleToken)
 	}
 	lease := g.track(server, now)
 	if lease.proposed {
-		return fmt.Errorf("server %s was proposed as expired under token %d: %w", server.Name, server.Life, ErrLife)
+		return fmt.Errorf("server %s was proposed as expired under token %d: %w", server.Name, server.Life, ErrStaleToken)
 	}
 	lease.renewedAt = now
 	if r.Seq > g.pending[server.Name].Seq || r.Life != g.pending[server.Name].Life {
@@ -86,9 +86,9 @@
 	return nil
 }
 
-// Round begins a round with the pending renewals. It returns false if there are none or too many rounds are in flight.
+// BeginRound begins a round with the pending renewals. It returns false if there are none or too many rounds are in flight.
 // The round's read index must be requested after this call.
-func (g *Granter) Round(now time.Duration) (id uint64, ok bool) {
+func (g *Granter) BeginRound(now time.Duration) (id uint64, ok bool) {
 	for len(g.rounds) > 0 && now-g.rounds[0].startedAt > g.terms.Length {
 		g.rounds = g.rounds[1:]
 	}
@@ -101,9 +101,9 @@
 	return g.lastRound, true
 }
 
-// Confirmed returns the grants of a round that a majority confirmed, and those of all earlier rounds: the confirmed
+// ConfirmRound returns the grants of a round that a majority confirmed, and those of all earlier rounds: the confirmed
 // read index began after their renewals arrived too. All entries up to the round's read index must be applied to s.
-func (g *Granter) Confirmed(s *State, id uint64) (grants []Grant) {
+func (g *Granter) ConfirmRound(s *State, id uint64) (grants []Grant) {
 	newest := map[string]Renewal{}
 	for len(g.rounds) > 0 && g.rounds[0].id <= id {
 		for name, r := range g.rounds[0].renewals {
@@ -114,18 +114,18 @@
 	for i := range s.Boxes {
 		server := &s.Boxes[i]
 		r, ok := newest[server.Name]
-		if ok && s.Lives(server.Name, r.Life) && !g.servers[server.Name].proposed {
+		if ok && s.IsCurrent(server.Name, r.Life) && !g.servers[server.Name].proposed {
 			grants = append(grants, Grant{r.Box, r.Life, r.Seq, g.terms.Length})
 		}
 	}
 	return grants
 }
 
-// Over returns the entries to propose, in this term only, for the servers whose lease has ended by every clock.
+// ExpiredServers returns the entries to propose, in this term only, for the servers whose lease has ended by every clock.
 // Nothing is granted to them from then on, unless ProposalFailed is called. A leader that has not
 // called this for half a lease was itself stopped, and renewals sent meanwhile may still be unread: every server then
 // counts as renewed just now.
-func (g *Granter) Over(s *State, now time.Duration) (expired []Entry) {
+func (g *Granter) ExpiredServers(s *State, now time.Duration) (expired []Entry) {
 	if g.term == 0 {
 		return nil
 	}
@@ -140,22 +140,22 @@
 		if stalled {
 			lease.renewedAt = now
 		}
-		if !lease.proposed && now-lease.renewedAt >= g.terms.Patience() {
+		if !lease.proposed && now-lease.renewedAt >= g.terms.ExpiryDelay() {
 			lease.proposed = true
-			expired = append(expired, Entry{Kind: Lost, Box: server.Name, Life: server.Life})
+			expired = append(expired, Entry{Kind: Expired, Box: server.Name, Life: server.Life})
 		}
 	}
 	for name := range g.servers {
-		if s.Box(name) == nil {
+		if s.Server(name) == nil {
 			delete(g.servers, name)
 		}
 	}
 	return expired
 }
 
-// Refused reports that a proposal of ExpiredServers is in no log and never will be, or had no effect. The
+// ProposalFailed reports that a proposal of ExpiredServers is in no log and never will be, or had no effect. The
 // token may be granted a lease again.
-func (g *Granter) Refused(server string, token uint64) {
+func (g *Granter) ProposalFailed(server string, token uint64) {
 	if lease := g.servers[server]; lease != nil && lease.token == token {
 		lease.proposed = false
 	}
--- a/internal/fleet/lease/holder.go
+++ b/internal/fleet/lease/holder.go
@@ -35,42 +35,42 @@
 	return &Holder{server: server, terms: terms, sentAt: make([]time.Duration, terms.outstanding())}
 }
 
-// Life returns the fencing token that a lease is held or requested for; 0 = none: the process must first register.
-func (h *Holder) Life() uint64 { return h.token }
+// Token returns the fencing token that a lease is held or requested for; 0 = none: the process must first register.
+func (h *Holder) Token() uint64 { return h.token }
 
-// Live sets the fencing token under which the log has registered this very process. Repeating a token has no effect.
-func (h *Holder) Live(token uint64, now time.Duration) {
+// SetToken sets the fencing token under which the log has registered this very process. Repeating a token has no effect.
+func (h *Holder) SetToken(token uint64, now time.Duration) {
 	if token != h.token {
 		h.token, h.nextRenewal, h.leaseEnd = token, now, 0
 	}
 }
 
-// Lost drops token and lease: the log has declared the token expired, or the process is about to end.
-func (h *Holder) Lost() { h.token, h.leaseEnd = 0, 0 }
+// DropToken drops token and lease: the log has declared the token expired, or the process is about to end.
+func (h *Holder) DropToken() { h.token, h.leaseEnd = 0, 0 }
 
-// Ask returns the renewal to send at once, if one is due. now must be read before it is sent.
-func (h *Holder) Ask(now time.Duration) (Renewal, bool) {
+// NextRenewal returns the renewal to send at once, if one is due. now must be read before it is sent.
+func (h *Holder) NextRenewal(now time.Duration) (Renewal, bool) {
 	if now < h.nextRenewal {
 		return Renewal{}, false
 	}
-	return h.AskNow(now)
+	return h.RenewNow(now)
 }
 
-// AskNow returns a renewal to send at once, whenever the last one was sent. It returns false if there is no token to
+// RenewNow returns a renewal to send at once, whenever the last one was sent. It returns false if there is no token to
 // renew. now must be read before the renewal is sent.
-func (h *Holder) AskNow(now time.Duration) (Renewal, bool) {
+func (h *Holder) RenewNow(now time.Duration) (Renewal, bool) {
 	if h.token == 0 {
 		return Renewal{}, false
 	}
 	h.seq++
 	h.sentAt[h.seq%h.terms.outstanding()] = now
-	h.nextRenewal = now + h.terms.Every
+	h.nextRenewal = now + h.terms.RenewInterval
 	return Renewal{h.server, h.token, h.seq}, true
 }
 
-// Granted accepts a grant. A grant that is late, repeated, for another token or for a renewal that was never sent
+// AcceptGrant accepts a grant. A grant that is late, repeated, for another token or for a renewal that was never sent
 // cannot shorten the lease: it ends at the latest end that was granted.
-func (h *Holder) Granted(g Grant) {
+func (h *Holder) AcceptGrant(g Grant) {
 	if g.Box != h.server || g.Life != h.token || g.Life == 0 || g.Seq == 0 || g.Seq > h.seq ||
 		h.seq-g.Seq >= h.terms.outstanding() {
 		return
@@ -82,5 +82,5 @@
 // because the process may stop between this check and the work.
 func (h *Holder) Holds(now time.Duration) bool { return h.token != 0 && now < h.leaseEnd }
 
-// Until returns when the lease ends; 0 = none was granted under this token.
-func (h *Holder) Until() time.Duration { return h.leaseEnd }
+// LeaseEnd returns when the lease ends; 0 = none was granted under this token.
+func (h *Holder) LeaseEnd() time.Duration { return h.leaseEnd }
--- a/internal/fleet/lease/sim_test.go
+++ b/internal/fleet/lease/sim_test.go
@@ -169,22 +169,22 @@
 			}
 			_ = server.node.Step(message) // proposals are dropped while there is no leader
 		case packet.renewal != nil:
-			if err := server.granter.Asked(&server.state, *packet.renewal, w.clock(server)); err == nil && w.omitted.noReadIndex {
-				id, _ := server.granter.Round(w.clock(server))
+			if err := server.granter.Renew(&server.state, *packet.renewal, w.clock(server)); err == nil && w.omitted.noReadIndex {
+				id, _ := server.granter.BeginRound(w.clock(server))
 				w.grant(server, id)
 			}
 		default:
 			if w.omitted.leaseFromReceipt {
 				server.holder.sentAt[packet.grant.Seq%MeshTerms.outstanding()] = w.clock(server)
 			}
-			server.holder.Granted(*packet.grant)
+			server.holder.AcceptGrant(*packet.grant)
 		}
 	}
 	server.spareInbox = arrived
 }
 
 func (w *world) grant(server *simServer, id uint64) {
-	for _, grant := range server.granter.Confirmed(&server.state, id) {
+	for _, grant := range server.granter.ConfirmRound(&server.state, id) {
 		w.send(server.index, int(grant.Box[1]-'0'), packet{grant: &grant})
 	}
 }
@@ -209,7 +209,7 @@
 	if _, leads := w.syncLeadership(server); !leads {
 		return
 	}
-	if id, ok := server.granter.Round(w.clock(server)); ok {
+	if id, ok := server.granter.BeginRound(w.clock(server)); ok {
 		server.node.ReadIndex(binary.LittleEndian.AppendUint64(nil, id))
 	}
 }
@@ -221,14 +221,14 @@
 	}
 	now := w.clock(server)
 	if w.omitted.noClockDrift {
-		now += MeshTerms.Patience() - MeshTerms.Length
+		now += MeshTerms.ExpiryDelay() - MeshTerms.Length
 		server.granter.checkedAt = now
 	}
-	for _, entry := range server.granter.Over(&server.state, now) {
+	for _, entry := range server.granter.ExpiredServers(&server.state, now) {
 		data, _ := cbor.Marshal(command{term, entry})
 		w.logf("%s proposes %s as expired under token %d", server.name, entry.Box, entry.Life)
 		if server.node.Propose(data) != nil || w.omitted.grantsAfterProposal {
-			server.granter.Refused(entry.Box, entry.Life)
+			server.granter.ProposalFailed(entry.Box, entry.Life)
 		}
 	}
 }
@@ -243,18 +243,18 @@
 	if leader := server.node.BasicStatus().Lead; leader != 0 {
 		server.leader = int(leader - 1)
 	}
-	switch registration := server.state.Box(server.name); {
+	switch registration := server.state.Server(server.name); {
 	case registration != nil && registration.Incarnation == server.incarnation && !registration.Lost:
-		server.holder.Live(registration.Life, now)
+		server.holder.SetToken(registration.Life, now)
 	case now-server.registeredAt >= 500*time.Millisecond:
-		server.holder.Lost()
+		server.holder.DropToken()
 		server.registeredAt = now
-		data, _ := cbor.Marshal(command{0, Entry{Kind: Live, Box: server.name, Zone: "z", Incarnation: server.incarnation}})
+		data, _ := cbor.Marshal(command{0, Entry{Kind: Registered, Box: server.name, Zone: "z", Incarnation: server.incarnation}})
 		_ = server.node.Propose(data) // repeated every 500 ms
 	default:
-		server.holder.Lost()
+		server.holder.DropToken()
 	}
-	if renewal, ok := server.holder.Ask(now); ok {
+	if renewal, ok := server.holder.NextRenewal(now); ok {
 		w.send(server.index, server.leader, packet{renewal: &renewal})
 	}
 }
@@ -296,8 +296,8 @@
 		return
 	}
 	if server.state.Apply(entry.GetIndex(), &proposal.Entry) != nil {
-		server.granter.Refused(proposal.Entry.Box, proposal.Entry.Life)
-	} else if proposal.Entry.Kind == Lost && w.expiredAt[proposal.Entry.Life] == 0 {
+		server.granter.ProposalFailed(proposal.Entry.Box, proposal.Entry.Life)
+	} else if proposal.Entry.Kind == Expired && w.expiredAt[proposal.Entry.Life] == 0 {
 		w.expiredAt[proposal.Entry.Life] = w.now
 		w.logf("%s applies that %s expired under token %d", server.name, proposal.Entry.Box, proposal.Entry.Life)
 	}
@@ -321,8 +321,8 @@
 			w.startProcess(server)
 		}
 		if server.up && server.holder.Holds(w.clock(server)) {
-			if w.leaseChecks++; w.expiredAt[server.holder.Life()] > 0 && w.violation == "" {
-				w.violation = fmt.Sprintf("%s holds token %d until %v of its clock, now %v, although it was declared expired at %v", server.name, server.holder.Life(), server.holder.Until(), w.clock(server), time.Duration(w.expiredAt[server.holder.Life()])*stepTime)
+			if w.leaseChecks++; w.expiredAt[server.holder.Token()] > 0 && w.violation == "" {
+				w.violation = fmt.Sprintf("%s holds token %d until %v of its clock, now %v, although it was declared expired at %v", server.name, server.holder.Token(), server.holder.LeaseEnd(), w.clock(server), time.Duration(w.expiredAt[server.holder.Token()])*stepTime)
 			}
 		}
 	}
@@ -441,14 +441,14 @@
 		for world.now < 3000+int(seed)*11 {
 			world.step(false)
 		}
-		token, crashedAt := crashed.holder.Life(), world.now
+		token, crashedAt := crashed.holder.Token(), world.now
 		for crashed.up, crashed.wakeStep = false, 1<<30; world.expiredAt[token] == 0 && world.now < crashedAt+5000; {
 			world.step(false)
 		}
 		longest = max(longest, time.Duration(world.now-crashedAt)*stepTime)
 	}
-	if t.Logf("%v at most", longest); longest < MeshTerms.Length-MeshTerms.Every ||
-		longest > MeshTerms.Patience()+100*time.Millisecond {
+	if t.Logf("%v at most", longest); longest < MeshTerms.Length-MeshTerms.RenewInterval ||
+		longest > MeshTerms.ExpiryDelay()+100*time.Millisecond {
 		t.Errorf("%v", longest)
 	}
 }
--- a/internal/fleet/lease/state.go
+++ b/internal/fleet/lease/state.go
@@ -26,8 +26,8 @@
 	maxPool  = 256            // bytes
 )
 
-// Box is the replicated state of one server.
-type Box struct {
+// Server is the replicated state of one server.
+type Server struct {
 	Name        string
 	Zone        string
 	Incarnation uint64 // of its process: the number of starts so far
@@ -39,9 +39,9 @@
 
 // State is the replicated state. Its zero value is an empty fleet.
 type State struct {
-	Index uint64 // of the last applied entry
-	Epoch uint64 // of the last entry that changed which servers are registered
-	Boxes []Box  // sorted by name
+	Index uint64   // of the last applied entry
+	Epoch uint64   // of the last entry that changed which servers are registered
+	Boxes []Server // sorted by name
 }
 
 // Kind is the kind of an entry.
@@ -49,9 +49,9 @@
 
 // The kinds of entry.
 const (
-	Live Kind = iota + 1 // registers a server's process, for the first time or again after it expired
-	Lost                 // the server's lease has expired
-	Gone                 // removes an expired server
+	Registered Kind = iota + 1 // registers a server's process, for the first time or again after it expired
+	Expired                    // the server's lease has expired
+	Removed                    // removes an expired server
 )
 
 // Entry is one entry of the log. Which fields are used depends on Kind.
@@ -66,26 +66,26 @@
 
 // InTerm reports whether an entry is valid only in the term of the leader that proposed it: another leader may have
 // granted a lease since.
-func (e *Entry) InTerm() bool { return e.Kind == Lost }
+func (e *Entry) InTerm() bool { return e.Kind == Expired }
 
 // Errors of Apply and Granter.Renew. After an error of Apply nothing but the index has changed.
 var (
-	ErrUnknown = errors.New("unknown server")
-	ErrInvalid = errors.New("invalid")
-	ErrLife    = errors.New("not the current fencing token")
-	ErrHolds   = errors.New("the server may still hold a lease")
-	ErrFollows = errors.New("this server is not the leader")
+	ErrUnknown    = errors.New("unknown server")
+	ErrInvalid    = errors.New("invalid")
+	ErrStaleToken = errors.New("not the current fencing token")
+	ErrNotExpired = errors.New("the server may still hold a lease")
+	ErrNotLeader  = errors.New("this server is not the leader")
 )
 
 // Clone returns a copy that shares nothing with this state.
 func (s *State) Clone() State { return State{s.Index, s.Epoch, slices.Clone(s.Boxes)} }
 
 func (s *State) find(name string) (int, bool) {
-	return slices.BinarySearchFunc(s.Boxes, name, func(b Box, n string) int { return strings.Compare(b.Name, n) })
+	return slices.BinarySearchFunc(s.Boxes, name, func(b Server, n string) int { return strings.Compare(b.Name, n) })
 }
 
-// Box returns a server by its name; nil = unknown.
-func (s *State) Box(name string) *Box {
+// Server returns a server by its name; nil = unknown.
+func (s *State) Server(name string) *Server {
 	i, ok := s.find(name)
 	if !ok {
 		return nil
@@ -93,9 +93,9 @@
 	return &s.Boxes[i]
 }
 
-// Lives reports whether a fencing token is a server's current one and has not expired.
-func (s *State) Lives(name string, token uint64) bool {
-	server := s.Box(name)
+// IsCurrent reports whether a fencing token is a server's current one and has not expired.
+func (s *State) IsCurrent(name string, token uint64) bool {
+	server := s.Server(name)
 	return server != nil && server.Life == token && !server.Lost
 }
 
@@ -105,7 +105,7 @@
 func (s *State) Apply(index uint64, e *Entry) error {
 	s.Index = index
 	i, ok := s.find(e.Box)
-	if e.Kind == Live {
+	if e.Kind == Registered {
 		return s.register(index, e, i, ok)
 	}
 	if !ok {
@@ -113,17 +113,17 @@
 	}
 	server := &s.Boxes[i]
 	switch e.Kind {
-	case Lost:
+	case Expired:
 		if server.Life != e.Life {
-			return fmt.Errorf("server %s is registered under token %d, not %d: %w", server.Name, server.Life, e.Life, ErrLife)
+			return fmt.Errorf("server %s is registered under token %d, not %d: %w", server.Name, server.Life, e.Life, ErrStaleToken)
 		}
 		if server.Lost {
-			return fmt.Errorf("server %s has already expired under token %d: %w", server.Name, server.Life, ErrLife)
+			return fmt.Errorf("server %s has already expired under token %d: %w", server.Name, server.Life, ErrStaleToken)
 		}
 		server.Lost, server.Index = true, index
-	case Gone:
+	case Removed:
 		if !server.Lost {
-			return fmt.Errorf("server %s is registered under token %d: %w", server.Name, server.Life, ErrHolds)
+			return fmt.Errorf("server %s is registered under token %d: %w", server.Name, server.Life, ErrNotExpired)
 		}
 		s.Boxes = slices.Delete(s.Boxes, i, i+1)
 	default:
@@ -149,14 +149,14 @@
 		switch current := &s.Boxes[i]; {
 		case e.Incarnation < current.Incarnation:
 			return fmt.Errorf("server %s is in incarnation %d, the entry is of incarnation %d: %w", current.Name,
-				current.Incarnation, e.Incarnation, ErrLife)
+				current.Incarnation, e.Incarnation, ErrStaleToken)
 		case e.Incarnation == current.Incarnation && !current.Lost:
 			return nil
 		}
 	} else {
-		s.Boxes = slices.Insert(s.Boxes, i, Box{})
+		s.Boxes = slices.Insert(s.Boxes, i, Server{})
 	}
-	s.Boxes[i] = Box{Name: e.Box, Zone: e.Zone, Incarnation: e.Incarnation, Life: index, Index: index, Pool: e.Pool}
+	s.Boxes[i] = Server{Name: e.Box, Zone: e.Zone, Incarnation: e.Incarnation, Life: index, Index: index, Pool: e.Pool}
 	s.Epoch = index
 	return nil
 }
--- a/internal/fleet/lease/terms_test.go
+++ b/internal/fleet/lease/terms_test.go
@@ -15,11 +15,11 @@
 		{MeshTerms, 3 * time.Second, 300 * time.Millisecond, 3160 * time.Millisecond},
 		{ControlTierTerms, 6 * time.Second, 500 * time.Millisecond, 6220 * time.Millisecond},
 	} {
-		if test.terms.Length != test.length || test.terms.Every != test.every || test.terms.Patience() != test.patience {
-			t.Errorf("%+v, patience %v", test.terms, test.terms.Patience())
+		if test.terms.Length != test.length || test.terms.RenewInterval != test.every || test.terms.ExpiryDelay() != test.patience {
+			t.Errorf("%+v, patience %v", test.terms, test.terms.ExpiryDelay())
 		}
 		lease := float64(test.length) / (1 - 1.0/Drift)
-		if patience := float64(test.terms.Patience()) / (1 + 1.0/Drift); patience < lease {
+		if patience := float64(test.terms.ExpiryDelay()) / (1 + 1.0/Drift); patience < lease {
 			t.Errorf("%+v: a lease may last %v, the leader may wait only %v", test.terms, time.Duration(lease),
 				time.Duration(patience))
 		}
--- a/internal/fleet/ground/ground_test.go
+++ b/internal/fleet/membership/ground_test.go
@@ -1,4 +1,4 @@
-package ground_test
+package membership_test
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"larchscale/internal/fleet/place"
+	"larchscale/internal/fleet/placement"
 	"larchscale/internal/standin"
 )
 
@@ -48,7 +48,7 @@
 		return func(server *standin.Member) bool {
 			metrics := server.Figures()
 			return metrics["fleet.lives"] == lives && metrics["fleet.lease_ms"] > 0 && metrics["fleet.bare"] == 0 &&
-				metrics["fleet.homes"] > place.Slices/8
+				metrics["fleet.homes"] > placement.Shards/8
 		}
 	}
 	wait("all servers are registered, and each shard has two replicas", 20*time.Second, all(fleet.Members, healthy(5)))
--- a/internal/fleet/ground/leases.go
+++ b/internal/fleet/membership/leases.go
@@ -1,4 +1,4 @@
-package ground
+package membership
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 // leaseModule is the module that maintains this server's lease and, on the leader, those of all servers.
 type leaseModule struct {
 	*consensus.TypedStateMachine[lease.State, lease.Entry, *lease.State]
-	state        *Ground
+	state        *State
 	placement    *placementModule
 	host         *driver.Host
 	holder       *lease.Holder
@@ -82,11 +82,11 @@
 
 // update updates lease and view from the state.
 func (l *leaseModule) update(gap bool) {
-	self := l.State.Box(l.host.Self().Name)
+	self := l.State.Server(l.host.Self().Name)
 	if self != nil && self.Incarnation == l.host.Incarnation() && !self.Lost {
-		l.holder.Live(self.Life, boottime.Now())
+		l.holder.SetToken(self.Life, boottime.Now())
 	} else {
-		l.holder.Lost()
+		l.holder.DropToken()
 	}
 	l.publishLease()
 	l.state.publish(l, l.placement, gap)
@@ -94,11 +94,11 @@
 
 // publishLease publishes the lease and its token. At no moment is a lease visible together with a token of another one.
 func (l *leaseModule) publishLease() {
-	if token := l.holder.Life(); l.state.token.Load() != token {
+	if token := l.holder.Token(); l.state.token.Load() != token {
 		l.state.leaseEnd.Store(0)
 		l.state.token.Store(token)
 	}
-	l.state.leaseEnd.Store(int64(l.holder.Until()))
+	l.state.leaseEnd.Store(int64(l.holder.LeaseEnd()))
 }
 
 // Tick implements driver.Module.
@@ -111,10 +111,10 @@
 	if !l.host.IsMember() || !l.Initialized() {
 		return
 	}
-	if l.holder.Life() == 0 && now-l.registeredAt >= registerInterval {
+	if l.holder.Token() == 0 && now-l.registeredAt >= registerInterval {
 		l.register(now)
 	}
-	if renewal, ok := l.holder.Ask(now); ok {
+	if renewal, ok := l.holder.NextRenewal(now); ok {
 		l.send(l.host.Leader(), message{Renewal: &renewal})
 	}
 	l.beginRound(now)
@@ -124,7 +124,7 @@
 func (l *leaseModule) register(now time.Duration) {
 	l.registeredAt = now
 	self := l.host.Self()
-	entry := lease.Entry{Kind: lease.Live, Box: self.Name, Zone: self.Zone, Incarnation: l.host.Incarnation(),
+	entry := lease.Entry{Kind: lease.Registered, Box: self.Name, Zone: self.Zone, Incarnation: l.host.Incarnation(),
 		Pool: l.state.opt.Pool}
 	if err := l.host.Propose(entry, false); err != nil {
 		l.host.Log().Debug("fleet", "do", "live", "err", err)
@@ -143,15 +143,15 @@
 	}
 	term, _ := l.host.Leads()
 	l.granter.Lead(term, now)
-	for _, entry := range l.granter.Over(&l.State, now) {
+	for _, entry := range l.granter.ExpiredServers(&l.State, now) {
 		l.host.Log().Warn("fleet", "do", "lost", "box", entry.Box, "life", entry.Life)
 		if err := l.host.Propose(entry, entry.InTerm()); err != nil {
-			l.granter.Refused(entry.Box, entry.Life)
+			l.granter.ProposalFailed(entry.Box, entry.Life)
 		}
 	}
 	for i := range l.State.Boxes {
 		if server := &l.State.Boxes[i]; server.Lost && !l.isMember(server.Name) {
-			l.host.Propose(lease.Entry{Kind: lease.Gone, Box: server.Name}, true)
+			l.host.Propose(lease.Entry{Kind: lease.Removed, Box: server.Name}, true)
 		}
 	}
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	l.granter.Lead(term, now)
-	id, ok := l.granter.Round(now)
+	id, ok := l.granter.BeginRound(now)
 	if !ok {
 		return
 	}
@@ -190,7 +190,7 @@
 			delete(l.rounds, read)
 		}
 	}
-	for _, grant := range l.granter.Confirmed(&l.State, round) {
+	for _, grant := range l.granter.ConfirmRound(&l.State, round) {
 		l.send(grant.Box, message{Grant: &grant})
 	}
 }
@@ -222,11 +222,11 @@
 		}
 		now := boottime.Now()
 		l.granter.Lead(term, now)
-		if err := l.granter.Asked(&l.State, *msg.Renewal, now); err != nil {
+		if err := l.granter.Renew(&l.State, *msg.Renewal, now); err != nil {
 			l.host.Log().Debug("fleet", "do", "lease", "from", from.Name, "err", err)
 		}
 	case msg.Grant != nil:
-		l.holder.Granted(*msg.Grant)
+		l.holder.AcceptGrant(*msg.Grant)
 		l.publishLease()
 	}
 }
@@ -239,7 +239,7 @@
 
 // Stop implements driver.Module. A process that has left the fleet holds no lease.
 func (l *leaseModule) Stop() {
-	l.holder.Lost()
+	l.holder.DropToken()
 	l.publishLease()
 }
 
@@ -251,7 +251,7 @@
 			registered++
 		}
 	}
-	remaining := max(0, l.holder.Until()-boottime.Now())
-	return fmt.Appendf(nil, "fleet.lives=%d\nfleet.life=%d\nfleet.lease_ms=%d\n", registered, l.holder.Life(),
+	remaining := max(0, l.holder.LeaseEnd()-boottime.Now())
+	return fmt.Appendf(nil, "fleet.lives=%d\nfleet.life=%d\nfleet.lease_ms=%d\n", registered, l.holder.Token(),
 		remaining.Milliseconds())
 }
--- a/internal/fleet/ground/places.go
+++ b/internal/fleet/membership/places.go
@@ -1,4 +1,4 @@
-package ground
+package membership
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	"larchscale/internal/fleet/boottime"
 	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/place"
+	"larchscale/internal/fleet/placement"
 )
 
 const (
@@ -22,8 +22,8 @@
 
 // placementModule is the module that decides which server holds which replicas.
 type placementModule struct {
-	*consensus.TypedStateMachine[place.State, place.Entry, *place.State]
-	state        *Ground
+	*consensus.TypedStateMachine[placement.State, placement.Entry, *placement.State]
+	state        *State
 	leases       *leaseModule
 	host         *driver.Host
 	syncReports  map[string]syncReport    // the last report of each server
@@ -69,7 +69,7 @@
 	}
 	p.checkedAt = now
 	p.syncReports[p.host.Self().Name] = p.syncReport()
-	var servers []place.Member
+	var servers []placement.Member
 	for i := range p.leases.State.Boxes {
 		server := &p.leases.State.Boxes[i]
 		if !server.Lost {
@@ -79,9 +79,9 @@
 		} else if now-since >= lostServerWait {
 			continue
 		}
-		servers = append(servers, place.Member{Name: server.Name, Zone: server.Zone, Weight: 1})
+		servers = append(servers, placement.Member{Name: server.Name, Zone: server.Zone, Weight: 1})
 	}
-	entry, err := place.Next(&p.State, servers, max(1, p.state.opt.Moves), p.inSync)
+	entry, err := placement.Next(&p.State, servers, max(1, p.state.opt.MaxMoves), p.inSync)
 	if err != nil {
 		p.host.Log().Error("fleet", "do", "place", "err", err)
 		return
@@ -102,7 +102,7 @@
 	}
 	registered := 0
 	for _, member := range p.host.Members() {
-		if server := p.leases.State.Box(member.Name); server != nil && !server.Lost {
+		if server := p.leases.State.Server(member.Name); server != nil && !server.Lost {
 			registered++
 		}
 	}
@@ -112,10 +112,10 @@
 
 // inSync reports whether all replicas of a shard are on registered servers and have all its records.
 func (p *placementModule) inSync(shard int) bool {
-	primary, backup := p.State.Pair(shard)
+	primary, backup := p.State.Replicas(shard)
 	for _, server := range [2]string{primary, backup} {
 		report := p.syncReports[server]
-		if server != "" && !(p.leases.State.Lives(server, report.Life) && shard/8 < len(report.Bits) &&
+		if server != "" && !(p.leases.State.IsCurrent(server, report.Life) && shard/8 < len(report.Bits) &&
 			report.Bits[shard/8]>>(shard%8)&1 == 1) {
 			return false
 		}
@@ -125,9 +125,9 @@
 
 // syncReport returns the report of this server.
 func (p *placementModule) syncReport() syncReport {
-	report := syncReport{Life: p.leases.holder.Life(), Bits: make([]byte, place.Slices/8)}
-	for i := range place.Slices {
-		if p.state.opt.Whole == nil || p.state.opt.Whole(i) {
+	report := syncReport{Life: p.leases.holder.Token(), Bits: make([]byte, placement.Shards/8)}
+	for i := range placement.Shards {
+		if p.state.opt.InSync == nil || p.state.opt.InSync(i) {
 			report.Bits[i/8] |= 1 << (i % 8)
 		}
 	}
@@ -152,7 +152,7 @@
 	if len(report) == 0 {
 		return
 	}
-	if err := cbor.Unmarshal(report, &syncReport); err != nil || len(syncReport.Bits) != place.Slices/8 {
+	if err := cbor.Unmarshal(report, &syncReport); err != nil || len(syncReport.Bits) != placement.Shards/8 {
 		p.host.Log().Debug("fleet", "do", "report", "from", from.Name, "bytes", len(report), "err", err)
 		return
 	}
@@ -176,8 +176,8 @@
 	}
 	replicas, unreplicated := 0, 0
 	self := p.host.Self().Name
-	for shard := range place.Slices {
-		primary, backup := view.Homes(shard)
+	for shard := range placement.Shards {
+		primary, backup := view.Replicas(shard)
 		if primary == self || backup == self {
 			replicas++
 		}
--- a/internal/fleet/place/apply.go
+++ b/internal/fleet/placement/apply.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"fmt"
@@ -73,7 +73,7 @@
 		for i, p := range s.Homes {
 			for _, name := range [2]string{s.serverAt(p.First), s.serverAt(p.Second)} {
 				if name != "" && slices.Contains(names, name) {
-					return fmt.Errorf("server %s holds a replica of shard %d: %w", name, i, ErrHome)
+					return fmt.Errorf("server %s holds a replica of shard %d: %w", name, i, ErrNoReplicaLeft)
 				}
 			}
 		}
@@ -93,7 +93,7 @@
 	for i, name := range before.Boxes {
 		positions[i+1] = s.position(name)
 	}
-	s.Homes = new(Homes)
+	s.Homes = new(Assignment)
 	for i, p := range before.Homes {
 		s.Homes[i] = Pair{positions[p.First], positions[p.Second]}
 	}
@@ -105,15 +105,15 @@
 	switch {
 	case e.Epoch != s.Epoch:
 		return fmt.Errorf("a move made for epoch %d, the state is at %d: %w", e.Epoch, s.Epoch, ErrEpoch)
-	case len(e.Changes) == 0 || len(e.Changes) > Slices || len(e.Missing) > MaxBoxes:
+	case len(e.Changes) == 0 || len(e.Changes) > Shards || len(e.Missing) > MaxBoxes:
 		return fmt.Errorf("a move of %d shards with %d servers missing: %w", len(e.Changes), len(e.Missing), ErrInvalid)
 	}
-	next, since := new(Homes), new(Since)
+	next, since := new(Assignment), new(AssignedAt)
 	if s.Homes != nil {
 		*next, *since = *s.Homes, *s.Since
 	}
 	for i, change := range e.Changes {
-		if change.Slice < 0 || change.Slice >= Slices || i > 0 && e.Changes[i-1].Slice >= change.Slice {
+		if change.Slice < 0 || change.Slice >= Shards || i > 0 && e.Changes[i-1].Slice >= change.Slice {
 			return fmt.Errorf("a move of shard %d, out of range, repeated or out of order: %w", change.Slice, ErrInvalid)
 		}
 		pair := Pair{s.position(change.First), s.position(change.Second)}
@@ -123,11 +123,11 @@
 		if pair.First == pair.Second {
 			return fmt.Errorf("shard %d to server %s twice: %w", change.Slice, change.First, ErrInvalid)
 		}
-		primary, backup := s.Pair(change.Slice)
+		primary, backup := s.Replicas(change.Slice)
 		kept := func(name string) bool { return name != "" && (name == change.First || name == change.Second) }
 		gone := func(name string) bool { return name == "" || slices.Contains(e.Missing, name) }
 		if !kept(primary) && !kept(backup) && !(gone(primary) && gone(backup)) {
-			return fmt.Errorf("shard %d would leave both %s and %s: %w", change.Slice, primary, backup, ErrHome)
+			return fmt.Errorf("shard %d would leave both %s and %s: %w", change.Slice, primary, backup, ErrNoReplicaLeft)
 		}
 		for _, name := range [2]string{change.First, change.Second} {
 			if name != "" && name != primary && name != backup {
--- a/internal/fleet/place/level.go
+++ b/internal/fleet/placement/level.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	servers      []Member
 	zoned        bool // no shard has both replicas in one zone
 	seeds        []uint64
-	pairs        [Slices][2]int
-	initial      [Slices][2]int // the replicas that could stay, before any was assigned
+	pairs        [Shards][2]int
+	initial      [Shards][2]int // the replicas that could stay, before any was assigned
 	replicaCount []int          // replicas that each server has
 	quota        []int
 }
@@ -37,7 +37,7 @@
 	for i := range l.pairs {
 		pair := &l.pairs[i]
 		*pair = [2]int{-1, -1}
-		primary, backup := s.Pair(i)
+		primary, backup := s.Replicas(i)
 		for _, name := range [2]string{primary, backup} {
 			if server, ok := positions[name]; ok && l.canHold(i, -1, server) {
 				l.assign(slot{i, -1}, server)
@@ -127,7 +127,7 @@
 	for server := range l.servers {
 		l.takeSurplus(server)
 	}
-	for range 4 * Slices { // more iterations than there are replicas
+	for range 4 * Shards { // more iterations than there are replicas
 		chosen := -1
 		for server := range l.servers {
 			if deficit := l.quota[server] - l.replicaCount[server]; deficit > 0 &&
@@ -243,9 +243,9 @@
 		sum += server.Weight
 	}
 	for i, server := range l.servers {
-		shares[i] = Slices * server.Weight / sum
+		shares[i] = Shards * server.Weight / sum
 	}
-	want := apportion(shares, have, Slices)
+	want := apportion(shares, have, Shards)
 	for i := range l.pairs {
 		if pair := &l.pairs[i]; pair[1] >= 0 && have[pair[0]] > want[pair[0]] && have[pair[1]] < want[pair[1]] {
 			have[pair[0]]--
@@ -271,7 +271,7 @@
 	for server := range via {
 		if via[server] = -1; have[server] > want[server] {
 			queue = append(queue, server)
-			via[server] = Slices
+			via[server] = Shards
 		}
 	}
 	for ; len(queue) > 0; queue = queue[1:] {
@@ -283,7 +283,7 @@
 		}
 		if server := queue[0]; have[server] < want[server] {
 			have[server]++
-			for via[server] < Slices {
+			for via[server] < Shards {
 				pair := &l.pairs[via[server]]
 				server = pair[0]
 				slices.Reverse(pair[:])
--- a/internal/fleet/place/next.go
+++ b/internal/fleet/placement/next.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -38,7 +38,7 @@
 	assigned, missing := map[string]bool{}, map[string]bool{}
 	syncing := 0
 	for shard, goal := range target {
-		primary, backup := s.Pair(shard)
+		primary, backup := s.Replicas(shard)
 		for _, name := range [2]string{primary, backup} {
 			assigned[name] = true
 			if name != "" && !present(name) {
--- a/internal/fleet/place/place_test.go
+++ b/internal/fleet/placement/place_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"errors"
@@ -55,7 +55,7 @@
 // applyAll applies the entries of Next until there are none, and returns how many replicas were new.
 func applyAll(t *testing.T, s *State, servers []Member, limit int) (moved int) {
 	t.Helper()
-	for range 10 * Slices {
+	for range 10 * Shards {
 		entry, err := Next(s, servers, limit, func(int) bool { return true })
 		if err != nil {
 			t.Fatal(err)
@@ -64,7 +64,7 @@
 			return moved
 		}
 		for _, change := range entry.Changes {
-			primary, backup := s.Pair(change.Slice)
+			primary, backup := s.Replicas(change.Slice)
 			for _, name := range [2]string{change.First, change.Second} {
 				if name != "" && name != primary && name != backup {
 					moved++
@@ -80,8 +80,8 @@
 // countReplicas returns how many replicas each server has, and of how many shards it is the primary.
 func countReplicas(s *State) (replicaCounts, primaryCounts map[string]int) {
 	replicaCounts, primaryCounts = map[string]int{}, map[string]int{}
-	for i := range Slices {
-		primary, backup := s.Pair(i)
+	for i := range Shards {
+		primary, backup := s.Replicas(i)
 		replicaCounts[primary]++
 		replicaCounts[backup]++
 		primaryCounts[primary]++
@@ -103,13 +103,13 @@
 			if want := group.share * server.Weight / group.weight; math.Abs(float64(replicaCounts[server.Name])-want) >= 2 {
 				t.Errorf("%+v has %d replicas, its share is %.1f", server, replicaCounts[server.Name], want)
 			}
-			if want := Slices * server.Weight / sum; math.Abs(float64(primaryCounts[server.Name])-want) >= 2 {
+			if want := Shards * server.Weight / sum; math.Abs(float64(primaryCounts[server.Name])-want) >= 2 {
 				t.Errorf("%+v is the primary of %d shards, its share is %.1f", server, primaryCounts[server.Name], want)
 			}
 		}
 	}
-	for i := range Slices {
-		if primary, backup := s.Pair(i); primary == "" || (backup == "") != (len(weightedServers) == 1) ||
+	for i := range Shards {
+		if primary, backup := s.Replicas(i); primary == "" || (backup == "") != (len(weightedServers) == 1) ||
 			zoned && zone[primary] == zone[backup] {
 			t.Errorf("shard %d at %q and %q", i, primary, backup)
 		}
@@ -128,7 +128,7 @@
 			servers[0].Weight = 12
 		}
 		s := &State{}
-		applyAll(t, s, servers, Slices)
+		applyAll(t, s, servers, Shards)
 		checkBalance(t, s, servers)
 		extended := append(slices.Clone(servers), joining)
 		for _, stage := range []struct {
@@ -136,7 +136,7 @@
 			servers []Member
 		}{{"added", extended}, {"removed", servers}} {
 			before, _ := countReplicas(s)
-			moved := applyAll(t, s, stage.servers, 100+rnd.IntN(Slices))
+			moved := applyAll(t, s, stage.servers, 100+rnd.IntN(Shards))
 			checkBalance(t, s, stage.servers)
 			after, _ := countReplicas(s)
 			needed := max(before["comes"], after["comes"]) - max(0, 1-len(servers))
@@ -173,12 +173,12 @@
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		servers, s := members(4+rnd.IntN(6), 1+rnd.IntN(3)), &State{}
 		applyAll(t, s, servers, 16)
-		synced := [Slices]map[string]bool{} // the servers that have all records of a shard
+		synced := [Shards]map[string]bool{} // the servers that have all records of a shard
 		for i := range synced {
-			a, b := s.Pair(i)
+			a, b := s.Replicas(i)
 			synced[i] = map[string]bool{a: true, b: true}
 		}
-		inSync := func(i int) bool { _, b := s.Pair(i); return synced[i][b] }
+		inSync := func(i int) bool { _, b := s.Replicas(i); return synced[i][b] }
 		noLoss := true
 		for round := range 150 {
 			entry, err := Next(s, servers, 16, inSync)
@@ -201,7 +201,7 @@
 			}
 			syncing := 0
 			for i := range synced {
-				a, b := s.Pair(i)
+				a, b := s.Replicas(i)
 				present := func(name string) bool {
 					return slices.ContainsFunc(servers, func(member Member) bool { return member.Name == name })
 				}
@@ -235,7 +235,7 @@
 			}
 			servers[0].Weight = 1
 		}
-		applyAll(t, s, servers, Slices)
+		applyAll(t, s, servers, Shards)
 		checkBalance(t, s, servers)
 	}
 }
@@ -248,8 +248,8 @@
 
 func TestApply(t *testing.T) {
 	s := &State{}
-	applyAll(t, s, members(3, 3), Slices) // a1, b1, c1
-	a, b := s.Pair(7)
+	applyAll(t, s, members(3, 3), Shards) // a1, b1, c1
+	a, b := s.Replicas(7)
 	c := strings.NewReplacer(a, "", b, "").Replace("a1b1c1")
 	move := func(c ...Change) Entry { return Entry{Kind: Move, Epoch: s.Epoch, Changes: c} }
 	bothLost := move(Change{7, c, ""})
@@ -264,22 +264,22 @@
 		{"primary and backup swapped", move(Change{7, b, a}), nil},
 		{"one replica", move(Change{7, b, ""}), nil},
 		{"both lost", bothLost, nil},
-		{"one lost", oneLost, ErrHome},
-		{"both replicas replaced", move(Change{6, a, b}, Change{7, c, ""}), ErrHome},
+		{"one lost", oneLost, ErrNoReplicaLeft},
+		{"both replicas replaced", move(Change{6, a, b}, Change{7, c, ""}), ErrNoReplicaLeft},
 		{"another epoch", Entry{Kind: Move, Epoch: s.Epoch - 1, Changes: []Change{{7, b, a}}}, ErrEpoch},
 		{"no changes", move(), ErrInvalid},
 		{"unknown first", move(Change{7, "d1", a}), ErrUnknown},
 		{"unknown second", move(Change{7, a, "d1"}), ErrUnknown},
 		{"no first", move(Change{7, "", a}), ErrUnknown},
 		{"one server twice", move(Change{7, a, a}), ErrInvalid},
-		{"shard out of range", move(Change{Slices, a, b}), ErrInvalid},
+		{"shard out of range", move(Change{Shards, a, b}), ErrInvalid},
 		{"out of order", move(Change{7, b, a}, Change{7, a, b}), ErrInvalid},
 		{"long reason", Entry{Kind: Join, Why: strings.Repeat("x", 257)}, ErrInvalid},
 		{"no name", Entry{Kind: Join, Boxes: []string{"d1", ""}}, ErrInvalid},
 		{"too many", Entry{Kind: Join,
 			Boxes: strings.Fields(strings.Repeat("x y ",
 				1) + fmt.Sprint(rand.New(rand.NewPCG(1, 1)).Perm(MaxBoxes)))}, ErrInvalid},
-		{"leaves while it holds replicas", Entry{Kind: Leave, Boxes: []string{a}}, ErrHome},
+		{"leaves while it holds replicas", Entry{Kind: Leave, Boxes: []string{a}}, ErrNoReplicaLeft},
 		{"no entry kind", Entry{}, ErrInvalid},
 	} {
 		before := s.Clone()
@@ -304,7 +304,7 @@
 
 func TestStateEncoding(t *testing.T) {
 	s := &State{}
-	applyAll(t, s, members(300, 3), Slices)
+	applyAll(t, s, members(300, 3), Shards)
 	data, err := cbor.Marshal(s)
 	if err != nil || len(data) > 6000 {
 		t.Fatal(len(data), err)
@@ -332,7 +332,7 @@
 		}
 	}
 	var short struct{ Homes []byte }
-	short.Homes = make([]byte, 4*Slices-1)
+	short.Homes = make([]byte, 4*Shards-1)
 	data, _ = cbor.Marshal(short)
 	if err := cbor.Unmarshal(data, &got); err == nil {
 		t.Error("truncated pairs are accepted")
@@ -355,18 +355,18 @@
 
 func TestView(t *testing.T) {
 	leases, placement := &lease.State{}, &State{}
-	applyAll(t, placement, members(3, 3), Slices)
-	a, b := placement.Pair(7)
-	for i, entry := range []lease.Entry{{Kind: lease.Live, Box: a, Incarnation: 1},
-		{Kind: lease.Live, Box: b, Incarnation: 1}, {Kind: lease.Lost, Box: a, Life: 101}} {
+	applyAll(t, placement, members(3, 3), Shards)
+	a, b := placement.Replicas(7)
+	for i, entry := range []lease.Entry{{Kind: lease.Registered, Box: a, Incarnation: 1},
+		{Kind: lease.Registered, Box: b, Incarnation: 1}, {Kind: lease.Expired, Box: a, Life: 101}} {
 		if err := leases.Apply(uint64(101+i), &entry); err != nil {
 			t.Fatal(err)
 		}
 		view := NewView(leases, placement)
-		first, second := view.Homes(7)
+		first, second := view.Replicas(7)
 		if want := [][2]string{{a, ""}, {a, b}, {b, ""}}[i]; first != want[0] || second != want[1] ||
-			view.Lives[first].Life == 0 || view.Epoch != uint64(101+i) {
-			t.Errorf("after %+v: %q and %q, %+v", entry, first, second, view.Lives)
+			view.Registered[first].Life == 0 || view.Epoch != uint64(101+i) {
+			t.Errorf("after %+v: %q and %q, %+v", entry, first, second, view.Registered)
 		}
 	}
 	if view := NewView(leases, placement); view.Compare(102) != Older || view.Compare(103) != Same || view.Compare(104) != Ahead {
@@ -375,7 +375,7 @@
 	if placement.Epoch = 200; NewView(leases, placement).Epoch != 200 {
 		t.Error("the placement's epoch is later")
 	}
-	if Slice(nil) != 957 { // xxhash of nothing is ef46db3751d8e999
-		t.Error("the hash of shards has changed: no fleet would find its records again", Slice(nil))
+	if ShardOf(nil) != 957 { // xxhash of nothing is ef46db3751d8e999
+		t.Error("the hash of shards has changed: no fleet would find its records again", ShardOf(nil))
 	}
 }
--- a/internal/fleet/place/state.go
+++ b/internal/fleet/placement/state.go
@@ -1,8 +1,8 @@
-// Package place decides which servers hold the replicas of what: keys and subjects are hashed into shards, and each
+// Package placement decides which servers hold the replicas of what: keys and subjects are hashed into shards, and each
 // shard has a primary and a backup. State is the replicated state, changed only by entries of the log. Target and Next
 // derive what the leader proposes. A View, derived from State and the registered servers, is what a server acts under.
 // The package does no I/O and reads no clock.
-package place
+package placement
 
 import (
 	"encoding/binary"
@@ -16,8 +16,8 @@
 	"larchscale/internal/fleet/limits"
 )
 
-// Slices is the number of shards. It is a power of two, and never changes in a fleet.
-const Slices = 1 << shardBits
+// Shards is the number of shards. It is a power of two, and never changes in a fleet.
+const Shards = 1 << shardBits
 
 // Bounds of the replicated state.
 const (
@@ -27,19 +27,19 @@
 	maxWhy    = 256 // bytes
 )
 
-// Slice returns the shard of a key or subject, 0 to Shards-1: the highest bits of its xxhash.
-func Slice(key []byte) int { return int(xxhash.Sum64(key) >> (64 - shardBits)) }
+// ShardOf returns the shard of a key or subject, 0 to Shards-1: the highest bits of its xxhash.
+func ShardOf(key []byte) int { return int(xxhash.Sum64(key) >> (64 - shardBits)) }
 
 // Pair is the primary and the backup of a shard, as positions in State.Boxes, counted from 1; 0 = none. There is no
 // backup without a primary.
 type Pair struct{ First, Second uint16 }
 
-// Homes are the pairs of all shards. In CBOR they take 4 bytes per shard.
-type Homes [Slices]Pair
+// Assignment are the pairs of all shards. In CBOR they take 4 bytes per shard.
+type Assignment [Shards]Pair
 
 // MarshalBinary writes the pairs in order, each position as 2 bytes, little endian.
-func (h *Homes) MarshalBinary() ([]byte, error) {
-	data := make([]byte, 0, 4*Slices)
+func (h *Assignment) MarshalBinary() ([]byte, error) {
+	data := make([]byte, 0, 4*Shards)
 	for _, pair := range h {
 		data = binary.LittleEndian.AppendUint16(binary.LittleEndian.AppendUint16(data, pair.First), pair.Second)
 	}
@@ -47,9 +47,9 @@
 }
 
 // UnmarshalBinary reads what MarshalBinary wrote.
-func (h *Homes) UnmarshalBinary(data []byte) error {
-	if len(data) != 4*Slices {
-		return fmt.Errorf("pairs of %d bytes, not %d: %w", len(data), 4*Slices, ErrInvalid)
+func (h *Assignment) UnmarshalBinary(data []byte) error {
+	if len(data) != 4*Shards {
+		return fmt.Errorf("pairs of %d bytes, not %d: %w", len(data), 4*Shards, ErrInvalid)
 	}
 	for i := range h {
 		h[i] = Pair{binary.LittleEndian.Uint16(data[4*i:]), binary.LittleEndian.Uint16(data[4*i+2:])}
@@ -57,15 +57,15 @@
 	return nil
 }
 
-// Since holds for each shard the log index of the last entry that assigned it to a server which did not hold it before.
+// AssignedAt holds for each shard the log index of the last entry that assigned it to a server which did not hold it before.
 // In CBOR it is run-length encoded: the number of shards with the same index, and the index, as varints.
-type Since [Slices]uint64
+type AssignedAt [Shards]uint64
 
 // MarshalBinary writes the runs in order.
-func (t *Since) MarshalBinary() (data []byte, err error) {
-	for i := 0; i < Slices; {
+func (t *AssignedAt) MarshalBinary() (data []byte, err error) {
+	for i := 0; i < Shards; {
 		run := 1
-		for i+run < Slices && t[i+run] == t[i] {
+		for i+run < Shards && t[i+run] == t[i] {
 			run++
 		}
 		data = binary.AppendUvarint(binary.AppendUvarint(data, uint64(run)), t[i])
@@ -75,12 +75,12 @@
 }
 
 // UnmarshalBinary reads what MarshalBinary wrote.
-func (t *Since) UnmarshalBinary(data []byte) error {
-	for i := 0; i < Slices; {
+func (t *AssignedAt) UnmarshalBinary(data []byte) error {
+	for i := 0; i < Shards; {
 		run, runSize := binary.Uvarint(data)
 		index, indexSize := binary.Uvarint(data[max(0, runSize):])
-		if runSize <= 0 || indexSize <= 0 || run == 0 || run > uint64(Slices-i) {
-			return fmt.Errorf("indexes end after %d of %d: %w", i, Slices, ErrInvalid)
+		if runSize <= 0 || indexSize <= 0 || run == 0 || run > uint64(Shards-i) {
+			return fmt.Errorf("indexes end after %d of %d: %w", i, Shards, ErrInvalid)
 		}
 		for data = data[runSize+indexSize:]; run > 0; run-- {
 			t[i] = index
@@ -95,20 +95,20 @@
 
 // State is the replicated state. Its zero value has no servers and no replicas.
 type State struct {
-	Index  uint64   // of the last applied entry
-	Epoch  uint64   // of the last entry that moved a shard
-	Origin uint64   // of the entry that first assigned shards; 0 = none has
-	Boxes  []string // the servers that can hold replicas, sorted
-	Homes  *Homes   // nil = no shard has been assigned
-	Since  *Since   // nil exactly if Homes is
+	Index  uint64      // of the last applied entry
+	Epoch  uint64      // of the last entry that moved a shard
+	Origin uint64      // of the entry that first assigned shards; 0 = none has
+	Boxes  []string    // the servers that can hold replicas, sorted
+	Homes  *Assignment // nil = no shard has been assigned
+	Since  *AssignedAt // nil exactly if Homes is
 }
 
 // Errors of Apply, of decoding a State, and of Target and Next.
 var (
-	ErrInvalid = errors.New("invalid")
-	ErrUnknown = errors.New("unknown server")
-	ErrEpoch   = errors.New("made for another epoch")
-	ErrHome    = errors.New("no current replica would remain")
+	ErrInvalid       = errors.New("invalid")
+	ErrUnknown       = errors.New("unknown server")
+	ErrEpoch         = errors.New("made for another epoch")
+	ErrNoReplicaLeft = errors.New("no current replica would remain")
 )
 
 // Clone returns a copy that shares nothing with this state.
@@ -121,8 +121,8 @@
 	return out
 }
 
-// Pair returns the names of a shard's primary and backup; "" = none.
-func (s *State) Pair(shard int) (primary, backup string) {
+// Replicas returns the names of a shard's primary and backup; "" = none.
+func (s *State) Replicas(shard int) (primary, backup string) {
 	if s.Homes == nil {
 		return "", ""
 	}
--- a/internal/fleet/place/target.go
+++ b/internal/fleet/placement/target.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"cmp"
@@ -57,7 +57,7 @@
 	level := newBalance(s, servers)
 	level.assignReplicas()
 	level.balancePrimaries()
-	changes := make([]Change, Slices)
+	changes := make([]Change, Shards)
 	for i, pair := range level.pairs {
 		changes[i] = Change{Slice: i, First: level.servers[pair[0]].Name}
 		if pair[1] >= 0 {
@@ -106,11 +106,11 @@
 	for i := range result {
 		switch group := &result[i]; {
 		case i == heavy:
-			group.share = Slices
+			group.share = Shards
 		case heavy >= 0:
-			group.share = Slices * group.weight / restWeight
+			group.share = Shards * group.weight / restWeight
 		default:
-			group.share = 2 * Slices * group.weight / sum
+			group.share = 2 * Shards * group.weight / sum
 		}
 	}
 	return result
--- a/internal/fleet/replycache/cache.go
+++ b/internal/fleet/replycache/cache.go
@@ -17,7 +17,7 @@
 	"larchscale/control"
 	"larchscale/internal/callcache"
 	"larchscale/internal/core"
-	"larchscale/internal/fleet/ground"
+	"larchscale/internal/fleet/membership"
 	"larchscale/internal/link"
 )
 
@@ -94,7 +94,7 @@
 func (k *Cache) Attach(below core.Downstream) { k.below = below }
 
 // Stand gives it its ways to the homes, by name as the box's own, else as the fleet knows them. It comes before Run.
-func (k *Cache) Stand(g *ground.Ground, l *link.Link, ways map[string]string) {
+func (k *Cache) Stand(g *membership.State, l *link.Link, ways map[string]string) {
 	k.streams = k.newStreams(l, g.Addr, ways)
 }
 
--- a/internal/fleet/replycache/home.go
+++ b/internal/fleet/replycache/home.go
@@ -5,7 +5,7 @@
 
 	"larchscale/control"
 	"larchscale/internal/callcache"
-	"larchscale/internal/fleet/ground"
+	"larchscale/internal/fleet/membership"
 )
 
 const (
@@ -50,12 +50,12 @@
 }
 
 // View takes which box is home of what, on the fleet's loop.
-func (k *Cache) View(v *ground.View) {
+func (k *Cache) View(v *membership.View) {
 	k.enter(func(context.Context) {
 		homes := make([]uint16, callcache.Shards)
 		for i := range homes {
 			homes[i] = callcache.NoOwner
-			if first, _ := v.Homes(i); first != "" && v.Life != 0 {
+			if first, _ := v.Replicas(i); first != "" && v.Token != 0 {
 				homes[i] = k.number(first)
 			}
 		}
--- a/internal/fleet/session/client.go
+++ b/internal/fleet/session/client.go
@@ -52,8 +52,8 @@
 			return fmt.Errorf("control node %.70q: want a unique name of 1 to %d bytes: %w", name, limits.MaxName, ErrInvalid)
 		}
 	}
-	if o.Terms.Every <= 0 || o.Terms.Length < o.Terms.Every {
-		return fmt.Errorf("a lease of %v that is renewed every %v: %w", o.Terms.Length, o.Terms.Every, ErrInvalid)
+	if o.Terms.RenewInterval <= 0 || o.Terms.Length < o.Terms.RenewInterval {
+		return fmt.Errorf("a lease of %v that is renewed every %v: %w", o.Terms.Length, o.Terms.RenewInterval, ErrInvalid)
 	}
 	return nil
 }
@@ -363,9 +363,9 @@
 
 func (c *Client) handleAck(a *Ack, now time.Duration) {
 	c.session.leaderless = a.Leaderless
-	before := c.holder.Until()
-	c.holder.Granted(lease.Grant{Box: c.options.Server, Life: a.FencingToken, Seq: a.Sequence, For: c.options.Terms.Length})
-	if c.holder.Until() > before {
+	before := c.holder.LeaseEnd()
+	c.holder.AcceptGrant(lease.Grant{Box: c.options.Server, Life: a.FencingToken, Seq: a.Sequence, For: c.options.Terms.Length})
+	if c.holder.LeaseEnd() > before {
 		c.lastGrant, c.everGranted, c.session.granted = now, true, true
 		c.nodesWithoutGrant, c.searchStay = 0, initialStay
 	}
@@ -392,10 +392,10 @@
 func (c *Client) Holds(now time.Duration) bool { return c.holder.Holds(now) }
 
 // Until returns when the lease ends; 0 = no lease was granted under the current fencing token.
-func (c *Client) Until() time.Duration { return c.holder.Until() }
+func (c *Client) Until() time.Duration { return c.holder.LeaseEnd() }
 
 // FencingToken returns the fencing token of the lease; 0 = none is agreed for this process.
-func (c *Client) FencingToken() uint64 { return c.holder.Life() }
+func (c *Client) FencingToken() uint64 { return c.holder.Token() }
 
 // Incarnation returns the incarnation of the process: that of the options, or a newer one that the client had to
 // take.
--- a/internal/fleet/session/heartbeat.go
+++ b/internal/fleet/session/heartbeat.go
@@ -69,7 +69,7 @@
 // pendingProposals returns the proposals to send now. A process without an agreed fencing token proposes its
 // registration.
 func (c *Client) pendingProposals() pendingProposals {
-	return pendingProposals{step: c.proposedStep, registers: c.holder.Life() == 0}
+	return pendingProposals{step: c.proposedStep, registers: c.holder.Token() == 0}
 }
 
 func (c *Client) listProposals(p pendingProposals) (list []Proposal) {
@@ -93,9 +93,9 @@
 		return nil
 	}
 	hb := Heartbeat{Applied: c.local.Applied, Proposals: c.listProposals(p)}
-	if regular || s.sentToken != c.holder.Life() {
-		s.renewAt = now + c.options.Terms.Every
-		if r, ok := c.holder.AskNow(now); ok {
+	if regular || s.sentToken != c.holder.Token() {
+		s.renewAt = now + c.options.Terms.RenewInterval
+		if r, ok := c.holder.RenewNow(now); ok {
 			hb.Sequence, hb.FencingToken = r.Seq, r.Life
 		}
 	}
@@ -105,7 +105,7 @@
 		s.sentReport, s.reportSentAt = report, now
 	}
 	s.sentFirst, s.sentAt = true, now
-	s.sentToken, s.sentApplied, s.sentProposals = c.holder.Life(), hb.Applied, p
+	s.sentToken, s.sentApplied, s.sentProposals = c.holder.Token(), hb.Applied, p
 	return []Action{c.send(FromServer{Heartbeat: &hb})}
 }
 
@@ -113,7 +113,7 @@
 func (c *Client) needsPromptHeartbeat(p pendingProposals) bool {
 	s := &c.session
 	report := &c.local.Report
-	return s.sentToken != c.holder.Life() || s.sentApplied != c.local.Applied || p != s.sentProposals && p != (pendingProposals{}) ||
+	return s.sentToken != c.holder.Token() || s.sentApplied != c.local.Applied || p != s.sentProposals && p != (pendingProposals{}) ||
 		report.Warm != s.sentReport.Warm || report.Failing != s.sentReport.Failing
 }
 
@@ -142,7 +142,7 @@
 	switch {
 	case c.nodesWithoutGrant >= len(c.nodes)-1: // all nodes were tried
 		return len(c.nodes) > 1 && withoutGrant >= c.searchStay
-	case c.holder.Life() == 0: // registration needs the agreement of the control tier first, which takes longer
+	case c.holder.Token() == 0: // registration needs the agreement of the control tier first, which takes longer
 		return withoutGrant >= 2*patience
 	case s.leaderless && c.nodesWithoutGrant > 0 && c.everGranted && now-c.lastGrant >= patience+FirstBackoff:
 		return true // the node knows no leader, so it is no better than the previous one
@@ -169,9 +169,9 @@
 	}
 	c.serverState, c.hasServerState = state, ok
 	if ok && state.FencingToken != 0 && state.LeaseProcess == c.incarnation {
-		c.holder.Live(state.FencingToken, now)
+		c.holder.SetToken(state.FencingToken, now)
 	} else {
-		c.holder.Lost()
+		c.holder.DropToken()
 	}
 	c.dropObsoleteStep()
 	return nil
--- a/internal/fleet/session/refused.go
+++ b/internal/fleet/session/refused.go
@@ -44,7 +44,7 @@
 	closing := Action{Close: &Close{c.attempt}}
 	if c.everOpen || c.reincarnated || r.Incarnation < c.incarnation || r.Incarnation == math.MaxUint64 {
 		c.state = Ended
-		c.holder.Lost()
+		c.holder.DropToken()
 		c.recordLeaseChange(now)
 		c.addEvent(Event{Kind: SessionOver, Reason: r.Reason})
 		return []Action{closing}
--- a/internal/fleet/session/sim_node_test.go
+++ b/internal/fleet/session/sim_node_test.go
@@ -81,7 +81,7 @@
 }
 
 // encodedServerState returns the value of a server's key.
-func encodedServerState(b *lease.Box) []byte {
+func encodedServerState(b *lease.Server) []byte {
 	s := Standing{Box: takeout.Box{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
 	if !b.Lost {
 		s.FencingToken = b.Life
@@ -135,7 +135,7 @@
 			continue
 		}
 		if err := n.state.Apply(n.applied, &e.lease); err != nil {
-			n.granter.Refused(e.lease.Box, e.lease.Life)
+			n.granter.ProposalFailed(e.lease.Box, e.lease.Life)
 			continue
 		}
 		changed[e.lease.Box] = true
@@ -146,7 +146,7 @@
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		b := n.state.Box(name)
+		b := n.state.Server(name)
 		n.history.Put(n.applied, ServerPrefix+name, encodedServerState(b))
 		if !n.world.defects.keepsSuperseded {
 			n.closeEnded(n.table.Superseded(name, b.Incarnation))
@@ -181,7 +181,7 @@
 	w := n.world
 	n.helloTimes = append(n.helloTimes, w.now)
 	known := uint64(0)
-	if b := n.state.Box(h.Server); b != nil && !w.defects.opensSuperseded {
+	if b := n.state.Server(h.Server); b != nil && !w.defects.opensSuperseded {
 		known = b.Incarnation
 	}
 	ended, refusal := n.table.Open(s.id, *h, known, n.clock())
@@ -199,7 +199,7 @@
 
 // checkSession checks that a session is not of a process older than the one in the log.
 func (n *simNode) checkSession(h *Hello) {
-	if b := n.state.Box(h.Server); b != nil && b.Incarnation > h.Incarnation {
+	if b := n.state.Server(h.Server); b != nil && b.Incarnation > h.Incarnation {
 		n.world.fail("node %d has a session of process %d of server %s, the log has %d", n.index, h.Incarnation, h.Server, b.Incarnation)
 	}
 }
@@ -304,7 +304,7 @@
 		n.world.fail("digest: %v", err)
 	}
 	for _, r := range d.Renewals {
-		_ = n.granter.Asked(&n.state, r, n.clock()) // a refused renewal is requested again
+		_ = n.granter.Renew(&n.state, r, n.clock()) // a refused renewal is requested again
 	}
 }
 
@@ -324,7 +324,7 @@
 	if n.leadsTerm == 0 {
 		return
 	}
-	id, ok := n.granter.Round(n.clock())
+	id, ok := n.granter.BeginRound(n.clock())
 	if !ok {
 		return
 	}
@@ -333,7 +333,7 @@
 		n.exec(func() {
 			if n.leadsTerm == term && w.term == term && w.leader == n.index && w.hasMajority(n.index) {
 				n.apply(uint64(len(w.log)))
-				n.grant(n.granter.Confirmed(&n.state, id))
+				n.grant(n.granter.ConfirmRound(&n.state, id))
 			}
 		})
 	})
@@ -358,7 +358,7 @@
 }
 
 func (n *simNode) expireLeases() {
-	for _, e := range n.granter.Over(&n.state, n.clock()) {
+	for _, e := range n.granter.ExpiredServers(&n.state, n.clock()) {
 		n.world.proposeIn(n, n.leadsTerm, logEntry{lease: e})
 	}
 }
@@ -371,7 +371,7 @@
 	}
 	leader := w.nodes[n.leader]
 	w.sendBetween(n, leader, func() {
-		known := leader.state.Box(e.Box)
+		known := leader.state.Server(e.Box)
 		if leader.leadsTerm == 0 || known != nil && known.Incarnation == e.Incarnation && !known.Lost {
 			return
 		}
--- a/internal/fleet/session/sim_world_test.go
+++ b/internal/fleet/session/sim_world_test.go
@@ -277,7 +277,7 @@
 		w.commitDocument(index, e)
 		return
 	}
-	if err := w.state.Apply(index, &e.lease); err != nil || e.lease.Kind != lease.Lost {
+	if err := w.state.Apply(index, &e.lease); err != nil || e.lease.Kind != lease.Expired {
 		return
 	}
 	w.expiredTokens[e.lease.Life] = w.now
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -168,7 +168,7 @@
 
 func TestInvalidHeartbeats(t *testing.T) {
 	step := takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 3, Phase: takeout.Draining}
-	live := lease.Entry{Kind: lease.Live, Box: "s1", Zone: "z", Incarnation: 3}
+	live := lease.Entry{Kind: lease.Registered, Box: "s1", Zone: "z", Incarnation: 3}
 	steps := func(change func(*takeout.Entry)) []Proposal {
 		e := step
 		change(&e)
@@ -204,7 +204,7 @@
 		{"a step with a list", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Missing = []string{"s2"} })}, false},
 		{"a step with a long reason", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Why = strings.Repeat("x", 300) })}, false},
 		{"registration of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Box = "s2" })}, false},
-		{"expiry of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Kind = lease.Lost })}, false},
+		{"expiry of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Kind = lease.Expired })}, false},
 		{"registration of another process", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Incarnation = 4 })}, false},
 		{"registration in another zone", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Zone = "y" })}, false},
 	} {
--- a/internal/fleet/session/validate.go
+++ b/internal/fleet/session/validate.go
@@ -94,7 +94,7 @@
 
 // registrationEntry returns the entry that registers the process of a session.
 func registrationEntry(h *Hello) lease.Entry {
-	return lease.Entry{Kind: lease.Live, Box: h.Server, Zone: h.Zone, Incarnation: h.Incarnation, Pool: h.Pool}
+	return lease.Entry{Kind: lease.Registered, Box: h.Server, Zone: h.Zone, Incarnation: h.Incarnation, Pool: h.Pool}
 }
 
 // hasOneField reports whether exactly one field of a node's message is set.
--- a/internal/fleet/hand/explore_test.go
+++ b/internal/fleet/takeover/explore_test.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"flag"
--- a/internal/fleet/hand/hand.go
+++ b/internal/fleet/takeover/hand.go
@@ -1,11 +1,11 @@
-// Package hand lets keyed requests survive the loss of their app server. Each keyed request is claimed at the two
+// Package takeover lets keyed requests survive the loss of their app server. Each keyed request is claimed at the two
 // replicas of its key's shard before it runs, its outcome is stored at both before it is answered, and when its server
 // is lost the primary takes it over, once. docs/design/hand.md has the states, the invariants and why no key runs
 // twice.
 //
 // The package is a pure state machine: no I/O, no goroutines, no clock. Every method takes the server's monotonic time;
 // outputs accumulate and are returned by TakeOutputs. It is not safe for concurrent use.
-package hand
+package takeover
 
 import (
 	"cmp"
@@ -17,16 +17,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Slices is the number of shards that all keys are hashed into. Each shard has its replicas.
-const Slices = 1024
+// Shards is the number of shards that all keys are hashed into. Each shard has its replicas.
+const Shards = 1024
 
 // Key identifies a keyed request in the fleet.
 type Key struct{ Class, Token string }
 
-// Slice returns the shard of a key, the same on every server.
-func (k Key) Slice() int {
+// Shard returns the shard of a key, the same on every server.
+func (k Key) Shard() int {
 	data := binary.AppendUvarint(make([]byte, 0, 64), uint64(len(k.Class)))
-	return int(xxhash.Sum64(append(append(data, k.Class...), k.Token...)) % Slices)
+	return int(xxhash.Sum64(append(append(data, k.Class...), k.Token...)) % Shards)
 }
 
 func compareKeys(a, b Key) int {
@@ -39,8 +39,8 @@
 	Life uint64
 }
 
-// Piece is a keyed request as its replicas store it: all that is needed to take it over.
-type Piece struct {
+// KeyedRequest is a keyed request as its replicas store it: all that is needed to take it over.
+type KeyedRequest struct {
 	Key     Key
 	Sum     [32]byte // hash of the body: another body under the same key is another request
 	Body    []byte   // never modified once set
@@ -59,29 +59,29 @@
 
 // View is the agreed state as of an epoch, the same on every server that has reached that epoch.
 type View struct {
-	Epoch uint64 // log index of the last change
-	Prev  uint64 // epoch of the previous view; 0 = the caller guarantees that it passes every view in order
-	Self  string
-	Life  uint64                   // fencing token of this process; a process with a new one begins with no state
-	Homes func(slice int) []string // up to two registered servers, the primary first
-	Lives map[string]uint64        // fencing tokens of the registered servers
-	Fresh func(slice int) bool     // the shard never had replicas before this epoch
-	Pools map[Owner]string         // worker pool addresses of processes, expired ones included; "" = unknown
+	Epoch    uint64 // log index of the last change
+	Prev     uint64 // epoch of the previous view; 0 = the caller guarantees that it passes every view in order
+	Self     string
+	Token    uint64                   // fencing token of this process; a process with a new one begins with no state
+	Replicas func(slice int) []string // up to two registered servers, the primary first
+	Tokens   map[string]uint64        // fencing tokens of the registered servers
+	NewShard func(slice int) bool     // the shard never had replicas before this epoch
+	Pools    map[Owner]string         // worker pool addresses of processes, expired ones included; "" = unknown
 }
 
 // Limits are bounds and times. Zero fields take the values of Defaults.
 type Limits struct {
-	Records int           // at this replica, and of this server's own claims; further claims are refused
-	Bytes   int64         // of bodies and results, at this replica and again for this server's own claims
-	Longest time.Duration // maximum Request.Life
-	Lag     time.Duration // maximum time that a server whose lease holds can be behind a view
-	Adopted int           // maximum number of requests that are taken over and in flight at this server
-	Retry   time.Duration // interval at which unacknowledged messages are sent again
+	Records       int           // at this replica, and of this server's own claims; further claims are refused
+	Bytes         int64         // of bodies and results, at this replica and again for this server's own claims
+	MaxRetention  time.Duration // maximum Request.Life
+	MaxViewLag    time.Duration // maximum time that a server whose lease holds can be behind a view
+	MaxAdopted    int           // maximum number of requests that are taken over and in flight at this server
+	RetryInterval time.Duration // interval at which unacknowledged messages are sent again
 }
 
 // Defaults are the limits for a server of ordinary size.
-var Defaults = Limits{Records: 200_000, Bytes: 256 << 20, Longest: 3 * time.Minute, Lag: 10 * time.Second,
-	Adopted: 32, Retry: 100 * time.Millisecond}
+var Defaults = Limits{Records: 200_000, Bytes: 256 << 20, MaxRetention: 3 * time.Minute, MaxViewLag: 10 * time.Second,
+	MaxAdopted: 32, RetryInterval: 100 * time.Millisecond}
 
 const (
 	unconfirmedQueryInterval = 300 * time.Millisecond // a replica queries the owner of an unconfirmed claim after it
@@ -95,33 +95,33 @@
 	retryAfter               = 500 * time.Millisecond // when to try again at replicas that are not ready
 )
 
-// State is the result of a claim.
-type State uint8
+// ClaimState is the result of a claim.
+type ClaimState uint8
 
 // The states of a Verdict.
 const (
-	Won    State = iota + 1 // the key belongs to this server, which runs it
-	Other                   // another server has it: ask again
-	Done                    // it ran; Result is the first result
-	Failed                  // it failed, or may have run and will not be run again
-	Off                     // the key belongs to another body
-	Down                    // the replicas cannot accept claims; After says when to try again
+	Won           ClaimState = iota + 1 // the key belongs to this server, which runs it
+	HeldElsewhere                       // another server has it: ask again
+	Done                                // it ran; Result is the first result
+	Failed                              // it failed, or may have run and will not be run again
+	BodyMismatch                        // the key belongs to another body
+	Unavailable                         // the replicas cannot accept claims; After says when to try again
 )
 
 var stateNames = [...]string{"none", "won", "other", "done", "failed", "off", "down"}
 
-func (s State) String() string { return stateNames[s] }
+func (s ClaimState) String() string { return stateNames[s] }
 
 // Send is a message to a server. All items for one server in one call of TakeOutputs are in one message.
 type Send struct {
 	To  string
-	Msg *Msg
+	Msg *Message
 }
 
 // Verdict answers a Claim, exactly once.
 type Verdict struct {
 	Key    Key
-	State  State
+	State  ClaimState
 	Result []byte        // Done only
 	After  time.Duration // Unavailable only
 	Why    string
@@ -139,12 +139,12 @@
 type Probe struct {
 	Owner Owner
 	Pool  string
-	Keys  []Asked
+	Keys  []ProbedKey
 }
 
-// Asked is one key of a Probe. Unless the process is the only one that may have won the key (Alone), the pool of another
+// ProbedKey is one key of a Probe. Unless the process is the only one that may have won the key (Alone), the pool of another
 // process may have run it or be running it: this pool may be listened to, but must not be given the run.
-type Asked struct {
+type ProbedKey struct {
 	Key    Key
 	Handle string // by which the pool knows the run; "" = unknown
 	Cursor uint64 // of the pool: what it reports about the request comes after it
@@ -152,7 +152,7 @@
 }
 
 // Adopt gives the core a request to run. Its key belongs to this server as if it had been claimed here and won.
-type Adopt struct{ Piece Piece }
+type Adopt struct{ Piece KeyedRequest }
 
 // Outputs are the results of one or more inputs. With Disown all else is empty: lease or token has ended, and no key
 // belongs to this server any longer.
@@ -165,7 +165,7 @@
 	Adopts   []Adopt
 }
 
-// Hand is the state machine of one server: it claims keys, is a replica of the shards that the view assigns to it, and
+// Machine is the state machine of one server: it claims keys, is a replica of the shards that the view assigns to it, and
 // takes over requests of lost servers.
 //
 // The caller passes each view in the order of the log, beginning with the first in which the process is registered
@@ -175,7 +175,7 @@
 // verdict, both only while Active. Release is for keys that no pool was given. After Disown nothing that the core has in
 // flight belongs to the server any longer; the caller takes a new token from the log and goes on with the same Machine,
 // or a new one.
-type Hand struct {
+type Machine struct {
 	limits      Limits
 	injected    defects
 	view        View
@@ -188,7 +188,7 @@
 	unacknowledged []*claim
 	claimBytes     int64 // bytes of bodies and results in claims
 
-	shards         [Slices]shardState
+	shards         [Shards]shardState
 	localShards    []int           // shards that this server is a replica of, or keeps for the current view
 	openRecords    []*storedRecord // at this replica: without an outcome, or with one that is not sealed
 	recordCount    int
@@ -210,39 +210,39 @@
 }
 
 // New returns a Machine without a fencing token: its first view sets one.
-func New(limits Limits) *Hand {
-	limits.Records, limits.Adopted = cmp.Or(limits.Records, Defaults.Records), cmp.Or(limits.Adopted, Defaults.Adopted)
+func New(limits Limits) *Machine {
+	limits.Records, limits.MaxAdopted = cmp.Or(limits.Records, Defaults.Records), cmp.Or(limits.MaxAdopted, Defaults.MaxAdopted)
 	limits.Bytes = cmp.Or(limits.Bytes, Defaults.Bytes)
-	limits.Longest, limits.Lag, limits.Retry = cmp.Or(limits.Longest, Defaults.Longest),
-		cmp.Or(limits.Lag, Defaults.Lag), cmp.Or(limits.Retry, Defaults.Retry)
-	return &Hand{limits: limits, disowned: true}
+	limits.MaxRetention, limits.MaxViewLag, limits.RetryInterval = cmp.Or(limits.MaxRetention, Defaults.MaxRetention),
+		cmp.Or(limits.MaxViewLag, Defaults.MaxViewLag), cmp.Or(limits.RetryInterval, Defaults.RetryInterval)
+	return &Machine{limits: limits, disowned: true}
 }
 
-// Newest returns the newest epoch that any server reported. If it is past the view's own, this server is behind.
-func (h *Hand) Newest() uint64 { return max(h.newestEpoch, h.view.Epoch) }
+// NewestEpoch returns the newest epoch that any server reported. If it is past the view's own, this server is behind.
+func (h *Machine) NewestEpoch() uint64 { return max(h.newestEpoch, h.view.Epoch) }
 
-// Lease extends the lease of the current token. A lease that ran out may be extended while the token is the same: the
+// ExtendLease extends the lease of the current token. A lease that ran out may be extended while the token is the same: the
 // log has not declared it expired, so nothing has been taken over. Until then the server does nothing.
-func (h *Hand) Lease(until time.Duration) { h.leaseEnd = max(h.leaseEnd, until) }
+func (h *Machine) ExtendLease(until time.Duration) { h.leaseEnd = max(h.leaseEnd, until) }
 
 // active reports whether the server may act.
-func (h *Hand) active(now time.Duration) bool {
+func (h *Machine) active(now time.Duration) bool {
 	return !h.disowned && (now < h.leaseEnd || h.injected.leaseIgnored)
 }
 
-// Live reports whether the server has a token and a lease that holds.
-func (h *Hand) Live(now time.Duration) bool { return h.active(now) }
+// Active reports whether the server has a token and a lease that holds.
+func (h *Machine) Active(now time.Duration) bool { return h.active(now) }
 
 // disown ends a token: all state is dropped, and all pending outputs with it.
-func (h *Hand) disown() {
+func (h *Machine) disown() {
 	h.disowned, h.outputs, h.sendIndex, h.loopback = true, Outputs{Disown: true}, nil, nil
 	h.claims, h.unacknowledged, h.openRecords, h.expiries, h.localShards = nil, nil, nil, nil, nil
-	h.shards, h.recordCount, h.recordBytes, h.adoptedCount, h.copiesInFlight, h.claimBytes = [Slices]shardState{}, 0, 0, 0, 0, 0
+	h.shards, h.recordCount, h.recordBytes, h.adoptedCount, h.copiesInFlight, h.claimBytes = [Shards]shardState{}, 0, 0, 0, 0, 0
 }
 
-// Drain returns the pending outputs. It checks the lease again: a server that was stopped between an input and this
+// TakeOutputs returns the pending outputs. It checks the lease again: a server that was stopped between an input and this
 // call sends nothing.
-func (h *Hand) Drain(now time.Duration) Outputs {
+func (h *Machine) TakeOutputs(now time.Duration) Outputs {
 	if !h.disowned && !h.active(now) {
 		return Outputs{}
 	}
@@ -257,11 +257,11 @@
 
 // SetView sets an agreed view and, with the first one of a token, the end of its lease. Older views are ignored. A
 // server that missed a view in between, or is new, is in sync for no shard.
-func (h *Hand) SetView(now time.Duration, view View, lease time.Duration) {
-	if h.view.Epoch >= view.Epoch && h.view.Life == view.Life {
+func (h *Machine) SetView(now time.Duration, view View, lease time.Duration) {
+	if h.view.Epoch >= view.Epoch && h.view.Token == view.Token {
 		return
 	}
-	newToken := view.Life != h.view.Life
+	newToken := view.Token != h.view.Token
 	if !newToken && h.disowned {
 		return
 	}
@@ -271,7 +271,7 @@
 		}
 		h.disowned, h.claims, h.lastTry, h.leaseEnd = false, map[Key]*claim{}, 0, lease
 	}
-	if view.Life == 0 || view.Lives[view.Self] != view.Life {
+	if view.Token == 0 || view.Tokens[view.Self] != view.Token {
 		h.view = view
 		h.disown()
 		return
@@ -296,7 +296,7 @@
 
 // Tick must be called every RetryInterval: it sends unacknowledged messages again, drops what has expired, and takes
 // over.
-func (h *Hand) Tick(now time.Duration) {
+func (h *Machine) Tick(now time.Duration) {
 	if !h.active(now) {
 		return
 	}
@@ -307,16 +307,16 @@
 	h.deliverLoopback(now)
 }
 
-// Figures are counts for the metrics of a server.
-type Figures struct {
-	Mine, Records, Open, Adopted int
-	Bytes                        int64
-	Quarantined                  int // shards that this server is the primary of and that accept no new claims
+// Metrics are counts for the metrics of a server.
+type Metrics struct {
+	Claims, Records, Open, Adopted int
+	Bytes                          int64
+	Quarantined                    int // shards that this server is the primary of and that accept no new claims
 }
 
-// Figures returns the counts.
-func (h *Hand) Figures() Figures {
-	figures := Figures{Mine: len(h.claims), Records: h.recordCount, Open: len(h.openRecords), Adopted: h.adoptedCount,
+// Metrics returns the counts.
+func (h *Machine) Metrics() Metrics {
+	figures := Metrics{Claims: len(h.claims), Records: h.recordCount, Open: len(h.openRecords), Adopted: h.adoptedCount,
 		Bytes: h.recordBytes}
 	for _, i := range h.localShards {
 		if shard := &h.shards[i]; shard.role == 1 && !shard.inSync {
@@ -326,31 +326,31 @@
 	return figures
 }
 
-// Whole reports whether this server is a replica of a shard and has all its records.
-func (h *Hand) Whole(shard int) bool { return h.shards[shard].role > 0 && h.shards[shard].inSync }
+// InSync reports whether this server is a replica of a shard and has all its records.
+func (h *Machine) InSync(shard int) bool { return h.shards[shard].role > 0 && h.shards[shard].inSync }
 
-// Piece returns a request without an outcome as this replica stores it; false = there is none.
-func (h *Hand) Piece(now time.Duration, key Key) (Piece, bool) {
-	record := h.shards[key.Slice()].records[key]
+// OpenRequest returns a request without an outcome as this replica stores it; false = there is none.
+func (h *Machine) OpenRequest(now time.Duration, key Key) (KeyedRequest, bool) {
+	record := h.shards[key.Shard()].records[key]
 	if record == nil || record.outcome != nil {
-		return Piece{}, false
+		return KeyedRequest{}, false
 	}
 	return h.recordMessage(now, record).Piece, true
 }
 
 // isCurrent reports whether a process is the current one of its server.
-func (h *Hand) isCurrent(owner Owner) bool {
-	return owner.Life != 0 && h.view.Lives[owner.Box] == owner.Life
+func (h *Machine) isCurrent(owner Owner) bool {
+	return owner.Life != 0 && h.view.Tokens[owner.Box] == owner.Life
 }
 
-func (h *Hand) self() Owner { return Owner{h.view.Self, h.view.Life} }
+func (h *Machine) self() Owner { return Owner{h.view.Self, h.view.Token} }
 
 // replicas returns the current processes of a shard's replicas.
-func (h *Hand) replicas(shard int) []Owner {
-	names := h.view.Homes(shard)
+func (h *Machine) replicas(shard int) []Owner {
+	names := h.view.Replicas(shard)
 	out := make([]Owner, 0, 2)
 	for _, name := range names[:min(2, len(names))] {
-		out = append(out, Owner{name, h.view.Lives[name]})
+		out = append(out, Owner{name, h.view.Tokens[name]})
 	}
 	return out
 }
--- a/internal/fleet/hand/hand_test.go
+++ b/internal/fleet/takeover/hand_test.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"fmt"
@@ -13,10 +13,10 @@
 
 // newServers returns a fleet in which all messages arrive at once, in order and in the wire encoding. The first
 // registered server is the primary of every shard, the second the backup.
-func newServers(t *testing.T, limits Limits, names ...string) (servers map[string]*Hand,
+func newServers(t *testing.T, limits Limits, names ...string) (servers map[string]*Machine,
 	deliver func(now time.Duration) map[string]Outputs,
 	setView func(epoch uint64, now time.Duration, registered ...string)) {
-	servers = map[string]*Hand{}
+	servers = map[string]*Machine{}
 	for _, name := range names {
 		servers[name] = New(limits)
 	}
@@ -32,9 +32,9 @@
 				continue
 			}
 			servers[name].SetView(now,
-				View{Epoch: epoch, Prev: epoch - 1, Self: name, Life: uint64(i + 1), Lives: tokens,
-					Homes: func(int) []string { return replicas },
-					Fresh: func(int) bool { return epoch == 1 }, Pools: map[Owner]string{{"c", 3}: "pool of c"}}, time.Hour)
+				View{Epoch: epoch, Prev: epoch - 1, Self: name, Token: uint64(i + 1), Tokens: tokens,
+					Replicas: func(int) []string { return replicas },
+					NewShard: func(int) bool { return epoch == 1 }, Pools: map[Owner]string{{"c", 3}: "pool of c"}}, time.Hour)
 		}
 	}
 	deliver = func(now time.Duration) map[string]Outputs {
@@ -42,7 +42,7 @@
 		for delivering := true; delivering; {
 			delivering = false
 			for _, name := range names {
-				out := servers[name].Drain(now)
+				out := servers[name].TakeOutputs(now)
 				outputs := total[name]
 				outputs.Verdicts, outputs.Finished = append(outputs.Verdicts, out.Verdicts...),
 					append(outputs.Finished, out.Finished...)
@@ -52,11 +52,11 @@
 				for _, send := range out.Sends {
 					delivering = true
 					data, err := cbor.Marshal(send.Msg)
-					var got Msg
+					var got Message
 					if err == nil {
 						err = cbor.Unmarshal(data, &got)
 					}
-					if diff := cmp.Diff(send.Msg, &got, cmp.AllowUnexported(Cand{})); err != nil || diff != "" {
+					if diff := cmp.Diff(send.Msg, &got, cmp.AllowUnexported(Candidate{})); err != nil || diff != "" {
 						t.Fatalf("%v\n%s", err, diff)
 					}
 					servers[send.To].Receive(now, name, &got)
@@ -68,15 +68,15 @@
 	return
 }
 
-func piece(token string) Piece {
-	return Piece{Key: Key{"class", token}, Body: []byte(token), Sum: [32]byte{1}, Due: 10 * time.Second, Life: 12 * time.Second}
+func piece(token string) KeyedRequest {
+	return KeyedRequest{Key: Key{"class", token}, Body: []byte(token), Sum: [32]byte{1}, Due: 10 * time.Second, Life: 12 * time.Second}
 }
 
 // The course of a key: it is won in one round, held elsewhere for other servers, refused with another body, and answered
 // with one result by any server. If its server is lost before the outcome, the primary probes the pool, then runs it.
 // Claims past the bound are refused.
 func TestCourseOfAKey(t *testing.T) {
-	servers, deliver, setView := newServers(t, Limits{Records: 3, Longest: 12 * time.Second}, "a", "b", "c", "d")
+	servers, deliver, setView := newServers(t, Limits{Records: 3, MaxRetention: 12 * time.Second}, "a", "b", "c", "d")
 	setView(1, 0, "a", "b", "c", "d")
 	deliver(0)
 	expect := func(step string, outputs Outputs, want string) {
@@ -123,8 +123,8 @@
 	if !lostOutputs["c"].Disown {
 		t.Error("a lost server does not disown its claims")
 	}
-	servers["a"].Proved(2*time.Second, Key{"class", "y"}, Owner{"c", 3}, Proof{State: NeverRan})
-	servers["a"].Proved(2*time.Second, Key{"class", "z"}, Owner{"c", 3}, Proof{State: Ran, OK: true, Result: []byte("far")})
+	servers["a"].HandleProof(2*time.Second, Key{"class", "y"}, Owner{"c", 3}, Proof{State: NeverRan})
+	servers["a"].HandleProof(2*time.Second, Key{"class", "z"}, Owner{"c", 3}, Proof{State: Ran, OK: true, Result: []byte("far")})
 	expect("probe results", deliver(2 * time.Second)["a"], "y adopted y")
 	servers["d"].Claim(2*time.Second, piece("z"))
 	expect("repeat of a request that finished before its server was lost", deliver(2 * time.Second)["d"], "z done far")
@@ -139,7 +139,7 @@
 	expect("the pool of the server that took over is unknown", deliver(4 * time.Second)["b"], "y failed")
 	for _, n := range []string{"b", "d"} {
 		servers[n].Tick(40 * time.Second)
-		if figures := servers[n].Figures(); figures != (Figures{}) {
+		if figures := servers[n].Metrics(); figures != (Metrics{}) {
 			t.Errorf("%s: %+v", n, figures)
 		}
 	}
@@ -148,7 +148,7 @@
 // If both replicas are lost at once, their shards accept no new claims until the longest retention time is over. What
 // is held is learned meanwhile.
 func TestQuarantine(t *testing.T) {
-	servers, deliver, setView := newServers(t, Limits{Longest: 20 * time.Second, Lag: time.Second}, "a", "b", "c", "d")
+	servers, deliver, setView := newServers(t, Limits{MaxRetention: 20 * time.Second, MaxViewLag: time.Second}, "a", "b", "c", "d")
 	setView(1, 0, "a", "b", "c", "d")
 	servers["c"].Claim(0, piece("x"))
 	deliver(0)
@@ -156,8 +156,8 @@
 	for _, step := range []struct {
 		at   time.Duration
 		key  string
-		want State
-	}{{time.Second, "y", Down}, {1100 * ms, "x", Other}, {21900 * ms, "y", Down}, {22 * time.Second, "y", Won}} {
+		want ClaimState
+	}{{time.Second, "y", Unavailable}, {1100 * ms, "x", HeldElsewhere}, {21900 * ms, "y", Unavailable}, {22 * time.Second, "y", Won}} {
 		servers["c"].Tick(step.at)
 		servers["d"].Tick(step.at)
 		deliver(step.at)
@@ -173,8 +173,8 @@
 // shard: a key may have been claimed in that view. An outcome that a lost server reported only to the backup takes
 // precedence over the takeover's decision.
 func TestMoves(t *testing.T) {
-	servers, deliver, setView := newServers(t, Limits{Longest: 12 * time.Second}, "a", "b", "c", "d")
-	claim := func(step, box, key string, want State) {
+	servers, deliver, setView := newServers(t, Limits{MaxRetention: 12 * time.Second}, "a", "b", "c", "d")
+	claim := func(step, box, key string, want ClaimState) {
 		t.Helper()
 		deliver(0)
 		servers[box].Claim(0, piece(key))
@@ -185,19 +185,19 @@
 	setView(1, 0, "a", "b", "c", "d")
 	claim("in sync", "c", "x", Won)
 	setView(2, 0, "d", "c", "a", "b")
-	claim("repeat after both replicas moved", "a", "x", Other)
+	claim("repeat after both replicas moved", "a", "x", HeldElsewhere)
 	claim("both replicas moved", "a", "y", Won)
 	setView(3, 0, "a", "b", "c", "d")
 	deliver(0)
 	servers["c"].Finish(0, Key{"class", "x"}, true, []byte("ok"), "")
-	for _, send := range servers["c"].Drain(0).Sends {
+	for _, send := range servers["c"].TakeOutputs(0).Sends {
 		if send.To == "b" {
 			servers["b"].Receive(0, "c", send.Msg)
 		}
 	}
 	setView(4, 0, "a", "b", "d")
 	deliver(0)
-	servers["a"].Proved(0, Key{"class", "x"}, Owner{"c", 3}, Proof{State: Unknown})
+	servers["a"].HandleProof(0, Key{"class", "x"}, Owner{"c", 3}, Proof{State: Unknown})
 	claim("the backup knows the outcome", "d", "x", Done)
 	withoutViews = "a"
 	defer func() { withoutViews = "" }()
@@ -205,7 +205,7 @@
 	claim("claimed while a is behind", "b", "z", Won)
 	withoutViews = ""
 	setView(6, 0, "a")
-	claim("after a missed a view", "a", "z", Down)
+	claim("after a missed a view", "a", "z", Unavailable)
 }
 
 var withoutViews string // a server that does not get the views of pair
@@ -214,8 +214,8 @@
 func TestBytesOfRecord(t *testing.T) {
 	const n = 20_000
 	h := New(Limits{})
-	h.SetView(0, View{Epoch: 1, Self: "a", Life: 1, Lives: map[string]uint64{"a": 1, "b": 2},
-		Homes: func(int) []string { return []string{"a"} }, Fresh: func(int) bool { return true }}, time.Hour)
+	h.SetView(0, View{Epoch: 1, Self: "a", Token: 1, Tokens: map[string]uint64{"a": 1, "b": 2},
+		Replicas: func(int) []string { return []string{"a"} }, NewShard: func(int) bool { return true }}, time.Hour)
 	heap := func() uint64 {
 		var m runtime.MemStats
 		runtime.GC()
@@ -224,10 +224,10 @@
 	}
 	before := heap()
 	for i := range n {
-		request := Piece{Key: Key{"class", fmt.Sprintf("token-of-a-caller-%08d", i)}, Due: time.Second, Life: time.Minute}
-		h.Receive(0, "b", &Msg{Epoch: 1, Life: 2,
+		request := KeyedRequest{Key: Key{"class", fmt.Sprintf("token-of-a-caller-%08d", i)}, Due: time.Second, Life: time.Minute}
+		h.Receive(0, "b", &Message{Epoch: 1, Life: 2,
 			Items: []Item{{Kind: kindClaim, Key: request.Key, Try: uint64(i + 1), Piece: &request}}})
-		h.Drain(0)
+		h.TakeOutputs(0)
 	}
 	perRecord := (heap() - before) / n
 	if t.Logf("%d bytes per record at each replica", perRecord); h.recordCount != n || perRecord > 1200 {
--- a/internal/fleet/hand/holder.go
+++ b/internal/fleet/takeover/holder.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"slices"
@@ -7,12 +7,12 @@
 
 // claim is a claim of this server: in progress, held, or finished and kept until it expires.
 type claim struct {
-	request                 Piece // without the body once it has an outcome
+	request                 KeyedRequest // without the body once it has an outcome
 	try                     uint64
 	state                   claimState
 	primaryWon, backupAcked bool // answers of the replicas to this try
 	due, expires            time.Duration
-	outcome                 *End
+	outcome                 *Outcome
 	storedBy                []Owner // replicas that have stored its current state
 	needBody                []Owner // replicas that need the body too
 	sentAt                  time.Duration
@@ -38,7 +38,7 @@
 }
 
 // requestNow returns the request as it is sent now, with the times that are left.
-func (c *claim) requestNow(now time.Duration, body bool) *Piece {
+func (c *claim) requestNow(now time.Duration, body bool) *KeyedRequest {
 	request := c.request
 	request.Due, request.Life = max(0, c.due-now), max(0, c.expires-now)
 	if !body {
@@ -48,35 +48,35 @@
 }
 
 // Claim claims a key. Its Verdict follows, at once if it is known here.
-func (h *Hand) Claim(now time.Duration, request Piece) {
+func (h *Machine) Claim(now time.Duration, request KeyedRequest) {
 	if !h.active(now) {
 		return
 	}
 	if claim := h.claims[request.Key]; claim != nil {
 		switch {
 		case claim.request.Sum != request.Sum:
-			h.verdict(request.Key, Off, nil, 0, "the key is in use on this server for another body")
+			h.verdict(request.Key, BodyMismatch, nil, 0, "the key is in use on this server for another body")
 		case claim.finished:
 			h.verdict(request.Key, endState(claim.outcome), claim.outcome.Result, 0, claim.outcome.Why)
 		default:
-			h.verdict(request.Key, Other, nil, 0, "the key is in flight on this server")
+			h.verdict(request.Key, HeldElsewhere, nil, 0, "the key is in flight on this server")
 		}
 		return
 	}
-	replicas := h.replicas(request.Key.Slice())
-	record := h.shards[request.Key.Slice()].records[request.Key]
+	replicas := h.replicas(request.Key.Shard())
+	record := h.shards[request.Key.Shard()].records[request.Key]
 	switch {
 	case record != nil && record.takeoverTry != 0: // a claim and its release would undo the record at the backup
-		h.verdict(request.Key, Other, nil, 0, "the key is being taken over by this server")
+		h.verdict(request.Key, HeldElsewhere, nil, 0, "the key is being taken over by this server")
 		return
 	case len(replicas) == 0:
-		h.verdict(request.Key, Down, nil, retryAfter, "the shard of the key has no replica")
+		h.verdict(request.Key, Unavailable, nil, retryAfter, "the shard of the key has no replica")
 		return
 	case len(h.claims) >= h.limits.Records || h.claimBytes+int64(len(request.Body)) > h.limits.Bytes:
-		h.verdict(request.Key, Down, nil, retryAfter, "the maximum number of keys or bytes is in flight on this server")
+		h.verdict(request.Key, Unavailable, nil, retryAfter, "the maximum number of keys or bytes is in flight on this server")
 		return
-	case request.Life > h.limits.Longest:
-		h.verdict(request.Key, Down, nil, 0, "the record would have to be kept longer than the maximum")
+	case request.Life > h.limits.MaxRetention:
+		h.verdict(request.Key, Unavailable, nil, 0, "the record would have to be kept longer than the maximum")
 		return
 	}
 	h.lastTry++
@@ -88,7 +88,7 @@
 }
 
 // Finish reports the outcome of a run of a key that belongs to this server. Finished follows.
-func (h *Hand) Finish(now time.Duration, key Key, ok bool, result []byte, why string) {
+func (h *Machine) Finish(now time.Duration, key Key, ok bool, result []byte, why string) {
 	if h.disowned {
 		return
 	}
@@ -105,13 +105,13 @@
 		h.takeoverDue = true // another request can be taken over
 	}
 	h.claimBytes += int64(len(result)) - claim.size()
-	claim.state, claim.storedBy, claim.outcome, claim.request.Body = stateEnded, nil, &End{OK: ok, Result: result, Why: why}, nil
+	claim.state, claim.storedBy, claim.outcome, claim.request.Body = stateEnded, nil, &Outcome{OK: ok, Result: result, Why: why}, nil
 	h.sendClaim(now, claim)
 	h.deliverLoopback(now)
 }
 
 // Release gives up a key that is being claimed, or that is held and was never given to a pool.
-func (h *Hand) Release(now time.Duration, key Key) {
+func (h *Machine) Release(now time.Duration, key Key) {
 	if h.disowned {
 		return
 	}
@@ -122,22 +122,22 @@
 }
 
 // drop deletes a claim and tells the replicas. A replica that does not get the message queries it.
-func (h *Hand) drop(claim *claim) {
+func (h *Machine) drop(claim *claim) {
 	if claim.adopted {
 		h.adoptedCount--
 	}
 	h.claimBytes -= claim.size()
 	delete(h.claims, claim.request.Key)
-	for _, replica := range h.replicas(claim.request.Key.Slice()) {
+	for _, replica := range h.replicas(claim.request.Key.Shard()) {
 		h.send(replica.Box, Item{Kind: kindRelease, Key: claim.request.Key, Try: claim.try})
 	}
 }
 
-func (h *Hand) verdict(key Key, state State, result []byte, after time.Duration, why string) {
+func (h *Machine) verdict(key Key, state ClaimState, result []byte, after time.Duration, why string) {
 	h.outputs.Verdicts = append(h.outputs.Verdicts, Verdict{Key: key, State: state, Result: result, After: after, Why: why})
 }
 
-func endState(end *End) State {
+func endState(end *Outcome) ClaimState {
 	if end.OK {
 		return Done
 	}
@@ -145,12 +145,12 @@
 }
 
 // sendClaim sends a claim's state to the replicas that have not acknowledged it.
-func (h *Hand) sendClaim(now time.Duration, claim *claim) {
+func (h *Machine) sendClaim(now time.Duration, claim *claim) {
 	claim.sentAt = now
 	if !claim.queued {
 		claim.queued, h.unacknowledged = true, append(h.unacknowledged, claim)
 	}
-	for i, replica := range h.replicas(claim.request.Key.Slice()) {
+	for i, replica := range h.replicas(claim.request.Key.Shard()) {
 		switch {
 		case claim.state == stateAsking:
 			if i == 0 && !claim.primaryWon || i == 1 && !claim.backupAcked {
@@ -175,22 +175,22 @@
 }
 
 // finish reports once that the outcome is stored, and tells the replicas that they may return it.
-func (h *Hand) finish(claim *claim) {
+func (h *Machine) finish(claim *claim) {
 	if !claim.finished {
 		claim.finished = true
 		h.outputs.Finished = append(h.outputs.Finished, Finished{Key: claim.request.Key, OK: true})
 	}
-	for _, replica := range h.replicas(claim.request.Key.Slice()) {
+	for _, replica := range h.replicas(claim.request.Key.Shard()) {
 		h.send(replica.Box, Item{Kind: kindSealed, Key: claim.request.Key})
 	}
 }
 
 // acknowledged reports whether all current replicas have acknowledged a claim's state.
-func (h *Hand) acknowledged(claim *claim) bool {
+func (h *Machine) acknowledged(claim *claim) bool {
 	if claim.state == stateAsking {
 		return false
 	}
-	replicas := h.replicas(claim.request.Key.Slice())
+	replicas := h.replicas(claim.request.Key.Shard())
 	for _, replica := range replicas {
 		if !slices.Contains(claim.storedBy, replica) {
 			return false
@@ -201,7 +201,7 @@
 
 // updateClaim updates a claim for a new view: answers of earlier replicas no longer count, and new replicas are sent
 // what is held and what has an outcome.
-func (h *Hand) updateClaim(now time.Duration, claim *claim) {
+func (h *Machine) updateClaim(now time.Duration, claim *claim) {
 	if claim.state == stateAsking {
 		h.lastTry++
 		claim.try, claim.primaryWon, claim.backupAcked = h.lastTry, false, false
@@ -210,11 +210,11 @@
 	case claim.state == stateAsking, claim.state == stateEnded && !claim.finished:
 		h.sendClaim(now, claim)
 	case !claim.queued && !h.acknowledged(claim): // sent with the next ticks
-		claim.queued, claim.sentAt, h.unacknowledged = true, now-h.limits.Retry, append(h.unacknowledged, claim)
+		claim.queued, claim.sentAt, h.unacknowledged = true, now-h.limits.RetryInterval, append(h.unacknowledged, claim)
 	}
 }
 
-func (h *Hand) claimTick(now time.Duration) {
+func (h *Machine) claimTick(now time.Duration) {
 	queued := h.unacknowledged
 	h.unacknowledged = nil
 	resent := 0
@@ -225,9 +225,9 @@
 			continue
 		case claim.state == stateAsking && now >= claim.due:
 			h.drop(claim)
-			h.verdict(claim.request.Key, Down, nil, retryAfter, "the replicas did not answer in time")
+			h.verdict(claim.request.Key, Unavailable, nil, retryAfter, "the replicas did not answer in time")
 			continue
-		case now-claim.sentAt >= h.limits.Retry && resent < maxResendsPerTick:
+		case now-claim.sentAt >= h.limits.RetryInterval && resent < maxResendsPerTick:
 			resent++
 			h.sendClaim(now, claim)
 		}
@@ -239,7 +239,7 @@
 
 // handleAnswer processes a replica's answer to a claim. The primary's verdict and the backup's acknowledgement are both
 // needed. A claim that is no longer wanted is released.
-func (h *Hand) handleAnswer(now time.Duration, from Owner, item *Item) {
+func (h *Machine) handleAnswer(now time.Duration, from Owner, item *Item) {
 	claim := h.claims[item.Key]
 	if claim == nil || claim.try != item.Try {
 		if item.State == Won && (claim == nil || claim.try > item.Try) {
@@ -250,7 +250,7 @@
 	if claim.state != stateAsking {
 		return
 	}
-	replicas := h.replicas(item.Key.Slice())
+	replicas := h.replicas(item.Key.Shard())
 	position := slices.Index(replicas, from)
 	if h.injected.epochUnchecked && position < 0 {
 		position = map[Kind]int{kindVerdict: 0, kindAck: 1}[item.Kind]
@@ -280,7 +280,7 @@
 }
 
 // handleStored processes a replica's acknowledgement of a claim's state.
-func (h *Hand) handleStored(now time.Duration, from Owner, item *Item) {
+func (h *Machine) handleStored(now time.Duration, from Owner, item *Item) {
 	claim := h.claims[item.Key]
 	if claim == nil || claim.try != item.Try {
 		if claim == nil || claim.try > item.Try {
@@ -299,11 +299,11 @@
 }
 
 // handleQuery answers a replica that queries the state of a key.
-func (h *Hand) handleQuery(now time.Duration, from Owner, item *Item) {
+func (h *Machine) handleQuery(now time.Duration, from Owner, item *Item) {
 	claim := h.claims[item.Key]
 	switch {
 	case claim == nil:
-		if record := h.shards[item.Key.Slice()].records[item.Key]; record == nil || record.takeoverTry == 0 ||
+		if record := h.shards[item.Key.Shard()].records[item.Key]; record == nil || record.takeoverTry == 0 ||
 			record.takeoverTry != item.Try {
 			h.send(from.Box, Item{Kind: kindRelease, Key: item.Key, Try: item.Try})
 		}
--- a/internal/fleet/hand/home.go
+++ b/internal/fleet/takeover/home.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"bytes"
@@ -9,11 +9,11 @@
 
 // storedRecord is a key at one of its replicas.
 type storedRecord struct {
-	request      Piece // Body is nil until a message brings it
+	request      KeyedRequest // Body is nil until a message brings it
 	shard        int
-	candidates   []Cand // a superset of the processes that may have won it; no duplicates
-	owner        Owner  // at the primary: the process that has it
-	outcome      *End
+	candidates   []Candidate // a superset of the processes that may have won it; no duplicates
+	owner        Owner       // at the primary: the process that has it
+	outcome      *Outcome
 	sealed       bool // the other replica has the outcome too: it may be returned
 	due, expires time.Duration
 	watched      bool // it is in Machine.openRecords
@@ -25,7 +25,7 @@
 }
 
 func (r *storedRecord) indexOf(owner Owner) int {
-	return slices.IndexFunc(r.candidates, func(candidate Cand) bool { return candidate.Owner == owner })
+	return slices.IndexFunc(r.candidates, func(candidate Candidate) bool { return candidate.Owner == owner })
 }
 
 func (r *storedRecord) size() int64 {
@@ -38,14 +38,14 @@
 
 // hasRoom reports whether a replica can store one more record. factor is 1 for new claims; records that others already
 // hold are accepted up to twice the limit.
-func (h *Hand) hasRoom(size int64, factor int) bool {
+func (h *Machine) hasRoom(size int64, factor int) bool {
 	return h.recordCount < factor*h.limits.Records && h.recordBytes+size <= int64(factor)*h.limits.Bytes
 }
 
 // newRecord creates a record.
-func (h *Hand) newRecord(now time.Duration, shard *shardState, key Key, request *Piece) *storedRecord {
-	created := &storedRecord{request: *request, shard: key.Slice(), due: now + request.Due,
-		expires: now + min(request.Life, h.limits.Longest)}
+func (h *Machine) newRecord(now time.Duration, shard *shardState, key Key, request *KeyedRequest) *storedRecord {
+	created := &storedRecord{request: *request, shard: key.Shard(), due: now + request.Due,
+		expires: now + min(request.Life, h.limits.MaxRetention)}
 	created.request.Key = key
 	if shard.records == nil {
 		shard.records = map[Key]*storedRecord{}
@@ -59,13 +59,13 @@
 }
 
 // watch makes the ticks check a record until it has a sealed outcome.
-func (h *Hand) watch(now time.Duration, record *storedRecord) {
+func (h *Machine) watch(now time.Duration, record *storedRecord) {
 	if !record.watched {
 		record.watched, record.queriedAt, h.openRecords = true, now, append(h.openRecords, record)
 	}
 }
 
-func (h *Hand) deleteRecord(shard *shardState, record *storedRecord) {
+func (h *Machine) deleteRecord(shard *shardState, record *storedRecord) {
 	if shard.records[record.request.Key] == record {
 		delete(shard.records, record.request.Key)
 		h.recordCount--
@@ -75,7 +75,7 @@
 }
 
 // setOutcome sets the outcome of a request, unless it has one.
-func (h *Hand) setOutcome(now time.Duration, record *storedRecord, outcome *End) {
+func (h *Machine) setOutcome(now time.Duration, record *storedRecord, outcome *Outcome) {
 	if record.outcome == nil {
 		h.recordBytes -= record.size()
 		h.cancelTakeover(record)
@@ -86,7 +86,7 @@
 }
 
 // replaceOutcome replaces an outcome that was returned to nobody: the other replica has a more reliable one.
-func (h *Hand) replaceOutcome(now time.Duration, record *storedRecord, outcome *End) {
+func (h *Machine) replaceOutcome(now time.Duration, record *storedRecord, outcome *Outcome) {
 	if !record.sealed {
 		h.recordBytes -= record.size()
 		record.outcome = nil
@@ -95,10 +95,12 @@
 	}
 }
 
-func (e *End) same(other *End) bool { return e.OK == other.OK && bytes.Equal(e.Result, other.Result) }
+func (e *Outcome) same(other *Outcome) bool {
+	return e.OK == other.OK && bytes.Equal(e.Result, other.Result)
+}
 
 // addCandidate adds or updates a candidate.
-func (h *Hand) addCandidate(record *storedRecord, candidate Cand) *Cand {
+func (h *Machine) addCandidate(record *storedRecord, candidate Candidate) *Candidate {
 	index := record.indexOf(candidate.Owner)
 	if index < 0 {
 		record.candidates = append(record.candidates, candidate)
@@ -117,8 +119,8 @@
 }
 
 // candidateOf returns the candidate that an item describes.
-func candidateOf(owner Owner, item *Item) Cand {
-	candidate := Cand{Owner: owner, Try: item.Try}
+func candidateOf(owner Owner, item *Item) Candidate {
+	candidate := Candidate{Owner: owner, Try: item.Try}
 	if item.Piece != nil {
 		candidate.Handle, candidate.Cursor = item.Piece.Handle, item.Piece.Cursor
 	}
@@ -127,7 +129,7 @@
 
 // determineOwner determines the owner of a key at its primary: the process that it was given to, or the only candidate.
 // Among several candidates there is none.
-func (h *Hand) determineOwner(shard *shardState, record *storedRecord) {
+func (h *Machine) determineOwner(shard *shardState, record *storedRecord) {
 	if record.owner != (Owner{}) && record.indexOf(record.owner) >= 0 {
 		return
 	}
@@ -150,11 +152,11 @@
 }
 
 // handleClaim processes a claim at a replica: the backup records it, the primary decides the order of claims.
-func (h *Hand) handleClaim(now time.Duration, shard *shardState, from Owner, item *Item) {
+func (h *Machine) handleClaim(now time.Duration, shard *shardState, from Owner, item *Item) {
 	record := shard.records[item.Key]
-	reply := func(kind Kind, state State, outcome *End, why string) {
+	reply := func(kind Kind, state ClaimState, outcome *Outcome, why string) {
 		answer := Item{Kind: kind, Key: item.Key, Try: item.Try, State: state, End: outcome, Why: why}
-		if state == Down {
+		if state == Unavailable {
 			answer.After = retryAfter
 		}
 		h.send(from.Box, answer)
@@ -166,10 +168,10 @@
 	if record == nil {
 		switch {
 		case shard.role == 1 && !shard.inSync:
-			reply(answerKind, Down, nil, "its first home does not yet know all claims of before")
+			reply(answerKind, Unavailable, nil, "its first home does not yet know all claims of before")
 			return
 		case !h.hasRoom(int64(len(item.Piece.Body)), 1):
-			reply(answerKind, Down, nil, "its home has no room")
+			reply(answerKind, Unavailable, nil, "its home has no room")
 			return
 		}
 		if shard.role == 1 || !h.injected.ackUnrecorded {
@@ -182,7 +184,7 @@
 	}
 	if shard.role == 2 {
 		if record.outcome == nil && record.request.Sum != item.Piece.Sum {
-			reply(answerKind, Other, nil, "its second home has a claim for another body")
+			reply(answerKind, HeldElsewhere, nil, "its second home has a claim for another body")
 			return
 		}
 		if record.outcome == nil {
@@ -192,14 +194,14 @@
 		return
 	}
 	if record.request.Sum != item.Piece.Sum {
-		reply(answerKind, Off, nil, "the key belongs to another body")
+		reply(answerKind, BodyMismatch, nil, "the key belongs to another body")
 		return
 	}
 	if record.outcome != nil {
 		if record.sealed || h.injected.answerUnreplicated {
 			reply(answerKind, endState(record.outcome), record.outcome, record.outcome.Why)
 		} else {
-			reply(answerKind, Other, nil, "its end is not yet at both homes")
+			reply(answerKind, HeldElsewhere, nil, "its end is not yet at both homes")
 		}
 		return
 	}
@@ -210,14 +212,14 @@
 		h.addCandidate(record, candidateOf(from, item))
 		reply(answerKind, Won, nil, "")
 	case record.owner != (Owner{}) && record.owner != from:
-		reply(answerKind, Other, nil, "another box has it")
+		reply(answerKind, HeldElsewhere, nil, "another box has it")
 	case index < 0 || !shard.inSync:
-		reply(answerKind, Other, nil, "several boxes may have it")
+		reply(answerKind, HeldElsewhere, nil, "several boxes may have it")
 	default:
 		h.addCandidate(record, candidateOf(from, item)).notWon = true
 		for _, candidate := range record.candidates {
 			if !candidate.Clear && !(candidate.notWon && h.isCurrent(candidate.Owner)) {
-				reply(answerKind, Other, nil, "several boxes may have it")
+				reply(answerKind, HeldElsewhere, nil, "several boxes may have it")
 				return
 			}
 		}
@@ -227,7 +229,7 @@
 }
 
 // handleHeld processes an owner's report that it won.
-func (h *Hand) handleHeld(now time.Duration, shard *shardState, from Owner, item *Item) {
+func (h *Machine) handleHeld(now time.Duration, shard *shardState, from Owner, item *Item) {
 	record := shard.records[item.Key]
 	if record == nil {
 		if item.Piece == nil {
@@ -260,7 +262,7 @@
 }
 
 // handleOutcome processes the outcome that an owner reports.
-func (h *Hand) handleOutcome(now time.Duration, shard *shardState, from Owner, item *Item) {
+func (h *Machine) handleOutcome(now time.Duration, shard *shardState, from Owner, item *Item) {
 	record := shard.records[item.Key]
 	if item.End == nil || record == nil && item.Piece == nil {
 		return
@@ -272,14 +274,14 @@
 		if record == nil {
 			record = h.newRecord(now, shard, item.Key, item.Piece)
 		}
-		h.addCandidate(record, Cand{Owner: from, Try: item.Try, Held: true})
+		h.addCandidate(record, Candidate{Owner: from, Try: item.Try, Held: true})
 		h.setOutcome(now, record, item.End)
 	}
 	h.send(from.Box, Item{Kind: kindStored, Key: item.Key, Try: item.Try, State: Done})
 }
 
 // handleRelease processes a server's report that it does not hold a key by a try, and never will.
-func (h *Hand) handleRelease(shard *shardState, from Owner, item *Item) {
+func (h *Machine) handleRelease(shard *shardState, from Owner, item *Item) {
 	record := shard.records[item.Key]
 	if record == nil || record.outcome != nil {
 		return
@@ -294,9 +296,9 @@
 }
 
 // recordTick queries claims of registered servers, and has the backup acknowledge what the primary decided.
-func (h *Hand) recordTick(now time.Duration) {
+func (h *Machine) recordTick(now time.Duration) {
 	for _, i := range h.localShards {
-		if shard := &h.shards[i]; shard.role > 0 && !shard.inSync && now-shard.since >= h.limits.Longest+h.limits.Lag {
+		if shard := &h.shards[i]; shard.role > 0 && !shard.inSync && now-shard.since >= h.limits.MaxRetention+h.limits.MaxViewLag {
 			shard.inSync = true // no claim made before is still unknown
 		}
 	}
@@ -313,7 +315,7 @@
 		switch {
 		case shard.role == 1 && (record.takeoverTry != 0 ||
 			record.outcome != nil && now-record.queriedAt >= unconfirmedQueryInterval):
-			if now-record.sentAt >= h.limits.Retry {
+			if now-record.sentAt >= h.limits.RetryInterval {
 				h.replicate(now, record)
 			}
 		case record.outcome == nil:
@@ -325,7 +327,7 @@
 }
 
 // query queries the registered candidates: after a short interval while any is unconfirmed, else after a long one.
-func (h *Hand) query(now time.Duration, shard *shardState, record *storedRecord) {
+func (h *Machine) query(now time.Duration, shard *shardState, record *storedRecord) {
 	interval := confirmedQueryInterval
 	for _, candidate := range record.candidates {
 		if !candidate.Held && h.isCurrent(candidate.Owner) {
@@ -345,7 +347,7 @@
 
 // replicate sends a record to the backup, which must acknowledge it before it takes effect. Without a backup it takes
 // effect at once.
-func (h *Hand) replicate(now time.Duration, record *storedRecord) {
+func (h *Machine) replicate(now time.Duration, record *storedRecord) {
 	h.lastTry++
 	record.putNumber, record.sentAt = h.lastTry, now
 	replicas := h.replicas(record.shard)
@@ -358,14 +360,14 @@
 	}
 }
 
-func (h *Hand) recordMessage(now time.Duration, record *storedRecord) *Record {
+func (h *Machine) recordMessage(now time.Duration, record *storedRecord) *Record {
 	message := &Record{Piece: record.request, Cands: slices.Clone(record.candidates), End: record.outcome, Sealed: record.sealed}
 	message.Piece.Due, message.Piece.Life = max(0, record.due-now), max(0, record.expires-now)
 	return message
 }
 
 // replicated applies what the backup has acknowledged.
-func (h *Hand) replicated(now time.Duration, record *storedRecord) {
+func (h *Machine) replicated(now time.Duration, record *storedRecord) {
 	if record.putNumber = 0; record.outcome != nil {
 		record.sealed = true
 	} else if record.takeoverTry != 0 {
@@ -397,13 +399,13 @@
 func (e *expiries) add(at time.Duration, key Key, home bool) { heap.Push(e, expiry{at, key, home}) }
 
 // compactExpiries removes the entries of keys that are already deleted, once they are the majority.
-func (h *Hand) compactExpiries() {
+func (h *Machine) compactExpiries() {
 	if len(h.expiries) < 1024+2*(h.recordCount+len(h.claims)) {
 		return
 	}
 	h.expiries = slices.DeleteFunc(h.expiries, func(entry expiry) bool {
 		if entry.record {
-			record := h.shards[entry.key.Slice()].records[entry.key]
+			record := h.shards[entry.key.Shard()].records[entry.key]
 			return record == nil || record.expires != entry.at
 		}
 		claim := h.claims[entry.key]
@@ -414,12 +416,12 @@
 
 // expire deletes what has expired. A request that its server still holds is then reported as failed: its time passed
 // long ago.
-func (h *Hand) expire(now time.Duration) {
+func (h *Machine) expire(now time.Duration) {
 	h.compactExpiries()
 	for len(h.expiries) > 0 && h.expiries[0].at <= now {
 		entry := heap.Pop(&h.expiries).(expiry)
 		if entry.record {
-			shard := &h.shards[entry.key.Slice()]
+			shard := &h.shards[entry.key.Shard()]
 			if record := shard.records[entry.key]; record != nil && record.expires <= now {
 				h.deleteRecord(shard, record)
 			}
--- a/internal/fleet/hand/msg.go
+++ b/internal/fleet/takeover/msg.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import "time"
 
@@ -25,8 +25,8 @@
 	kindInSync                      // replica to a replica in sync: has all records of Slice too
 )
 
-// Msg is everything that one server sends to another in one call of TakeOutputs. Items are never modified once sent.
-type Msg struct {
+// Message is everything that one server sends to another in one call of TakeOutputs. Items are never modified once sent.
+type Message struct {
 	Epoch, Life uint64 // Life is the fencing token of the sender
 	Refused     bool   // the sender is at Epoch and ignored a message of another epoch; there are no items
 	Items       []Item
@@ -38,16 +38,16 @@
 	Key    Key           `cbor:",omitzero"`
 	Slice  int           `cbor:",omitempty"` // the shard
 	Try    uint64        `cbor:",omitempty"`
-	State  State         `cbor:",omitempty"`
-	Piece  *Piece        `cbor:",omitempty"`
-	End    *End          `cbor:",omitempty"`
+	State  ClaimState    `cbor:",omitempty"`
+	Piece  *KeyedRequest `cbor:",omitempty"`
+	End    *Outcome      `cbor:",omitempty"`
 	Record *Record       `cbor:",omitempty"`
 	After  time.Duration `cbor:",omitempty"`
 	Why    string        `cbor:",omitempty"`
 }
 
-// End is the outcome of a request.
-type End struct {
+// Outcome is the outcome of a request.
+type Outcome struct {
 	OK     bool
 	Result []byte
 	Why    string
@@ -55,14 +55,14 @@
 
 // Record is what replicas exchange about a key.
 type Record struct {
-	Piece  Piece
-	Cands  []Cand
-	End    *End
+	Piece  KeyedRequest
+	Cands  []Candidate
+	End    *Outcome
 	Sealed bool
 }
 
-// Cand is a process that claimed a key and may have won it.
-type Cand struct {
+// Candidate is a process that claimed a key and may have won it.
+type Candidate struct {
 	Owner
 	Try    uint64
 	Held   bool // it reported that it won
@@ -73,7 +73,7 @@
 	Cursor uint64 `cbor:",omitempty"`
 }
 
-func (h *Hand) send(to string, item Item) {
+func (h *Machine) send(to string, item Item) {
 	if to == h.view.Self {
 		h.loopback = append(h.loopback, item)
 		return
@@ -85,17 +85,17 @@
 	if !ok {
 		index = len(h.outputs.Sends)
 		h.sendIndex[to] = index
-		h.outputs.Sends = append(h.outputs.Sends, Send{to, &Msg{}})
+		h.outputs.Sends = append(h.outputs.Sends, Send{to, &Message{}})
 	}
 	message := h.outputs.Sends[index].Msg
 	if message.Epoch != h.view.Epoch || message.Refused { // made before a new view: it would be refused
-		*message = Msg{Epoch: h.view.Epoch, Life: h.view.Life}
+		*message = Message{Epoch: h.view.Epoch, Life: h.view.Token}
 	}
 	message.Items = append(message.Items, item)
 }
 
 // deliverLoopback processes the messages of this server to itself.
-func (h *Hand) deliverLoopback(now time.Duration) {
+func (h *Machine) deliverLoopback(now time.Duration) {
 	for len(h.loopback) > 0 {
 		items := h.loopback
 		h.loopback = nil
@@ -107,7 +107,7 @@
 
 // Receive processes a message of another server. A message of another epoch, or of a process that is not its server's
 // current one, has no effect; the sender of another epoch is told which epoch this server is at.
-func (h *Hand) Receive(now time.Duration, from string, message *Msg) {
+func (h *Machine) Receive(now time.Duration, from string, message *Message) {
 	if !h.active(now) {
 		return
 	}
@@ -133,7 +133,7 @@
 	h.deliverLoopback(now)
 }
 
-func (h *Hand) handleItem(now time.Duration, from Owner, item *Item) {
+func (h *Machine) handleItem(now time.Duration, from Owner, item *Item) {
 	switch item.Kind {
 	case kindVerdict, kindAck:
 		h.handleAnswer(now, from, item)
@@ -142,13 +142,13 @@
 	case kindNeedBody, kindQuery:
 		h.handleQuery(now, from, item)
 	case kindSyncOffer, kindSyncRequest, kindCopied, kindInSync:
-		if item.Slice >= 0 && item.Slice < Slices {
+		if item.Slice >= 0 && item.Slice < Shards {
 			h.handleSync(now, from, item)
 		}
 	case kindPutAck:
 		h.handlePutAck(now, from, item)
 	default:
-		i := item.Key.Slice()
+		i := item.Key.Shard()
 		shard := &h.shards[i]
 		if shard.role == 0 {
 			return
--- a/internal/fleet/hand/sim_test.go
+++ b/internal/fleet/takeover/sim_test.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"flag"
@@ -19,12 +19,12 @@
 // op is what a core learned about a key, and the logical times between which it took effect.
 type op struct {
 	key       Key
-	state     State
+	state     ClaimState
 	result    string
 	call, ret int64
 }
 
-func (w *world) op(key Key, state State, result string, call int64) {
+func (w *world) op(key Key, state ClaimState, result string, call int64) {
 	w.clock++
 	w.ops = append(w.ops, op{key, state, result, call, w.clock})
 }
@@ -39,9 +39,9 @@
 			switch operation.state {
 			case Won:
 				return current == "", "won"
-			case Other: // released
+			case HeldElsewhere: // released
 				return current == "won", ""
-			case Down: // taken over
+			case Unavailable: // taken over
 				return current == "" || current == "won", "won"
 			case Done:
 				return current == "won" || current == "done "+operation.result, "done " + operation.result
@@ -101,7 +101,7 @@
 				server.cutUntil = w.now + duration
 			case 3:
 				if w.chance(200) { // all replicas of a key at once
-					for _, name := range w.views[len(w.views)-1].Homes(keys[int(w.now/(340*ms))%len(keys)].Slice()) {
+					for _, name := range w.views[len(w.views)-1].Replicas(keys[int(w.now/(340*ms))%len(keys)].Shard()) {
 						if server := w.server(name); server.token != 0 && w.awake(server) {
 							w.kill(server, w.chance(500))
 						}
@@ -124,7 +124,7 @@
 		}
 	}
 	for _, server := range w.servers {
-		if figures := server.machine.Figures(); w.violation == "" && (figures != Figures{}) {
+		if figures := server.machine.Metrics(); w.violation == "" && (figures != Metrics{}) {
 			w.fail("%s keeps expired records: %+v", server.name, figures)
 		}
 	}
--- a/internal/fleet/hand/taker.go
+++ b/internal/fleet/takeover/taker.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"slices"
@@ -24,12 +24,12 @@
 	Result []byte
 }
 
-// Proved reports what the pool of a lost process knows of a key.
-func (h *Hand) Proved(now time.Duration, key Key, owner Owner, proof Proof) {
+// HandleProof reports what the pool of a lost process knows of a key.
+func (h *Machine) HandleProof(now time.Duration, key Key, owner Owner, proof Proof) {
 	if !h.active(now) {
 		return
 	}
-	shard := &h.shards[key.Slice()]
+	shard := &h.shards[key.Shard()]
 	record := shard.records[key]
 	if record == nil || shard.role != 1 || record.outcome != nil || record.takeoverTry != 0 || h.isCurrent(owner) {
 		return
@@ -42,23 +42,23 @@
 	case NeverRan:
 		record.candidates[index].Clear = true
 	case Ran:
-		h.decide(now, record, &End{OK: proof.OK, Result: proof.Result, Why: "as the pool of the lost " + owner.Box + " knows"})
+		h.decide(now, record, &Outcome{OK: proof.OK, Result: proof.Result, Why: "as the pool of the lost " + owner.Box + " knows"})
 	case Unknown:
-		h.decide(now, record, &End{Why: "its box " + owner.Box + " was lost and its pool cannot tell: it may have run"})
+		h.decide(now, record, &Outcome{Why: "its box " + owner.Box + " was lost and its pool cannot tell: it may have run"})
 	}
 	h.takeoverDue = true
 	h.deliverLoopback(now)
 }
 
 // decide sets the outcome of a lost server's request. It is returned to no caller before the backup has it.
-func (h *Hand) decide(now time.Duration, record *storedRecord, outcome *End) {
+func (h *Machine) decide(now time.Duration, record *storedRecord, outcome *Outcome) {
 	h.setOutcome(now, record, outcome)
 	h.replicate(now, record)
 }
 
 // lostCandidates returns the indexes of the candidates that must be cleared before a request is taken over. ok reports
 // whether every process that may have it is lost.
-func (h *Hand) lostCandidates(shard *shardState, record *storedRecord) (candidates []int, ok bool) {
+func (h *Machine) lostCandidates(shard *shardState, record *storedRecord) (candidates []int, ok bool) {
 	h.determineOwner(shard, record)
 	if index := record.indexOf(record.owner); index >= 0 && shard.inSync {
 		return []int{index}, !h.isCurrent(record.owner)
@@ -75,10 +75,10 @@
 // takeOver checks the requests of lost servers in the shards that this server is the primary of. Depending on the proofs
 // they are run here, given the outcome that the pool knows, or failed. The decision depends only on the view and the
 // records, so that whichever server becomes primary decides the same.
-func (h *Hand) takeOver(now time.Duration) {
+func (h *Machine) takeOver(now time.Duration) {
 	h.takeoverDue = false
 	var ready []*storedRecord
-	probes := map[Owner][]Asked{}
+	probes := map[Owner][]ProbedKey{}
 	for _, record := range h.openRecords {
 		shard := &h.shards[record.shard]
 		if shard.records[record.request.Key] != record || record.outcome != nil || record.takeoverTry != 0 ||
@@ -94,7 +94,7 @@
 			continue // another process may have won it, and be registered
 		}
 		if now >= record.due {
-			h.decide(now, record, &End{Why: "its box was lost and its time passed: it may have run"})
+			h.decide(now, record, &Outcome{Why: "its box was lost and its time passed: it may have run"})
 			continue
 		}
 		h.checkProofs(now, record, candidates, probes, &ready)
@@ -109,7 +109,7 @@
 	}
 	slices.SortStableFunc(ready, func(a, b *storedRecord) int { return int(a.due - b.due) })
 	for _, record := range ready {
-		if h.adoptedCount >= h.limits.Adopted {
+		if h.adoptedCount >= h.limits.MaxAdopted {
 			return // the rest waits for one of these to finish, within its time
 		}
 		if h.claims[record.request.Key] == nil { // otherwise this server is claiming it, and the answer will be HeldElsewhere
@@ -120,14 +120,14 @@
 
 // checkProofs fails a lost server's request, or adds it to ready or its candidates to probes, whose pools must be
 // queried.
-func (h *Hand) checkProofs(now time.Duration, record *storedRecord, candidates []int, probes map[Owner][]Asked,
+func (h *Machine) checkProofs(now time.Duration, record *storedRecord, candidates []int, probes map[Owner][]ProbedKey,
 	ready *[]*storedRecord) {
-	var unproved []Cand
+	var unproved []Candidate
 	for _, i := range candidates {
 		switch candidate := &record.candidates[i]; {
 		case candidate.Clear || record.request.Repeat || h.injected.probeSkipped:
 		case h.view.Pools[candidate.Owner] == "":
-			h.decide(now, record, &End{Why: "its box " + candidate.Box + " was lost and its pool is not known: it may have run"})
+			h.decide(now, record, &Outcome{Why: "its box " + candidate.Box + " was lost and its pool is not known: it may have run"})
 			return
 		default:
 			unproved = append(unproved, *candidate)
@@ -142,17 +142,17 @@
 		onlyCandidate := len(unproved) == 1 && h.shards[record.shard].inSync
 		for _, candidate := range unproved {
 			probes[candidate.Owner] = append(probes[candidate.Owner],
-				Asked{record.request.Key, candidate.Handle, candidate.Cursor, onlyCandidate})
+				ProbedKey{record.request.Key, candidate.Handle, candidate.Cursor, onlyCandidate})
 		}
 	}
 }
 
 // beginTakeover makes this server the owner. The request is run once the backup has recorded that.
-func (h *Hand) beginTakeover(now time.Duration, record *storedRecord) {
+func (h *Machine) beginTakeover(now time.Duration, record *storedRecord) {
 	h.lastTry++
 	h.adoptedCount++
 	record.takeoverTry, record.owner = h.lastTry, h.self()
-	h.addCandidate(record, Cand{Owner: record.owner, Try: record.takeoverTry, Handle: record.request.Handle})
+	h.addCandidate(record, Candidate{Owner: record.owner, Try: record.takeoverTry, Handle: record.request.Handle})
 	h.replicate(now, record)
 	if h.injected.takeoverByOwnClock && h.shards[record.shard].role == 2 {
 		h.adopt(now, record)
@@ -160,7 +160,7 @@
 }
 
 // cancelTakeover ends a takeover that was not acknowledged. The next server to take over will run the request.
-func (h *Hand) cancelTakeover(record *storedRecord) {
+func (h *Machine) cancelTakeover(record *storedRecord) {
 	if record.takeoverTry == 0 {
 		return
 	}
@@ -172,7 +172,7 @@
 }
 
 // adopt gives the core a request that both replicas now record as this server's.
-func (h *Hand) adopt(now time.Duration, record *storedRecord) {
+func (h *Machine) adopt(now time.Duration, record *storedRecord) {
 	claim := &claim{request: record.request, try: record.takeoverTry, state: stateHeld, adopted: true,
 		due: record.due, expires: record.expires, sentAt: now}
 	claim.request.Cursor = 0 // the cursor was of another pool
--- a/internal/fleet/hand/whole.go
+++ b/internal/fleet/takeover/whole.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"slices"
@@ -28,16 +28,16 @@
 // updateShard updates a shard for a new view. A server that was in sync and is no longer a replica keeps the shard for
 // this one view, to copy it to the new replicas. A new replica starts empty and is not in sync, unless the shard never
 // had replicas.
-func (h *Hand) updateShard(now time.Duration, index int, follows bool) {
+func (h *Machine) updateShard(now time.Duration, index int, follows bool) {
 	shard := &h.shards[index]
 	previous, role := shard.role, 0
-	replicas := h.view.Homes(index)
+	replicas := h.view.Replicas(index)
 	for j := range min(2, len(replicas)) {
 		if replicas[j] == h.view.Self {
 			role = j + 1
 		}
 	}
-	fresh := role > 0 && h.view.Fresh != nil && h.view.Fresh(index)
+	fresh := role > 0 && h.view.NewShard != nil && h.view.NewShard(index)
 	if previous == 0 && role == 0 && shard.records == nil && !shard.inSync {
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (h *Hand) clearShard(shard *shardState) {
+func (h *Machine) clearShard(shard *shardState) {
 	for _, record := range shard.records {
 		h.deleteRecord(shard, record)
 	}
@@ -76,14 +76,14 @@
 }
 
 // offerSync tells the replicas of shards for which this server is in sync, until they report to be in sync too.
-func (h *Hand) offerSync(now time.Duration) {
+func (h *Machine) offerSync(now time.Duration) {
 	for _, index := range h.localShards {
 		shard := &h.shards[index]
 		if !shard.inSync {
 			continue
 		}
 		for name, transfer := range shard.copies {
-			if now-transfer.sentAt >= h.limits.Retry && !slices.Contains(shard.syncedPeers, name) {
+			if now-transfer.sentAt >= h.limits.RetryInterval && !slices.Contains(shard.syncedPeers, name) {
 				for _, number := range sortedNumbers(transfer.unacknowledged) {
 					h.send(name, Item{Kind: kindPut, Key: transfer.unacknowledged[number].request.Key, Try: number,
 						Record: h.recordMessage(now, transfer.unacknowledged[number])})
@@ -92,7 +92,7 @@
 				h.continueCopy(now, index, name, transfer)
 			}
 		}
-		if shard.offeredAt != 0 && now-shard.offeredAt < h.limits.Retry {
+		if shard.offeredAt != 0 && now-shard.offeredAt < h.limits.RetryInterval {
 			continue
 		}
 		shard.offeredAt = now
@@ -114,7 +114,7 @@
 }
 
 // handleSync handles a message about copying a shard from a server in sync to one that is not.
-func (h *Hand) handleSync(now time.Duration, from Owner, item *Item) {
+func (h *Machine) handleSync(now time.Duration, from Owner, item *Item) {
 	shard := &h.shards[item.Slice]
 	switch item.Kind {
 	case kindSyncOffer:
@@ -162,7 +162,7 @@
 }
 
 // continueCopy sends further records of a copy up to its bounds, and reports when all have been sent.
-func (h *Hand) continueCopy(now time.Duration, shard int, to string, transfer *shardCopy) {
+func (h *Machine) continueCopy(now time.Duration, shard int, to string, transfer *shardCopy) {
 	bytes := int64(0)
 	for _, record := range transfer.unacknowledged {
 		bytes += record.size()
@@ -187,7 +187,7 @@
 
 // handlePut merges a record of the other replica, or of a former one, with what is known here, so that no process that
 // may have won goes missing.
-func (h *Hand) handlePut(now time.Duration, shard *shardState, from Owner, item *Item) {
+func (h *Machine) handlePut(now time.Duration, shard *shardState, from Owner, item *Item) {
 	request := &item.Record.Piece
 	record := shard.records[item.Key]
 	if record == nil {
@@ -218,8 +218,8 @@
 }
 
 // handlePutAck processes the acknowledgement of a record: of a copy, or of one that was sent to the backup.
-func (h *Hand) handlePutAck(now time.Duration, from Owner, item *Item) {
-	index := item.Key.Slice()
+func (h *Machine) handlePutAck(now time.Duration, from Owner, item *Item) {
+	index := item.Key.Shard()
 	shard := &h.shards[index]
 	if transfer := shard.copies[from.Box]; transfer != nil && transfer.unacknowledged[item.Try] != nil {
 		delete(transfer.unacknowledged, item.Try)
--- a/internal/fleet/hand/world_test.go
+++ b/internal/fleet/takeover/world_test.go
@@ -1,4 +1,4 @@
-package hand
+package takeover
 
 import (
 	"cmp"
@@ -16,7 +16,7 @@
 
 const ms = time.Millisecond
 
-var simLimits = Limits{Longest: 12 * time.Second, Lag: time.Second, Adopted: 3, Retry: 100 * ms}
+var simLimits = Limits{MaxRetention: 12 * time.Second, MaxViewLag: time.Second, MaxAdopted: 3, RetryInterval: 100 * ms}
 
 const (
 	leaseFor = 600 * ms
@@ -28,7 +28,7 @@
 // it.
 type server struct {
 	name         string
-	machine      *Hand
+	machine      *Machine
 	token        uint64
 	applied      int           // number of views
 	nextView     time.Duration // when the next view is applied, if there is one
@@ -40,7 +40,7 @@
 }
 
 type call struct {
-	request    Piece
+	request    KeyedRequest
 	started    time.Duration
 	askAgainAt time.Duration // when the core asks again; 0 = it waits for an answer
 	askedAt    int64         // logical time of the latest claim
@@ -66,7 +66,7 @@
 type packet struct {
 	at       time.Duration
 	from, to string
-	message  *Msg
+	message  *Message
 }
 
 // world is a fleet in virtual time.
@@ -118,7 +118,7 @@
 		pools: map[Owner]*workerPool{}, unknownPools: map[Owner]bool{}, maxDelay: 20 * ms,
 		runCount: map[Key]int{}, firstResult: map[Key]string{}, answerCount: map[Key]int{}, stats: map[string]int{}}
 	for _, key := range keys {
-		w.shards[key.Slice()] = true
+		w.shards[key.Shard()] = true
 	}
 	lives := map[string]uint64{}
 	for i := range count {
@@ -143,7 +143,7 @@
 // addView adds a view that the log agrees on. Replicas are assigned by rendezvous hashing.
 func (w *world) addView(lives map[string]uint64) {
 	w.clock++
-	added := View{Epoch: uint64(w.clock), Lives: lives, Pools: map[Owner]string{}}
+	added := View{Epoch: uint64(w.clock), Tokens: lives, Pools: map[Owner]string{}}
 	if count := len(w.views); count > 0 {
 		added.Prev = w.views[count-1].Epoch
 	}
@@ -155,9 +155,9 @@
 		slices.SortFunc(order, func(a, b string) int { return cmp.Compare(score(a), score(b)) })
 		replicas[shard] = order[:min(2, len(order))]
 	}
-	added.Homes = func(shard int) []string { return replicas[shard] }
+	added.Replicas = func(shard int) []string { return replicas[shard] }
 	isFirst := len(w.views) == 0
-	added.Fresh = func(int) bool { return isFirst }
+	added.NewShard = func(int) bool { return isFirst }
 	for owner := range w.pools {
 		if !w.unknownPools[owner] {
 			added.Pools[owner] = owner.Box
@@ -182,10 +182,10 @@
 			view := w.views[server.applied]
 			server.applied++
 			server.nextView = w.now + w.delay(150*ms)
-			view.Self, view.Life = server.name, server.machine.view.Life
+			view.Self, view.Token = server.name, server.machine.view.Token
 			if server.machine.disowned { // a process applies only views with its own registration
-				view.Life = server.token
-				if server.token == 0 || view.Lives[server.name] != server.token {
+				view.Token = server.token
+				if server.token == 0 || view.Tokens[server.name] != server.token {
 					continue
 				}
 			}
@@ -193,7 +193,7 @@
 			w.drain(server)
 		}
 		if server.cutUntil == 0 {
-			server.machine.Lease(server.leaseEnd)
+			server.machine.ExtendLease(server.leaseEnd)
 		}
 		if w.now%(100*ms) == 0 {
 			server.machine.Tick(w.now)
@@ -229,7 +229,7 @@
 // updateLeases renews the leases of connected servers, and declares servers expired whose lease has ended. They
 // register again under new tokens.
 func (w *world) updateLeases() {
-	previous := w.views[len(w.views)-1].Lives
+	previous := w.views[len(w.views)-1].Tokens
 	lives := maps.Clone(previous)
 	for _, server := range w.servers {
 		if server.cutUntil != 0 && server.cutUntil <= w.now {
@@ -257,7 +257,7 @@
 
 // drain carries out the outputs of a server's Machine.
 func (w *world) drain(server *server) {
-	out := server.machine.Drain(w.now)
+	out := server.machine.TakeOutputs(w.now)
 	if out.Disown {
 		w.logf("%s disowns", server.name)
 		server.calls = map[Key]*call{}
@@ -279,7 +279,7 @@
 		w.logf("%s adopts %s", server.name, adopt.Piece.Key.Token)
 		w.stats["adopted"]++
 		w.clock++
-		w.op(adopt.Piece.Key, Down, "adopted", w.clock)
+		w.op(adopt.Piece.Key, Unavailable, "adopted", w.clock)
 		server.calls[adopt.Piece.Key] = &call{request: adopt.Piece, started: w.now, running: true}
 		w.startRun(server, adopt.Piece.Key)
 	}
@@ -313,7 +313,7 @@
 		w.op(verdict.Key, Won, "", request.askedAt)
 		if w.chance(30) {
 			w.clock++
-			w.op(verdict.Key, Other, "released", w.clock)
+			w.op(verdict.Key, HeldElsewhere, "released", w.clock)
 			delete(server.calls, verdict.Key)
 			server.machine.Release(w.now, verdict.Key)
 			w.drain(server)
@@ -321,9 +321,9 @@
 		}
 		request.running = true
 		w.startRun(server, verdict.Key)
-	case Other, Down:
+	case HeldElsewhere, Unavailable:
 		request.askAgainAt = w.now + max(100*ms, verdict.After)
-	case Done, Failed, Off:
+	case Done, Failed, BodyMismatch:
 		delete(server.calls, verdict.Key)
 		w.stats[verdict.State.String()]++
 		if verdict.State == Done {
@@ -337,7 +337,7 @@
 func (w *world) answer(server *server, key Key, result string) {
 	w.answerCount[key]++
 	w.stats["answered"]++
-	if w.now >= server.leaseEnd || w.views[len(w.views)-1].Lives[server.name] != server.token {
+	if w.now >= server.leaseEnd || w.views[len(w.views)-1].Tokens[server.name] != server.token {
 		w.fail("%s answers %s without a lease", server.name, key.Token)
 	}
 	if w.firstResult[key] == "" {
@@ -406,8 +406,8 @@
 
 // call is a caller's request at a server.
 func (w *world) call(server *server, key Key, repeat bool) {
-	if w.awake(server) && server.machine.Live(w.now) && server.calls[key] == nil {
-		request := &call{request: Piece{Key: key, Body: []byte(key.Token), Life: 11 * time.Second, Repeat: repeat},
+	if w.awake(server) && server.machine.Active(w.now) && server.calls[key] == nil {
+		request := &call{request: KeyedRequest{Key: key, Body: []byte(key.Token), Life: 11 * time.Second, Repeat: repeat},
 			started: w.now}
 		server.calls[key] = request
 		w.stats["calls"]++
@@ -432,7 +432,7 @@
 		}
 		w.logf("%s learns about %s from the pool of %s: %d", server.name, key.Token, request.Owner.Box, proof.State)
 		if w.awake(server) {
-			server.machine.Proved(w.now, key, request.Owner, proof)
+			server.machine.HandleProof(w.now, key, request.Owner, proof)
 			w.drain(server)
 		}
 	}
--- a/internal/measure/hollow/server.go
+++ b/internal/measure/hollow/server.go
@@ -18,8 +18,8 @@
 	"strings"
 
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/ground"
-	"larchscale/internal/fleet/place"
+	"larchscale/internal/fleet/membership"
+	"larchscale/internal/fleet/placement"
 	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
 	"larchscale/internal/measure/certificates"
@@ -27,7 +27,7 @@
 )
 
 // moves bounds the slices that move at a time, as the app server does.
-const moves = place.Slices / 8
+const moves = placement.Shards / 8
 
 // Config is what one hollow server is made of.
 type Config struct {
@@ -110,7 +110,7 @@
 	quiet := slog.New(slog.DiscardHandler)
 	var modules []driver.Module
 	if s.config.Leases {
-		modules = ground.New(ground.Options{Moves: moves}, func(*ground.View) {}, quiet).Modules()
+		modules = membership.New(membership.Options{MaxMoves: moves}, func(*membership.View) {}, quiet).Modules()
 	}
 	fleet := driver.Defaults()
 	fleet.Dir, fleet.Zone, fleet.Voters = filepath.Join(s.config.Directory, s.config.Name), s.config.Zone, s.config.Voters
