--- a/cmd/larchctl/dev.go
+++ b/cmd/larchctl/dev.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"larchscale/internal/fleet/takeout"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/standin"
 	"larchscale/internal/wal"
 )
@@ -154,10 +154,10 @@
 		return nil, err
 	}
 	t := &trial{Seconds: time.Since(began).Seconds(), Seen: map[string]int{}}
-	opt := keeper.Defaults()
+	opt := ledgerstore.Defaults()
 	opt.Dir, opt.Period = box.Dir, "day"
 	waitFor(func() bool { // all is in batches, and those are the collector's
-		b, _, err := keeper.Read(wal.Dir(box.Dir), opt)
+		b, _, err := ledgerstore.ReadLedger(wal.Dir(box.Dir), opt)
 		return err == nil && !b.Waits() && len(b.Pending()) == 0
 	})
 	if code, err := box.Stop(); err != nil || code != 0 {
--- a/cmd/larchctl/ledger.go
+++ b/cmd/larchctl/ledger.go
@@ -14,8 +14,8 @@
 	"github.com/BurntSushi/toml"
 
 	"larchscale/internal/config"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/peers"
 	"larchscale/internal/wal"
 )
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	b, batches, err := keeper.Read(dir, o.Ledger.Options)
+	b, batches, err := ledgerstore.ReadLedger(dir, o.Ledger.Options)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", dir, err)
 	}
@@ -158,14 +158,14 @@
 		}
 		x.Figures[i] = n
 	}
-	if _, _, err := keeper.Read(dir, o.Ledger.Options); err != nil {
+	if _, _, err := ledgerstore.ReadLedger(dir, o.Ledger.Options); err != nil {
 		return fmt.Errorf("%s: %w", dir, err)
 	}
-	if err := keeper.Submit(dir, x); err != nil {
+	if err := ledgerstore.SubmitCorrection(dir, x); err != nil {
 		return err
 	}
 	for end := time.Now().Add(c.Wait); ; time.Sleep(50 * time.Millisecond) {
-		a, ok, err := keeper.Answered(dir, x.ID)
+		a, ok, err := ledgerstore.ReadCorrectionResult(dir, x.ID)
 		switch {
 		case err != nil:
 			return err
@@ -204,12 +204,12 @@
 		if err != nil {
 			return err
 		}
-		name := keeper.BatchName(b)
-		if err := keeper.WriteBatch(dir, name, bytes); err != nil {
+		name := ledgerstore.BatchName(b)
+		if err := ledgerstore.WriteBatch(dir, name, bytes); err != nil {
 			return err
 		}
 		if c.Take {
-			if err := keeper.Taken(home, ledger.Sealed{Seq: b.Seq, Hash: ledger.SumOf(bytes), Size: len(bytes)}); err != nil {
+			if err := ledgerstore.MarkExported(home, ledger.Sealed{Seq: b.Seq, Hash: ledger.SumOf(bytes), Size: len(bytes)}); err != nil {
 				return err
 			}
 		}
@@ -368,7 +368,7 @@
 		}
 		files := []string{path}
 		if info.IsDir() {
-			if files, err = filepath.Glob(filepath.Join(path, "*"+keeper.BatchEnding)); err != nil {
+			if files, err = filepath.Glob(filepath.Join(path, "*"+ledgerstore.BatchSuffix)); err != nil {
 				return err
 			}
 		}
--- a/cmd/larchctl/main_test.go
+++ b/cmd/larchctl/main_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"larchscale/internal/core"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/standin"
 	"larchscale/internal/wal"
 )
@@ -31,20 +31,20 @@
 const period = "2026-11-15"
 
 // box writes an operator's file and the ledger of a box that served a little, and keeps the box open.
-func box(t *testing.T, name string) (operator string, k *keeper.Keeper) {
+func box(t *testing.T, name string) (operator string, k *ledgerstore.Store) {
 	t.Helper()
 	home := t.TempDir()
 	operator = filepath.Join(home, "operator.toml")
 	if err := os.WriteFile(operator, []byte("[ledger]\ndir = \""+filepath.Join(home, "ledger")+"\"\nperiod = \"day\"\nexport_ms = 10\nwrite_ms = 5\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	opt := keeper.Defaults()
+	opt := ledgerstore.Defaults()
 	opt.Dir, opt.Period, opt.ExportMs, opt.WriteMs = filepath.Join(home, "ledger"), "day", 10, 5
 	dir := wal.Dir(opt.Dir)
 	if err := dir.Make(); err != nil {
 		t.Fatal(err)
 	}
-	k, err := keeper.Open(dir, opt, keeper.Site{Box: name, Stands: []string{"north", "south"}, Classes: []string{"quote"}, Wall: wall}, slog.New(slog.DiscardHandler))
+	k, err := ledgerstore.Open(dir, opt, ledgerstore.Config{Server: name, Stands: []string{"north", "south"}, Classes: []string{"quote"}, Wall: wall}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -137,10 +137,10 @@
 	if err := k.Close(t.Context()); err != nil {
 		t.Fatal(err)
 	}
-	opt := keeper.Defaults()
+	opt := ledgerstore.Defaults()
 	opt.Dir, opt.Period = string(dir), "day"
 	for range 2 { // the first is left without an end
-		if _, err := keeper.Open(dir, opt, keeper.Site{Box: "n1", Stands: []string{"north"}, Classes: []string{"quote"}, Wall: wall}, slog.New(slog.DiscardHandler)); err != nil {
+		if _, err := ledgerstore.Open(dir, opt, ledgerstore.Config{Server: "n1", Stands: []string{"north"}, Classes: []string{"quote"}, Wall: wall}, slog.New(slog.DiscardHandler)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/cmd/larchscale/ledger.go
+++ b/cmd/larchscale/ledger.go
@@ -7,12 +7,12 @@
 
 	"larchscale/internal/config"
 	"larchscale/internal/export"
-	"larchscale/internal/keeper"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/wal"
 )
 
 // openLedger opens the usage ledger before anything else is opened. It returns nil if the operator keeps none.
-func openLedger(operator *config.Operator, cfg *config.Config, log *slog.Logger) (*keeper.Keeper, error) {
+func openLedger(operator *config.Operator, cfg *config.Config, log *slog.Logger) (*ledgerstore.Store, error) {
 	dir := wal.Dir(operator.Ledger.Dir)
 	if dir == "" {
 		return nil, nil
@@ -23,8 +23,8 @@
 	if _, err := dir.Lock(); err != nil { // held until the process ends
 		return nil, fmt.Errorf("ledger: %w", err)
 	}
-	site := keeper.Site{Box: cfg.Name, Stands: cfg.Site.Tenants, Classes: cfg.Site.Classes, Boot: keeper.BootID()}
-	ledger, err := keeper.Open(dir, operator.Ledger.Options, site, log)
+	site := ledgerstore.Config{Server: cfg.Name, Stands: cfg.Site.Tenants, Classes: cfg.Site.Classes, Boot: ledgerstore.BootID()}
+	ledger, err := ledgerstore.Open(dir, operator.Ledger.Options, site, log)
 	if err != nil {
 		return nil, fmt.Errorf("ledger: %s: %w", dir, err)
 	}
@@ -52,7 +52,7 @@
 
 // closeLedger writes the last entries of the ledger, while the fronts write their last answers. The channel is closed
 // once that is done, or has taken lastWrites.
-func closeLedger(ledger *keeper.Keeper, log *slog.Logger) <-chan struct{} {
+func closeLedger(ledger *ledgerstore.Store, log *slog.Logger) <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/cmd/larchscale/main_test.go
+++ b/cmd/larchscale/main_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"larchscale/internal/keeper"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/scenario"
 	"larchscale/internal/wal"
 )
@@ -123,14 +123,14 @@
 	if code := run([]string{"-config", filepath.Join(home, "config.json"), "-operator", filepath.Join(home, "o.toml")}, func(string) string { return "" }, &out); code != 1 || strings.Count(out.String(), "\n") != 1 {
 		t.Fatalf("exit %d: %s", code, out.String())
 	}
-	o := keeper.Defaults()
+	o := ledgerstore.Defaults()
 	o.Dir = dir
-	k, err := keeper.Open(wal.Dir(dir), o, keeper.Site{Box: "n", Classes: []string{"a"}}, slog.New(slog.DiscardHandler))
+	k, err := ledgerstore.Open(wal.Dir(dir), o, ledgerstore.Config{Server: "n", Classes: []string{"a"}}, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close(t.Context())
-	book, _, err := keeper.Read(wal.Dir(dir), o)
+	book, _, err := ledgerstore.ReadLedger(wal.Dir(dir), o)
 	if err != nil || book.Incarnation() != 2 || book.Waits() { // an unclean end would wait to be exported
 		t.Errorf("incarnation %d, waits %v, %v", book.Incarnation(), book.Waits(), err)
 	}
--- a/cmd/larchscale/server.go
+++ b/cmd/larchscale/server.go
@@ -20,7 +20,7 @@
 	"larchscale/internal/handoff"
 	"larchscale/internal/index"
 	"larchscale/internal/jsonrpc"
-	"larchscale/internal/keeper"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/pool"
 	"larchscale/internal/sock"
 	"larchscale/internal/uwsgi"
@@ -39,7 +39,7 @@
 	configPath string // of the platform's file, which a reload reads again
 	config     *config.Config
 	operator   *config.Operator
-	ledger     *keeper.Keeper // nil = the server keeps none
+	ledger     *ledgerstore.Store // nil = the server keeps none
 	signals    signals
 	log        *slog.Logger
 
--- a/cmd/larchscale/store.go
+++ b/cmd/larchscale/store.go
@@ -49,7 +49,7 @@
 
 // openRedis keeps the keys in a Redis database.
 func (s *server) openRedis(ctx context.Context) {
-	db := store.New(s.operator.Store, store.Owner(s.config.Name), s.config.Site.Classes, s.core.Send, s.log)
+	db := store.NewRedis(s.operator.Store, store.NewOwnerID(s.config.Name), s.config.Site.Classes, s.core.Send, s.log)
 	s.store = db
 	s.runStore(ctx, db.Run)
 }
@@ -58,7 +58,7 @@
 // by the other.
 func (s *server) openKeyFiles(ctx context.Context) error {
 	dir := filepath.Join(os.TempDir(), "larchscale-"+s.config.Name+"-keys")
-	files, err := store.OpenFiles(dir, store.Owner(s.config.Name), s.config.Site.Classes, s.config.Limits.KeyFiles(), s.core.Send, s.log)
+	files, err := store.OpenFiles(dir, store.NewOwnerID(s.config.Name), s.config.Site.Classes, s.config.Limits.KeyFiles(), s.core.Send, s.log)
 	if err != nil {
 		return err
 	}
--- a/cmd/measure/ledger.go
+++ b/cmd/measure/ledger.go
@@ -21,8 +21,8 @@
 	"larchscale/control"
 	"larchscale/internal/core"
 	"larchscale/internal/export"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/standin"
 	"larchscale/internal/wal"
 )
@@ -47,8 +47,8 @@
 }
 
 // options are a ledger's in dir; mode "" is none.
-func options(dir, mode string) keeper.Options {
-	o := keeper.Defaults()
+func options(dir, mode string) ledgerstore.Options {
+	o := ledgerstore.Defaults()
 	o.Dir, o.Mode = dir, mode
 	return o
 }
@@ -56,7 +56,7 @@
 // rig is a core with a worker pool that serves at once.
 type rig struct {
 	core   *core.Core
-	books  *keeper.Keeper
+	books  *ledgerstore.Store
 	cancel func()
 	pool   chan string
 	done   chan answered
@@ -78,7 +78,7 @@
 }
 
 // newRig starts a core with a ledger; a mode of "" is none.
-func newRig(o keeper.Options) (*rig, error) {
+func newRig(o ledgerstore.Options) (*rig, error) {
 	s := site()
 	g := &rig{core: core.New(s, quiet), pool: make(chan string, 4096), done: make(chan answered, 4096)}
 	g.core.Attach(g, g, g, nil)
@@ -87,7 +87,7 @@
 		if err := d.Make(); err != nil {
 			return nil, err
 		}
-		k, err := keeper.Open(d, o, keeper.Site{Box: "n1", Stands: s.Tenants, Classes: s.Classes}, quiet)
+		k, err := ledgerstore.Open(d, o, ledgerstore.Config{Server: "n1", Stands: s.Tenants, Classes: s.Classes}, quiet)
 		if err != nil {
 			return nil, err
 		}
@@ -191,7 +191,7 @@
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	const n, rounds = 40_000, 16
 	best := map[string]float64{} // what else the machine does only ever takes time
-	modes := []string{"", keeper.Relaxed, keeper.Strict}
+	modes := []string{"", ledgerstore.Relaxed, ledgerstore.Strict}
 	for i := range rounds {
 		for _, mode := range modes {
 			g, err := newRig(options(filepath.Join(home, fmt.Sprint("loop", mode, i)), mode))
@@ -214,10 +214,10 @@
 	}
 	none := best[""]
 	r.row("loop, no ledger", none, "requests/s")
-	r.row("loop, relaxed", best[keeper.Relaxed], "requests/s")
-	r.row("loop, strict", best[keeper.Strict], "requests/s")
-	r.least("relaxed over none", best[keeper.Relaxed]/none, "", 0.95)
-	r.least("strict over none", best[keeper.Strict]/none, "", 0.85)
+	r.row("loop, relaxed", best[ledgerstore.Relaxed], "requests/s")
+	r.row("loop, strict", best[ledgerstore.Strict], "requests/s")
+	r.least("relaxed over none", best[ledgerstore.Relaxed]/none, "", 0.95)
+	r.least("strict over none", best[ledgerstore.Strict]/none, "", 0.85)
 	return nil
 }
 
@@ -225,7 +225,7 @@
 func delays(r *report, home string) error {
 	const rate, n = 1000, 5000
 	p99 := map[string]float64{}
-	for _, mode := range []string{"", keeper.Strict} {
+	for _, mode := range []string{"", ledgerstore.Strict} {
 		g, err := newRig(options(filepath.Join(home, "delay"+mode), mode))
 		if err != nil {
 			return err
@@ -260,8 +260,8 @@
 		}
 	}
 	r.row("delay at 1000/s, p99, no ledger", p99[""], "us")
-	r.row("delay at 1000/s, p99, strict", p99[keeper.Strict], "us")
-	r.most("delay added by strict, p99", p99[keeper.Strict]-p99[""], "us", 5000)
+	r.row("delay at 1000/s, p99, strict", p99[ledgerstore.Strict], "us")
+	r.most("delay added by strict, p99", p99[ledgerstore.Strict]-p99[""], "us", 5000)
 	return nil
 }
 
@@ -313,9 +313,9 @@
 // recovery reads a log of a million entries in a process of its own, to see the memory that takes.
 func recovery(r *report, home string) error {
 	dir := mustDir(home, "recovery")
-	o := options(string(dir), keeper.Strict)
+	o := options(string(dir), ledgerstore.Strict)
 	o.SegmentKB, o.DiskKB = 1<<18, 1<<20
-	k, err := keeper.Open(dir, o, keeper.Site{Box: "n1", Stands: standin.Stands, Classes: []string{"quote"}}, quiet)
+	k, err := ledgerstore.Open(dir, o, ledgerstore.Config{Server: "n1", Stands: standin.Stands, Classes: []string{"quote"}}, quiet)
 	if err != nil {
 		return err
 	}
@@ -367,7 +367,7 @@
 // Run reads a ledger and prints how long that took.
 func (c recoverCmd) Run(*report) error {
 	began := time.Now()
-	b, _, err := keeper.Read(wal.Dir(c.Dir), options(c.Dir, keeper.Strict))
+	b, _, err := ledgerstore.ReadLedger(wal.Dir(c.Dir), options(c.Dir, ledgerstore.Strict))
 	if err != nil {
 		return err
 	}
@@ -391,9 +391,9 @@
 	go server.Serve(l)
 	defer server.Close()
 	dir := mustDir(home, "export")
-	o := options(string(dir), keeper.Relaxed)
+	o := options(string(dir), ledgerstore.Relaxed)
 	o.ExportMs, o.WriteMs = 10, 5
-	k, err := keeper.Open(dir, o, keeper.Site{Box: "n1", Stands: standin.Stands, Classes: []string{"quote"}}, quiet)
+	k, err := ledgerstore.Open(dir, o, ledgerstore.Config{Server: "n1", Stands: standin.Stands, Classes: []string{"quote"}}, quiet)
 	if err != nil {
 		return err
 	}
@@ -447,7 +447,7 @@
 	}
 	r.row("batches that wait after an hour", float64(batches), "batches")
 	r.row("their bytes", float64(bytes), "bytes")
-	r.most("the ledger on the disk", float64(disk)/(1<<20), "MB", float64(keeper.Defaults().DiskKB)/1024)
+	r.most("the ledger on the disk", float64(disk)/(1<<20), "MB", float64(ledgerstore.Defaults().DiskKB)/1024)
 	r.most("memory with the collector away", rss, "MB", 32)
 	return nil
 }
@@ -456,7 +456,7 @@
 func (c hourCmd) Run(*report) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(24 << 20)
-	o := options(c.Dir, keeper.Strict)
+	o := options(c.Dir, ledgerstore.Strict)
 	o.ExportMs = 10
 	g, err := newRig(o)
 	if err != nil {
--- a/cmd/measure/stopper.go
+++ b/cmd/measure/stopper.go
@@ -76,12 +76,12 @@
 	r.least("false winners of a z-test at every look", 100*share(same, func(x trialRun) bool { return x.repeated }), "%", 20)
 	r.most("false stops for harm", 100*share(same, ends(sequential.Harm)), "%", bound(p.Harm, len(same)))
 	r.most("false stops for a wrong split", 100*share(same, ends(sequential.Void)), "%", bound(p.Void, len(same)))
-	r.row("A against A ended as none", 100*share(same, ends(sequential.None)), "%")
+	r.row("A against A ended as none", 100*share(same, ends(sequential.NoDifference)), "%")
 	r.row("power of the fixed test, as measured", 100*share(gain, func(x trialRun) bool { return x.fixed }), "%")
 	r.most("units to a stop, effect as planned", median(gain), "of fixed", 0.8)
 	r.most("units to a stop, twice the effect", median(twice), "of fixed", 0.4)
 	r.most("winners missed in twice the fixed units", 100*(1-share(gain, ends(sequential.B))), "%", 10)
-	r.most("of them ended as none", 100*share(gain, ends(sequential.None)), "%", bound(p.Futility, len(gain)))
+	r.most("of them ended as none", 100*share(gain, ends(sequential.NoDifference)), "%", bound(p.Futility, len(gain)))
 	if c.Boxes == 0 {
 		return nil
 	}
@@ -201,15 +201,15 @@
 			}
 			seen = heard
 		}
-		if out.verdict == sequential.GoOn {
-			r := sequential.Look(p, seen, false)
+		if out.verdict == sequential.Continue {
+			r := sequential.Evaluate(p, seen, false)
 			out.verdict, out.units = r.Verdict, units
 		}
 		if w.effect == 0 && !w.jump && !w.late {
 			out.repeated = out.repeated || units > int(2*p.Least) && zTest(strata, critical)
 			continue
 		}
-		if out.verdict != sequential.GoOn && !(w.unlooked && units < fixed) {
+		if out.verdict != sequential.Continue && !(w.unlooked && units < fixed) {
 			break
 		}
 	}
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -19,8 +19,8 @@
 	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/trial"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/link"
 	"larchscale/internal/peers"
 	"larchscale/internal/sequential"
@@ -82,7 +82,7 @@
 
 // peerAnswerBytes is one answer of a ledger peer: the digests of all that it has of all servers.
 func peerAnswerBytes(s Size) float64 {
-	periods := keeper.Defaults().Keep + 1
+	periods := ledgerstore.Defaults().KeepPeriods + 1
 	return ledgerDigestBytes() * float64(periods) * s.Servers
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,7 +14,7 @@
 	"larchscale/internal/fleet/controlclient"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/replycache"
-	"larchscale/internal/keeper"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/peers"
 	"larchscale/internal/store"
 	"larchscale/internal/uwsgi"
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := &Operator{uwsgi.Defaults(), store.Defaults(), Ledger{keeper.Defaults(), export.Defaults(), peers.Defaults()}, driver.Defaults(), replycache.Defaults(), controlclient.Defaults()}
+		want := &Operator{uwsgi.Defaults(), store.Defaults(), Ledger{ledgerstore.Defaults(), export.Defaults(), peers.Defaults()}, driver.Defaults(), replycache.Defaults(), controlclient.Defaults()}
 		if path != "" {
 			want.UWSGI.Listen, want.UWSGI.DownstreamServers, want.Ledger.Peers.Servers = "127.0.0.4:6566", []string{}, []string{}
 		}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -14,7 +14,7 @@
 	"larchscale/internal/fleet/controlclient"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/replycache"
-	"larchscale/internal/keeper"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/peers"
 	"larchscale/internal/store"
 	"larchscale/internal/uwsgi"
@@ -33,7 +33,7 @@
 
 // Ledger is the table of that name.
 type Ledger struct {
-	keeper.Options
+	ledgerstore.Options
 	Collector export.Options `toml:"collector"`
 	Peers     peers.Options  `toml:"peers"`
 }
@@ -41,7 +41,7 @@
 // LoadOperator reads the operator's file; without a path nothing is turned on. Of the platform's configuration
 // it takes the host that a ":port" stands on.
 func LoadOperator(path string, platform *Config) (*Operator, error) {
-	o := &Operator{UWSGI: uwsgi.Defaults(), Store: store.Defaults(), Ledger: Ledger{keeper.Defaults(), export.Defaults(), peers.Defaults()}, Fleet: driver.Defaults(), Kept: replycache.Defaults(), Control: controlclient.Defaults()}
+	o := &Operator{UWSGI: uwsgi.Defaults(), Store: store.Defaults(), Ledger: Ledger{ledgerstore.Defaults(), export.Defaults(), peers.Defaults()}, Fleet: driver.Defaults(), Kept: replycache.Defaults(), Control: controlclient.Defaults()}
 	if path == "" {
 		return o, nil
 	}
--- a/internal/fleet/raftlog/raftlog.go
+++ b/internal/fleet/raftlog/raftlog.go
@@ -211,7 +211,7 @@
 }
 
 // Full reports whether the log has reached its size, so that Compact would make it smaller.
-func (l *Log) Full() bool { return l.failed == nil && l.disk.Full() }
+func (l *Log) Full() bool { return l.failed == nil && l.disk.NeedsRoll() }
 
 // Compact replaces all entries up to an applied one by the state after it.
 func (l *Log) Compact(applied uint64, confState *raftpb.ConfState, state []byte) error {
--- a/internal/fleet/raftlog/raftlog_test.go
+++ b/internal/fleet/raftlog/raftlog_test.go
@@ -174,7 +174,7 @@
 		node string
 		want error
 	}{
-		"another node's":         {write(identity), "n2", wal.ErrForeign},
+		"another node's":         {write(identity), "n2", wal.ErrOtherOwner},
 		"a newer format":         {write([]byte{recIdentity, formatVersion + 1, 0, 7, 0, 0, 0, 0, 0, 0, 0}), "n1", ErrNewerVersion},
 		"a newer record":         {write(identity, []byte{99}), "n1", ErrNewerVersion},
 		"no identity":            {write(gapEntry), "n1", ErrDamaged},
--- a/internal/fleet/trial/apply.go
+++ b/internal/fleet/trial/apply.go
@@ -55,7 +55,7 @@
 		return t.keep(&e.Life)
 	case Decide:
 		o := e.Outcome
-		if o.Verdict <= sequential.GoOn || o.Verdict >= sequential.Stopped || o.Why == "" || len(o.Why) > maxWhy || o.By == "" || len(o.By) > maxName {
+		if o.Verdict <= sequential.Continue || o.Verdict >= sequential.Stopped || o.Why == "" || len(o.Why) > maxWhy || o.By == "" || len(o.By) > maxName {
 			return fmt.Errorf("trial %s: outcome %v by %q: %w", t.Spec.ID, o.Verdict, o.By, ErrInvalid)
 		}
 		t.end(o)
--- a/internal/fleet/trial/fleet_test.go
+++ b/internal/fleet/trial/fleet_test.go
@@ -187,7 +187,7 @@
 		mayErr bool
 		why    string
 	}{
-		{name: "A against A", set: lossy, want: []sequential.Verdict{sequential.None, sequential.Deadline}, mayErr: true},
+		{name: "A against A", set: lossy, want: []sequential.Verdict{sequential.NoDifference, sequential.Deadline}, mayErr: true},
 		{name: "B better", set: func(s *sim) { lossy(s); s.worth[1] = 0.97 }, want: []sequential.Verdict{sequential.B}},
 		{name: "A better, load jumps to 1.6 in a block", set: func(s *sim) {
 			s.lose, s.worth[1], s.rate = 0.4, 0.7, func(second int) int { return 8 + 5*(second/5%2) }
@@ -203,7 +203,7 @@
 		}, want: []sequential.Verdict{sequential.B}},
 		{name: "a box gives too many to B", set: func(s *sim) { s.skew = 2 }, want: []sequential.Verdict{sequential.Void}, why: "box0"},
 		{name: "switchback: B better", spec: switchback, set: func(s *sim) { s.worth[1] = 0.97 }, boxes: 20, want: []sequential.Verdict{sequential.B}},
-		{name: "switchback: A against A", spec: switchback, boxes: 20, want: []sequential.Verdict{sequential.None, sequential.Deadline}, mayErr: true},
+		{name: "switchback: A against A", spec: switchback, boxes: 20, want: []sequential.Verdict{sequential.NoDifference, sequential.Deadline}, mayErr: true},
 		{name: "switchback: B kills its boxes", spec: switchback, set: func(s *sim) { s.kill[1] = 0.01; s.worth[1] = 1 }, boxes: 20,
 			want: []sequential.Verdict{sequential.A}},
 	} {
--- a/internal/fleet/trial/lead.go
+++ b/internal/fleet/trial/lead.go
@@ -105,7 +105,7 @@
 		over := t.Ended() && now-h.since >= MinBlockMs
 		e := h.evidence(t, now, over)
 		if over || e.whole && now-h.first >= hearMs {
-			if o := e.judge(t, over); h.sure(o.Verdict, &e, now) && o.Verdict != sequential.GoOn {
+			if o := e.judge(t, over); h.sure(o.Verdict, &e, now) && o.Verdict != sequential.Continue {
 				o.By = l.self
 				out = append(out, Entry{Kind: Decide, ID: t.Spec.ID, Outcome: o})
 				continue
@@ -172,7 +172,7 @@
 		}
 	}
 	strata := e.strata(t)
-	r := sequential.Look(&t.Spec.Plan, strata, over)
+	r := sequential.Evaluate(&t.Spec.Plan, strata, over)
 	if r.Verdict != sequential.Void && r.Verdict != sequential.Harm && lost > t.Spec.MostLost {
 		r.Verdict = sequential.Harm
 		r.Why = fmt.Sprintf("%d processes of boxes were lost, %d may be; %s", lost, t.Spec.MostLost, r.Why)
--- a/internal/fleet/trial/state.go
+++ b/internal/fleet/trial/state.go
@@ -149,12 +149,12 @@
 }
 
 // Open tells that a trial has no outcome yet.
-func (t *Trial) Open() bool { return t.Outcome.Verdict == sequential.GoOn }
+func (t *Trial) Open() bool { return t.Outcome.Verdict == sequential.Continue }
 
 // Ended tells that no more units are given out and all values are known or past due.
 func (t *Trial) Ended() bool { return t.Block > t.Spec.Blocks }
 
-// Check finds what of a spec cannot be, whatever boxes there are: its error is an ErrInvalid or a sequential.ErrPlan.
+// Check finds what of a spec cannot be, whatever boxes there are: its error is an ErrInvalid or a sequential.ErrInvalidPlan.
 func (s *Spec) Check() error {
 	switch {
 	case s.ID == "" || len(s.ID) > maxName || s.By == "" || len(s.By) > maxName:
--- a/internal/fleet/trials/trials.go
+++ b/internal/fleet/trials/trials.go
@@ -151,7 +151,7 @@
 	told[id] = v
 	switch {
 	case known && was == v:
-	case v != sequential.GoOn:
+	case v != sequential.Continue:
 		m.host.Log().Info("fleet", "do", "trial", "id", id, "outcome", v.String(), "serves", t.Spec.Values[t.Winner()], "by", t.Outcome.By, "why", t.Outcome.Why)
 	default:
 		m.host.Log().Info("fleet", "do", "trial", "id", id, "calls", t.Spec.Thing, "a", t.Spec.Values[0], "b", t.Spec.Values[1])
--- a/internal/keeper/batches.go
+++ b/internal/ledgerstore/batches.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 )
 
 // Next returns the oldest batch that has not been acknowledged, as encoded bytes; bytes is nil if there is none.
-func (k *Keeper) Next(ctx context.Context) (bytes []byte, s ledger.Sealed, err error) {
+func (k *Store) Next(ctx context.Context) (bytes []byte, s ledger.Sealed, err error) {
 	callErr := k.runOnLoop(ctx, func() {
 		var ok bool
 		if s, ok = k.ledger.Next(); ok {
@@ -26,7 +26,7 @@
 }
 
 // Acknowledge records durably that the collector has a batch.
-func (k *Keeper) Acknowledge(ctx context.Context, s ledger.Sealed) (err error) {
+func (k *Store) Acknowledge(ctx context.Context, s ledger.Sealed) (err error) {
 	callErr := k.runOnLoop(ctx, func() {
 		rec, ok := k.ledger.ProposeAck(s.Seq, s.Hash)
 		if !ok {
@@ -40,16 +40,16 @@
 }
 
 // Sealed returns a channel that receives a value when a new batch may be available.
-func (k *Keeper) Sealed() <-chan struct{} { return k.sealed }
+func (k *Store) Sealed() <-chan struct{} { return k.sealed }
 
 // Totals returns the sums over the whole life of the ledger.
-func (k *Keeper) Totals(ctx context.Context) (t ledger.Totals, err error) {
+func (k *Store) Totals(ctx context.Context) (t ledger.Totals, err error) {
 	callErr := k.runOnLoop(ctx, func() { t, err = k.ledger.Totals() })
 	return t, errors.Join(callErr, err)
 }
 
 // PeriodStates returns the digest and the encoded sealed state of each period.
-func (k *Keeper) PeriodStates(ctx context.Context) (digests []ledger.Digest, states [][]byte, err error) {
+func (k *Store) PeriodStates(ctx context.Context) (digests []ledger.Digest, states [][]byte, err error) {
 	err = k.runOnLoop(ctx, func() { digests, states = k.ledger.PeriodStates() })
 	return digests, states, err
 }
--- a/internal/keeper/bench_test.go
+++ b/internal/ledgerstore/bench_test.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"testing"
@@ -12,7 +12,7 @@
 func BenchmarkBook(b *testing.B) {
 	for _, mode := range []string{Relaxed, Strict} {
 		b.Run(mode, func(b *testing.B) {
-			k, err := Open(faultfs.New(1), testOptions(mode, Gap), testConfig("n1"), discardLog)
+			k, err := Open(faultfs.New(1), testOptions(mode, RecordGap), testConfig("n1"), discardLog)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/keeper/chores.go
+++ b/internal/ledgerstore/chores.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"time"
@@ -9,7 +9,7 @@
 
 // maintain does the periodic work: it reads the clock, closes periods, processes the inbox, seals batches, rolls and
 // syncs the segment, and retries after a write failure.
-func (k *Keeper) maintain() {
+func (k *Store) maintain() {
 	now := time.Now()
 	if k.outage != nil && !now.Before(k.retryAt) {
 		if err := k.rollSegment(); err != nil {
@@ -39,20 +39,20 @@
 	if k.ledger.SealDue(at) {
 		k.seal(at)
 	}
-	if k.outage == nil && k.wal.Full() {
+	if k.outage == nil && k.wal.NeedsRoll() {
 		if err := k.rollSegment(); err != nil {
-			k.beginOutage(k.wal.Next(), err)
+			k.beginOutage(k.wal.NextLSN(), err)
 		}
 	}
 	if k.outage == nil && now.Sub(k.lastSync) >= k.opt.milliseconds(k.opt.SyncMs) {
 		if k.lastSync = now; k.wal.Sync() != nil {
-			k.beginOutage(k.wal.Next(), k.wal.Failed())
+			k.beginOutage(k.wal.NextLSN(), k.wal.Err())
 		}
 	}
 }
 
 // logTotals logs the ledger's totals.
-func (k *Keeper) logTotals() {
+func (k *Store) logTotals() {
 	t, err := k.ledger.Totals()
 	if err != nil {
 		k.log.Error("ledger", "do", "totals", "err", err)
@@ -63,7 +63,7 @@
 }
 
 // seal freezes a batch. The batch is durable before anyone can read it.
-func (k *Keeper) seal(now int64) {
+func (k *Store) seal(now int64) {
 	rec, _ := k.ledger.ProposeSeal(now)
 	at, err := k.commitRecord(rec)
 	if err != nil {
--- a/internal/keeper/clock.go
+++ b/internal/ledgerstore/clock.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"time"
@@ -7,7 +7,7 @@
 )
 
 // observeClock reads the wall clock and returns the step if the clock was stepped.
-func (k *Keeper) observeClock() (ledger.Step, bool) {
+func (k *Store) observeClock() (ledger.Step, bool) {
 	since := time.Since(k.began)
 	step, ok := k.clock.Observe(k.wall(), since)
 	k.offset.Store(k.clock.Wall(since)*int64(time.Millisecond) - int64(since))
@@ -15,6 +15,6 @@
 }
 
 // now returns the time of the ledger's clock in Unix milliseconds.
-func (k *Keeper) now() int64 {
+func (k *Store) now() int64 {
 	return (int64(time.Since(k.began)) + k.offset.Load()) / int64(time.Millisecond)
 }
--- a/internal/keeper/files.go
+++ b/internal/ledgerstore/files.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"crypto/rand"
@@ -21,11 +21,11 @@
 
 const identityFileName = "identity.json"
 
-// ErrForeign reports a directory that holds the ledger of another server.
-var ErrForeign = errors.New("it is another box's ledger")
+// ErrOtherServer reports a directory that holds the ledger of another server.
+var ErrOtherServer = errors.New("it is another box's ledger")
 
-// ErrNone reports a directory without a ledger.
-var ErrNone = errors.New("the directory holds no ledger")
+// ErrNoLedger reports a directory without a ledger.
+var ErrNoLedger = errors.New("the directory holds no ledger")
 
 func logOwner(server string, id ledger.ID) (owner wal.Owner) {
 	h := sha256.Sum256(append([]byte(server+"\x00"), id[:]...))
@@ -57,7 +57,7 @@
 	owner, id, err := readIdentity(fsys)
 	switch {
 	case err == nil && owner != server:
-		return id, fmt.Errorf("%w: %s, not %s", ErrForeign, owner, server)
+		return id, fmt.Errorf("%w: %s, not %s", ErrOtherServer, owner, server)
 	case err == nil:
 		return id, nil
 	case !errors.Is(err, fs.ErrNotExist):
@@ -120,12 +120,12 @@
 	return b[:n], nil
 }
 
-// Read returns the state of the ledger on disk and the bytes of its pending batches. It changes nothing and may run
+// ReadLedger returns the state of the ledger on disk and the bytes of its pending batches. It changes nothing and may run
 // while the server writes to the directory.
-func Read(fsys wal.FS, opt Options) (*ledger.Book, [][]byte, error) {
+func ReadLedger(fsys wal.FS, opt Options) (*ledger.Book, [][]byte, error) {
 	server, id, err := readIdentity(fsys)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, nil, ErrNone
+		return nil, nil, ErrNoLedger
 	}
 	if err != nil {
 		return nil, nil, err
@@ -156,17 +156,17 @@
 	}
 }
 
-// BatchEnding is the suffix of batch file names.
-const BatchEnding = ".batch"
+// BatchSuffix is the suffix of batch file names.
+const BatchSuffix = ".batch"
 
 // BatchName returns the file name of a batch, made of server, ledger and sequence number so that names sort in
 // sequence order.
 func BatchName(batch *ledger.Batch) string {
-	return fmt.Sprintf("%s-%s-%010d%s", url.PathEscape(batch.Box), batch.Ledger.String()[:12], batch.Seq, BatchEnding)
+	return fmt.Sprintf("%s-%s-%010d%s", url.PathEscape(batch.Box), batch.Ledger.String()[:12], batch.Seq, BatchSuffix)
 }
 
-// ErrDiffers reports an existing batch file with different content.
-var ErrDiffers = errors.New("the file exists with different content")
+// ErrBatchDiffers reports an existing batch file with different content.
+var ErrBatchDiffers = errors.New("the file exists with different content")
 
 // WriteBatch writes a batch file atomically. An existing file is kept; it is an error if its content differs.
 func WriteBatch(fsys wal.FS, name string, bytes []byte) error {
@@ -184,7 +184,7 @@
 		_, err = f.ReadAt(existing, 0)
 	}
 	if size != int64(len(bytes)) || !slices.Equal(existing, bytes) {
-		return fmt.Errorf("%s: %w", name, ErrDiffers)
+		return fmt.Errorf("%s: %w", name, ErrBatchDiffers)
 	}
 	return err
 }
--- a/internal/keeper/inbox.go
+++ b/internal/ledgerstore/inbox.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"crypto/sha256"
@@ -22,8 +22,8 @@
 	maxInboxFiles    = 64 // files processed in one pass
 )
 
-// Answer is the server's response to a correction.
-type Answer struct {
+// CorrectionResult is the server's response to a correction.
+type CorrectionResult struct {
 	Booked bool   `json:"booked"` // applied now or earlier; an ID is applied once
 	Why    string `json:"why"`
 }
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%x", h[:8])
 }
 
-// Submit writes a correction for the server that owns the directory.
-func Submit(fsys wal.FS, c ledger.Correction) error {
+// SubmitCorrection writes a correction for the server that owns the directory.
+func SubmitCorrection(fsys wal.FS, c ledger.Correction) error {
 	text, err := json.Marshal(c)
 	if err != nil {
 		return err
@@ -46,8 +46,8 @@
 	return replaceFile(fsys, name+correctionSuffix, text)
 }
 
-// Answered returns the answer to a correction. ok is false if there is none yet.
-func Answered(fsys wal.FS, id string) (a Answer, ok bool, err error) {
+// ReadCorrectionResult returns the answer to a correction. ok is false if there is none yet.
+func ReadCorrectionResult(fsys wal.FS, id string) (a CorrectionResult, ok bool, err error) {
 	text, err := readSmallFile(fsys, correctionFileName(id)+answerSuffix)
 	if errors.Is(err, fs.ErrNotExist) {
 		return a, false, nil
@@ -61,8 +61,8 @@
 // exportedSuffix is the suffix of files which tell the server that a batch was exported as a file.
 const exportedSuffix = ".taken"
 
-// Taken tells the server that owns the directory that a batch was exported as a file.
-func Taken(fsys wal.FS, s ledger.Sealed) error {
+// MarkExported tells the server that owns the directory that a batch was exported as a file.
+func MarkExported(fsys wal.FS, s ledger.Sealed) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 
 // acknowledgeExported acknowledges a batch that was exported as a file. It returns false if the file must be
 // processed again, for example because its batch is not next in order.
-func (k *Keeper) acknowledgeExported(name string) (done bool) {
+func (k *Store) acknowledgeExported(name string) (done bool) {
 	text, err := readSmallFile(k.fs, name)
 	var s ledger.Sealed
 	if err != nil || json.Unmarshal(text, &s) != nil {
@@ -91,7 +91,7 @@
 
 // processInbox processes the files that operators left. A correction that cannot be written is retried in the next
 // pass.
-func (k *Keeper) processInbox(now int64) {
+func (k *Store) processInbox(now int64) {
 	names, err := k.fs.List()
 	if err != nil {
 		return
@@ -118,24 +118,24 @@
 	}
 }
 
-func (k *Keeper) applyCorrection(name string, now int64) (Answer, error) {
+func (k *Store) applyCorrection(name string, now int64) (CorrectionResult, error) {
 	var correction ledger.Correction
 	text, err := readSmallFile(k.fs, name)
 	if err != nil {
-		return Answer{Why: err.Error()}, nil
+		return CorrectionResult{Why: err.Error()}, nil
 	}
 	if err := json.Unmarshal(text, &correction); err != nil {
-		return Answer{Why: err.Error()}, nil
+		return CorrectionResult{Why: err.Error()}, nil
 	}
 	rec, err := k.ledger.ProposeCorrection(correction, now)
 	if err != nil {
-		return Answer{Why: err.Error()}, nil
+		return CorrectionResult{Why: err.Error()}, nil
 	}
 	if rec != nil {
 		if _, err := k.commitRecord(rec); err != nil {
-			return Answer{}, err
+			return CorrectionResult{}, err
 		}
 		k.log.Info("ledger", "do", "correct", "id", correction.ID, "period", correction.Period, "stand", correction.Stand)
 	}
-	return Answer{Booked: true}, nil
+	return CorrectionResult{Booked: true}, nil
 }
--- a/internal/keeper/keeper.go
+++ b/internal/ledgerstore/keeper.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"context"
@@ -29,9 +29,9 @@
 // ErrClosed is returned by calls after the ledger store has ended.
 var ErrClosed = errors.New("the ledger is closed")
 
-// Keeper owns the in-memory ledger and its log. The core's loop calls Book, Flush and Ready; everything else runs on
+// Store owns the in-memory ledger and its log. The core's loop calls Book, Flush and Ready; everything else runs on
 // the goroutine of Run.
-type Keeper struct {
+type Store struct {
 	opt           Options
 	fs            wal.FS
 	log           *slog.Logger
@@ -83,12 +83,12 @@
 
 // Attach sets the receiver of core.LedgerWritten events and the start of the core's clock, to which the times of entries are
 // relative. It must be called before Run.
-func (k *Keeper) Attach(sink func(core.Event), start time.Time) {
+func (k *Store) Attach(sink func(core.Event), start time.Time) {
 	k.sink, k.coreStart = sink, start.Sub(k.began)
 }
 
 // Run processes entries until Close is called. Only the first call has an effect.
-func (k *Keeper) Run() {
+func (k *Store) Run() {
 	if k.started.Swap(true) {
 		return
 	}
@@ -115,7 +115,7 @@
 
 // Close writes the remaining entries and ends the incarnation, also if Run was never called. It waits no longer than
 // ctx, because the disk may not respond.
-func (k *Keeper) Close(ctx context.Context) error {
+func (k *Store) Close(ctx context.Context) error {
 	k.closeOnce.Do(func() { close(k.stop) })
 	go k.Run()
 	select {
@@ -126,7 +126,7 @@
 	}
 }
 
-func (k *Keeper) shutDown() {
+func (k *Store) shutDown() {
 	k.write()
 	if k.outage != nil && k.rollSegment() != nil {
 		return
@@ -136,7 +136,7 @@
 }
 
 // runOnLoop runs f on the goroutine of Run.
-func (k *Keeper) runOnLoop(ctx context.Context, f func()) error {
+func (k *Store) runOnLoop(ctx context.Context, f func()) error {
 	done := make(chan struct{})
 	select {
 	case k.calls <- func() { defer close(done); f() }:
--- a/internal/keeper/keeper_test.go
+++ b/internal/ledgerstore/keeper_test.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"context"
@@ -29,8 +29,8 @@
 	return o
 }
 
-func testConfig(box string) Site {
-	return Site{Box: box, Stands: []string{"north", "south"}, Classes: []string{"quote", "book"}, Boot: "x"}
+func testConfig(box string) Config {
+	return Config{Server: box, Stands: []string{"north", "south"}, Classes: []string{"quote", "book"}, Boot: "x"}
 }
 
 // runInBubble runs one draw of a property in a synctest bubble of its own, because the property's own clock must be the
@@ -48,7 +48,7 @@
 
 // testStore is a ledger store that the test drives step by step, and the newest ticket that it confirmed to the core.
 type testStore struct {
-	*Keeper
+	*Store
 	through uint64
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	b := &testStore{Keeper: k}
+	b := &testStore{Store: k}
 	k.Attach(func(e core.Event) { b.through = e.(core.LedgerWritten).Through }, k.began)
 	return b, nil
 }
@@ -81,7 +81,7 @@
 // in a sealed batch or waiting for one.
 func TestKeeperAgainstFaults(t *testing.T) {
 	for _, mode := range []string{Strict, Relaxed} {
-		for _, onFailure := range []string{Refuse, Gap} {
+		for _, onFailure := range []string{Refuse, RecordGap} {
 			for _, syncMs := range []int{0, 1000} {
 				t.Run(fmt.Sprint(mode, onFailure, syncMs), func(t *testing.T) {
 					rapid.Check(t, func(r *rapid.T) { runInBubble(t, func() { checkUnderFaults(r, mode, onFailure, syncMs) }) })
@@ -200,7 +200,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, crashes := range []bool{false, true} {
 			disk := faultfs.New(1)
-			b, err := open(disk, testOptions(Strict, Gap))
+			b, err := open(disk, testOptions(Strict, RecordGap))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -220,7 +220,7 @@
 			want := map[string]int64{"north": 6, "south": 5}
 			missing := map[string]int64{}
 			if crashes {
-				if b, err = open(disk, testOptions(Strict, Gap)); err != nil {
+				if b, err = open(disk, testOptions(Strict, RecordGap)); err != nil {
 					t.Fatal(err)
 				}
 				want, missing = map[string]int64{"north": 1}, map[string]int64{"north": 5, "south": 5}
@@ -274,7 +274,7 @@
 // Checks that entries beyond the queue's limit are summed instead of dropped while the disk does not respond.
 func TestFullQueueSumsEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, err := open(faultfs.New(1), testOptions(Strict, Gap))
+		b, err := open(faultfs.New(1), testOptions(Strict, RecordGap))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -296,7 +296,7 @@
 func TestCollectorUnavailableWhilePeriodsClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New(1)
-		opt := testOptions(Strict, Gap)
+		opt := testOptions(Strict, RecordGap)
 		opt.SegmentKB, opt.DiskKB, opt.ExportMs = 64, 2048, 1000
 		b, err := open(disk, opt)
 		if err != nil {
@@ -370,11 +370,11 @@
 			var off time.Duration
 			s := testConfig("n1")
 			s.Wall = func() time.Time { return time.Now().Add(off) }
-			k, err := Open(faultfs.New(1), testOptions(Strict, Gap), s, discardLog)
+			k, err := Open(faultfs.New(1), testOptions(Strict, RecordGap), s, discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
-			b := &testStore{Keeper: k}
+			b := &testStore{Store: k}
 			serve := func(d time.Duration) {
 				for range int(d / time.Second) {
 					b.record(0)
@@ -431,7 +431,7 @@
 func TestSettingsChangedBetweenStarts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New(1)
-		opt := testOptions(Strict, Gap)
+		opt := testOptions(Strict, RecordGap)
 		b, err := open(disk, opt)
 		if err != nil {
 			t.Fatal(err)
@@ -445,7 +445,7 @@
 			t.Fatal(err)
 		}
 		disk.Kill()
-		opt.Period, opt.Zone = "day", "UTC"
+		opt.Period, opt.TimeZone = "day", "UTC"
 		s := testConfig("n1")
 		s.Stands = []string{"west", "south"}
 		k, err := Open(disk, opt, s, discardLog)
@@ -456,7 +456,7 @@
 		if diff := cmp.Diff(was, now); diff != "" || err != nil {
 			t.Errorf("%s %v", diff, err)
 		}
-		b = &testStore{Keeper: k}
+		b = &testStore{Store: k}
 		b.record(0)
 		b.record(1)
 		b.advance(6 * time.Second)
@@ -481,15 +481,15 @@
 func TestInvalidFilesRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		other := faultfs.New(2)
-		if _, err := Open(other, testOptions(Relaxed, Gap), testConfig("n2"), discardLog); err != nil {
+		if _, err := Open(other, testOptions(Relaxed, RecordGap), testConfig("n2"), discardLog); err != nil {
 			t.Fatal(err)
 		}
 		for name, x := range map[string]struct {
 			corrupt func(*faultfs.Disk)
 			want    error
 		}{
-			"another server":  {func(disk *faultfs.Disk) { disk.Put(identityFileName, other.Bytes(identityFileName)) }, ErrForeign},
-			"another segment": {func(disk *faultfs.Disk) { disk.Put("0000000001.wal", other.Bytes("0000000001.wal")) }, wal.ErrForeign},
+			"another server":  {func(disk *faultfs.Disk) { disk.Put(identityFileName, other.Bytes(identityFileName)) }, ErrOtherServer},
+			"another segment": {func(disk *faultfs.Disk) { disk.Put("0000000001.wal", other.Bytes("0000000001.wal")) }, wal.ErrOtherOwner},
 			"newer": {func(disk *faultfs.Disk) {
 				disk.Put(identityFileName, []byte(`{"version":2,"box":"n1","ledger":"00000000000000000000000000000000"}`))
 			}, ledger.ErrNewer},
@@ -502,7 +502,7 @@
 			}, new(wal.DamageError)},
 		} {
 			disk := faultfs.New(1)
-			b, err := open(disk, testOptions(Relaxed, Gap))
+			b, err := open(disk, testOptions(Relaxed, RecordGap))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -514,7 +514,7 @@
 			x.corrupt(disk)
 			names, _ := disk.List()
 			var damage *wal.DamageError
-			_, err = open(disk, testOptions(Relaxed, Gap))
+			_, err = open(disk, testOptions(Relaxed, RecordGap))
 			if err == nil || x.want != nil && !errors.Is(err, x.want) && !errors.As(err, &damage) {
 				t.Errorf("%s: %v", name, err)
 			}
@@ -529,7 +529,7 @@
 func TestInbox(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		disk := faultfs.New(1)
-		b, err := open(disk, testOptions(Relaxed, Gap))
+		b, err := open(disk, testOptions(Relaxed, RecordGap))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -538,14 +538,14 @@
 		bad.ID, bad.Stand = "c2", "west"
 		for range 2 {
 			for _, x := range []ledger.Correction{c, bad} {
-				if err := Submit(disk, x); err != nil {
+				if err := SubmitCorrection(disk, x); err != nil {
 					t.Fatal(err)
 				}
 			}
 			disk.Put("zz"+correctionSuffix, []byte("{"))
 			b.advance(time.Second)
-			good, ok, err := Answered(disk, "c1")
-			refused, ok2, err2 := Answered(disk, "c2")
+			good, ok, err := ReadCorrectionResult(disk, "c1")
+			refused, ok2, err2 := ReadCorrectionResult(disk, "c2")
 			if !ok || !good.Booked || err != nil || !ok2 || refused.Booked || refused.Why != `unknown stand "west"` || err2 != nil {
 				t.Errorf("%+v %v, %+v %v", good, err, refused, err2)
 			}
@@ -558,7 +558,7 @@
 		if slices.ContainsFunc(names, func(n string) bool { return n == "zz"+correctionSuffix }) {
 			t.Error("an unreadable file was not removed")
 		}
-		read, _, err := Read(disk, testOptions(Relaxed, Gap))
+		read, _, err := ReadLedger(disk, testOptions(Relaxed, RecordGap))
 		if err != nil || !cmp.Equal(read.Snapshot(), b.ledger.Snapshot()) {
 			t.Errorf("read while the server runs: %v", err)
 		}
@@ -576,14 +576,14 @@
 	if _, err := disk.Lock(); !errors.Is(err, wal.ErrLocked) {
 		t.Errorf("a second owner: %v", err)
 	}
-	k, err := Open(disk, testOptions(Strict, Gap), testConfig("n1"), discardLog)
+	k, err := Open(disk, testOptions(Strict, RecordGap), testConfig("n1"), discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	confirmed := make(chan uint64, 10)
 	k.Attach(func(e core.Event) { confirmed <- e.(core.LedgerWritten).Through }, k.began)
 	go k.Run()
-	b := &testStore{Keeper: k}
+	b := &testStore{Store: k}
 	b.record(0)
 	k.Flush()
 	if n := <-confirmed; n != 1 {
@@ -599,7 +599,7 @@
 	if _, err := k.Totals(context.Background()); !errors.Is(err, ErrClosed) {
 		t.Errorf("%v", err)
 	}
-	book, _, err := Read(disk, testOptions(Strict, Gap))
+	book, _, err := ReadLedger(disk, testOptions(Strict, RecordGap))
 	if s, _ := book.Totals(); err != nil || s.Booked[ledger.Requests] != 2 {
 		t.Errorf("%+v, %v", s, err)
 	}
--- a/internal/keeper/open.go
+++ b/internal/ledgerstore/open.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"fmt"
@@ -15,9 +15,9 @@
 	"larchscale/internal/wal"
 )
 
-// Site describes the server whose ledger is opened.
-type Site struct {
-	Box             string
+// Config describes the server whose ledger is opened.
+type Config struct {
+	Server          string
 	Stands, Classes []string         // names in the order of the core's indexes
 	Boot            string           // identifies the boot of the machine
 	Wall            func() time.Time // nil = time.Now
@@ -25,8 +25,8 @@
 
 // Open opens the ledger in fs, or creates one, and writes the start of this incarnation. It fails if the files belong
 // to another server, were written by a newer version or are damaged. Entries are written once Run is called.
-func Open(fs wal.FS, opt Options, config Site, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{opt: opt, fs: fs, log: log, began: time.Now(), wall: config.Wall, wake: make(chan struct{}, 1), calls: make(chan func()),
+func Open(fs wal.FS, opt Options, config Config, log *slog.Logger) (*Store, error) {
+	k := &Store{opt: opt, fs: fs, log: log, began: time.Now(), wall: config.Wall, wake: make(chan struct{}, 1), calls: make(chan func()),
 		stop: make(chan struct{}), ended: make(chan struct{}), batchPositions: map[uint64]wal.Position{}, sealed: make(chan struct{}, 1),
 		sparse: map[sumKey]*ledger.Entry{}, sink: func(core.Event) {}}
 	if k.wall == nil {
@@ -35,12 +35,12 @@
 	k.retry = backoff.NewExponentialBackOff()
 	k.retry.InitialInterval, k.retry.MaxInterval = 100*time.Millisecond, 2*time.Second
 	k.observeClock()
-	id, err := openIdentity(fs, config.Box)
+	id, err := openIdentity(fs, config.Server)
 	if err != nil {
 		return nil, err
 	}
 	now := k.now()
-	k.ledger = ledger.NewBook(config.Box, id, opt.policy(), now)
+	k.ledger = ledger.NewBook(config.Server, id, opt.policy(), now)
 	cut, err := k.replayLog(id)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 }
 
 // replayLog replays the log into the in-memory ledger. It returns the torn tail of the log, if any.
-func (k *Keeper) replayLog(id ledger.ID) (*wal.Cut, error) {
+func (k *Store) replayLog(id ledger.ID) (*wal.TornTail, error) {
 	log, recovered, err := wal.Open(wal.Options{FS: k.fs, Owner: logOwner(k.ledger.Box, id), Segment: int64(k.opt.SegmentKB) << 10},
 		func(lsn uint64, at wal.Position, rec []byte) error {
 			if err := replay(k.ledger, k.batchPositions, at, rec); err != nil {
@@ -64,7 +64,7 @@
 			return nil
 		})
 	k.wal = log
-	return recovered.Cut, err
+	return recovered.TornTail, err
 }
 
 // replay applies a record that was read from the log and remembers the position of a batch's bytes.
@@ -84,7 +84,7 @@
 }
 
 // startIncarnation writes the start of an incarnation in a new segment, with the gap that an earlier incarnation left.
-func (k *Keeper) startIncarnation(config Site, now int64) error {
+func (k *Store) startIncarnation(config Config, now int64) error {
 	k.ledger.SetPolicy(k.opt.policy())
 	names, err := k.ledger.ProposeNames(append([]string{""}, config.Stands...), config.Classes)
 	if err != nil {
@@ -112,7 +112,7 @@
 	lastOutage := readOutage(k.fs)
 	if k.slotWrites = lastOutage.count; lastOutage.segment != 0 && lastOutage.segment == k.wal.Segment() {
 		lost := lastOutage.later
-		if k.wal.Next() <= lastOutage.lsn {
+		if k.wal.NextLSN() <= lastOutage.lsn {
 			for stand, n := range lastOutage.first {
 				lost[stand] += n
 			}
@@ -132,8 +132,8 @@
 		return err
 	}
 	err = k.rollSegment()
-	if err != nil && k.opt.OnFailure == Gap {
-		k.beginOutage(k.wal.Next(), err)
+	if err != nil && k.opt.OnFailure == RecordGap {
+		k.beginOutage(k.wal.NextLSN(), err)
 		return nil
 	}
 	return err
--- a/internal/keeper/queue.go
+++ b/internal/ledgerstore/queue.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"time"
@@ -15,7 +15,7 @@
 }
 
 // Record implements core.UsageLedger.
-func (k *Keeper) Record(u core.Usage) uint64 {
+func (k *Store) Record(u core.Usage) uint64 {
 	offset := int64(k.coreStart) + k.offset.Load()
 	entry := ledger.Entry{Began: (int64(u.Began) + offset) / 1e6, Ended: (int64(u.Ended) + offset) / 1e6, Stand: k.noStand, Class: k.classIndex[u.Class], End: u.End, Replay: u.Replay, Figures: u.Figures}
 	if u.Tenant >= 0 {
@@ -37,7 +37,7 @@
 
 // addToSum adds an entry to a sum instead of queueing it: in relaxed mode every entry, in strict mode those beyond the
 // queue's limit. It prevents memory use from growing while the disk does not respond.
-func (k *Keeper) addToSum(e ledger.Entry) {
+func (k *Store) addToSum(e ledger.Entry) {
 	quarter := e.Began / quarterMs
 	if quarter != k.denseQuarter && len(k.denseUsed) == 0 {
 		k.denseQuarter = quarter
@@ -68,7 +68,7 @@
 }
 
 // drainSums removes all sums and appends them to list.
-func (k *Keeper) drainSums(list []ledger.Entry) []ledger.Entry {
+func (k *Store) drainSums(list []ledger.Entry) []ledger.Entry {
 	for _, i := range k.denseUsed {
 		list = append(list, k.dense[i])
 		k.dense[i] = ledger.Entry{}
@@ -82,7 +82,7 @@
 }
 
 // Flush implements core.UsageLedger. In relaxed mode entries wait for the next periodic write.
-func (k *Keeper) Flush() {
+func (k *Store) Flush() {
 	if k.opt.Mode == Relaxed {
 		return
 	}
@@ -93,8 +93,8 @@
 }
 
 // Ready implements core.UsageLedger. With on_failure = refuse, a disk that fails or does not respond stops new work.
-func (k *Keeper) Ready() bool {
-	if k.opt.OnFailure == Gap {
+func (k *Store) Ready() bool {
+	if k.opt.OnFailure == RecordGap {
 		return true
 	}
 	if k.failing.Load() {
@@ -106,7 +106,7 @@
 }
 
 // Strict implements core.UsageLedger.
-func (k *Keeper) Strict() bool { return k.opt.Mode == Strict }
+func (k *Store) Strict() bool { return k.opt.Mode == Strict }
 
 // SendOverdue implements core.UsageLedger.
-func (k *Keeper) SendOverdue() bool { return k.opt.OnFailure == Gap }
+func (k *Store) SendOverdue() bool { return k.opt.OnFailure == RecordGap }
--- a/internal/keeper/slot.go
+++ b/internal/ledgerstore/slot.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"encoding/binary"
--- a/internal/keeper/write.go
+++ b/internal/ledgerstore/write.go
@@ -1,4 +1,4 @@
-package keeper
+package ledgerstore
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 )
 
 // write moves all waiting entries into the in-memory ledger and writes them to the log as one group.
-func (k *Keeper) write() {
+func (k *Store) write() {
 	k.lastWrite = time.Now()
 	k.mu.Lock()
 	entries, through := k.drainSums(k.queue), k.lastTicket
@@ -48,9 +48,9 @@
 
 // recordMissing writes to the outage slot how many entries would be missing if the process died now. It reports whether
 // the entries may be confirmed.
-func (k *Keeper) recordMissing(counts map[uint16]int64) bool {
+func (k *Store) recordMissing(counts map[uint16]int64) bool {
 	k.outage.add(counts, len(k.outage.first) == 0)
-	if k.opt.OnFailure != Gap {
+	if k.opt.OnFailure != RecordGap {
 		return false
 	}
 	k.outage.count, k.outage.at = k.slotWrites, k.now()
@@ -60,13 +60,13 @@
 }
 
 // appendRecord appends a record, and syncs the log if sync is set. An error begins an outage.
-func (k *Keeper) appendRecord(rec []byte, sync bool) error {
+func (k *Store) appendRecord(rec []byte, sync bool) error {
 	_, err := k.appendRecordAt(rec, sync)
 	return err
 }
 
-func (k *Keeper) appendRecordAt(rec []byte, sync bool) (wal.Position, error) {
-	lsn := k.wal.Next()
+func (k *Store) appendRecordAt(rec []byte, sync bool) (wal.Position, error) {
+	lsn := k.wal.NextLSN()
 	at, err := k.wal.Append(rec)
 	if err == nil && sync {
 		err = k.wal.Sync()
@@ -80,7 +80,7 @@
 }
 
 // beginOutage begins an outage: entries are kept in memory until a new segment with the whole ledger can be written.
-func (k *Keeper) beginOutage(lsn uint64, err error) {
+func (k *Store) beginOutage(lsn uint64, err error) {
 	if k.outage != nil {
 		return
 	}
@@ -93,7 +93,7 @@
 
 // applyAndAppend applies a record to the in-memory ledger and writes it. If it cannot be written now, the snapshot in
 // the next segment includes it.
-func (k *Keeper) applyAndAppend(rec []byte) {
+func (k *Store) applyAndAppend(rec []byte) {
 	if err := k.ledger.Apply(rec); err != nil {
 		k.log.Error("ledger", "do", "apply", "err", err)
 		return
@@ -104,9 +104,9 @@
 }
 
 // commitRecord syncs a record to disk before it applies the record to the in-memory ledger.
-func (k *Keeper) commitRecord(rec []byte) (wal.Position, error) {
+func (k *Store) commitRecord(rec []byte) (wal.Position, error) {
 	if k.outage != nil {
-		return wal.Position{}, k.wal.Failed()
+		return wal.Position{}, k.wal.Err()
 	}
 	at, err := k.appendRecordAt(rec, true)
 	if err != nil {
@@ -120,7 +120,7 @@
 }
 
 // rollSegment begins a new segment with a snapshot of the ledger and the pending batches.
-func (k *Keeper) rollSegment() error {
+func (k *Store) rollSegment() error {
 	keep := [][]byte{k.ledger.Snapshot()}
 	pending := k.ledger.Pending()
 	for _, s := range pending {
--- a/internal/peers/asked_test.go
+++ b/internal/peers/asked_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"larchscale/internal/capacity"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/link"
 	"larchscale/internal/peers"
 	"larchscale/internal/scenario/certs"
@@ -39,7 +39,7 @@
 func newStubLedger(servers int) *stubLedger {
 	known := &stubLedger{}
 	for server := range servers {
-		for period := range keeper.Defaults().Keep + 1 {
+		for period := range ledgerstore.Defaults().KeepPeriods + 1 {
 			known.digests = append(known.digests, ledger.Digest{Box: fmt.Sprintf("server-%04d", server), Start: 1_790_000_000_000 + int64(period),
 				Seq: 1_000_000, Closed: 1_790_000_000_000, Gone: 1_700_000_000_000})
 		}
@@ -110,11 +110,11 @@
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			asking := newAskingPeer(b, servers)
 			ctx := context.Background()
-			asking.Round(ctx)
+			asking.AskAll(ctx)
 			b.ResetTimer()
 			before := processorTime(b)
 			for range b.N {
-				asking.Round(ctx)
+				asking.AskAll(ctx)
 			}
 			each := float64((processorTime(b) - before).Nanoseconds()) / 1000 / float64(b.N)
 			b.ReportMetric(each, "cpu-us/op")
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// Book is the server's own ledger.
-type Book interface {
+// Ledger is the server's own ledger.
+type Ledger interface {
 	// PeriodStates returns the digest and the encoded sealed state of each period.
 	PeriodStates(ctx context.Context) ([]ledger.Digest, [][]byte, error)
 }
@@ -50,7 +50,7 @@
 type Peers struct {
 	options    Options
 	self       string
-	book       Book
+	book       Ledger
 	log        *slog.Logger
 	link       *link.Link
 	mu         sync.Mutex
@@ -59,7 +59,7 @@
 }
 
 // New returns the exchange of server self, which asks its peers over l.
-func New(opt Options, self string, book Book, l *link.Link, log *slog.Logger) *Peers {
+func New(opt Options, self string, book Ledger, l *link.Link, log *slog.Logger) *Peers {
 	return &Peers{options: opt, self: self, book: book, log: log, link: l, table: ledger.NewPeers(self), unanswered: map[string]bool{}}
 }
 
@@ -107,7 +107,7 @@
 // Run asks all peers repeatedly until ctx ends. A peer that does not answer does not delay the others.
 func (p *Peers) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.Round(ctx)
+		p.AskAll(ctx)
 		every := time.Duration(p.options.EveryMs) * time.Millisecond
 		select {
 		case <-ctx.Done():
@@ -116,8 +116,8 @@
 	}
 }
 
-// Round asks each peer once, all concurrently.
-func (p *Peers) Round(ctx context.Context) {
+// AskAll asks each peer once, all concurrently.
+func (p *Peers) AskAll(ctx context.Context) {
 	var requests sync.WaitGroup
 	for _, peer := range p.options.Peers() {
 		requests.Go(func() {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -15,8 +15,8 @@
 
 	"larchscale/internal/core"
 	"larchscale/internal/faultfs"
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/link"
 	"larchscale/internal/scenario/certs"
 )
@@ -26,7 +26,7 @@
 // testServer is one server with its ledger and its exchange.
 type testServer struct {
 	name   string
-	ledger *keeper.Keeper
+	ledger *ledgerstore.Store
 	peers  *Peers
 	addr   string
 	stop   context.CancelFunc
@@ -35,11 +35,11 @@
 // newTestServer starts the ledger of a server that has served n requests and sealed them.
 func newTestServer(t *testing.T, name string, n int) *testServer {
 	t.Helper()
-	o := keeper.Defaults()
+	o := ledgerstore.Defaults()
 	o.Dir, o.Period, o.ExportMs, o.WriteMs = "-", "day", 10, 5
 	noon := time.Date(2026, 11, 15, 12, 0, 0, 0, time.UTC)
 	began := time.Now()
-	k, err := keeper.Open(faultfs.New(1), o, keeper.Site{Box: name, Stands: []string{"north"}, Classes: []string{"quote"},
+	k, err := ledgerstore.Open(faultfs.New(1), o, ledgerstore.Config{Server: name, Stands: []string{"north"}, Classes: []string{"quote"},
 		Wall: func() time.Time { return noon.Add(time.Since(began)) }}, discardLog)
 	if err != nil {
 		t.Fatal(err)
@@ -135,7 +135,7 @@
 				server.peers.options.Servers = append(server.peers.options.Servers, other.name+"="+other.addr)
 			}
 		}
-		server.peers.Round(t.Context())
+		server.peers.AskAll(t.Context())
 	}
 	for _, server := range servers[:3] {
 		if n, _ := server.total(t); n != 321 { // n4 presents a certificate of n9
@@ -147,14 +147,14 @@
 	}
 	servers[2].stop()
 	servers[1].recordRequests(t, 1000)
-	servers[0].peers.Round(t.Context())
+	servers[0].peers.AskAll(t.Context())
 	if n, _ := servers[0].total(t); n != 1321 || !servers[0].peers.unanswered["n3"] {
 		t.Errorf("with n3 unavailable: %d requests", n)
 	}
 	stranger := newTestServer(t, "n2", 7)
 	stranger.join(t, "127.0.0.1:0", optionsFor("stranger"))
 	servers[0].peers.options.Servers = []string{"n2=" + stranger.addr}
-	servers[0].peers.Round(t.Context())
+	servers[0].peers.AskAll(t.Context())
 	if n, _ := servers[0].total(t); n != 1321 {
 		t.Errorf("a server of another authority was accepted: %d requests", n)
 	}
@@ -202,7 +202,7 @@
 	n1.join(t, "127.0.0.1:0", Options{Options: link.Options{Servers: []string{"n2=" + n2.addr, "n3=" + l.Addr().String()}}})
 	for _, answer := range []string{"garbage", "redirect", "large", "empty", "cut", "n2's"} {
 		mode.Store(answer)
-		n1.peers.Round(t.Context())
+		n1.peers.AskAll(t.Context())
 		if n, _ := n1.total(t); n != 21 || n1.peers.unanswered["n2"] {
 			t.Errorf("%s: %d requests", answer, n)
 		}
--- a/internal/sequential/sequential.go
+++ b/internal/sequential/sequential.go
@@ -21,8 +21,8 @@
 	"larchscale/internal/fleet/limits"
 )
 
-// ErrPlan reports an invalid plan.
-var ErrPlan = errors.New("invalid plan")
+// ErrInvalidPlan reports an invalid plan.
+var ErrInvalidPlan = errors.New("invalid plan")
 
 // Limits of a plan.
 const (
@@ -54,7 +54,7 @@
 	Guards   []Guard
 }
 
-// Check returns an error that wraps ErrPlan if a parameter is out of range.
+// Check returns an error that wraps ErrInvalidPlan if a parameter is out of range.
 func (p *Plan) Check() error {
 	for _, c := range []struct {
 		name  string
@@ -62,27 +62,27 @@
 		limit float64
 	}{{"alpha", p.Alpha, 0.2}, {"futility", p.Futility, 0.2}, {"harm", p.Harm, 0.2}, {"void", p.Void, 0.05}} {
 		if !(c.value >= 1e-6 && c.value <= c.limit) {
-			return fmt.Errorf("%s is %v, must be 1e-6 to %v: %w", c.name, c.value, c.limit, ErrPlan)
+			return fmt.Errorf("%s is %v, must be 1e-6 to %v: %w", c.name, c.value, c.limit, ErrInvalidPlan)
 		}
 	}
 	switch {
 	case !(p.Base > 0 && p.Base < 1):
-		return fmt.Errorf("base is %v, must be between 0 and 1: %w", p.Base, ErrPlan)
+		return fmt.Errorf("base is %v, must be between 0 and 1: %w", p.Base, ErrInvalidPlan)
 	case !(p.Effect >= 0.001 && p.Effect < 1):
-		return fmt.Errorf("effect is %v, must be at least 0.001 and below 1: %w", p.Effect, ErrPlan)
+		return fmt.Errorf("effect is %v, must be at least 0.001 and below 1: %w", p.Effect, ErrInvalidPlan)
 	case !(p.Margin >= 0.001 && p.Margin <= p.Effect):
-		return fmt.Errorf("margin is %v, must be 0.001 to the effect of %v: %w", p.Margin, p.Effect, ErrPlan)
+		return fmt.Errorf("margin is %v, must be 0.001 to the effect of %v: %w", p.Margin, p.Effect, ErrInvalidPlan)
 	case !(p.Ratio >= minRatio && p.Ratio <= 1-minRatio):
-		return fmt.Errorf("ratio is %v, must be %v to %v: %w", p.Ratio, minRatio, 1-minRatio, ErrPlan)
+		return fmt.Errorf("ratio is %v, must be %v to %v: %w", p.Ratio, minRatio, 1-minRatio, ErrInvalidPlan)
 	case p.Least < 1:
-		return fmt.Errorf("minimum units per arm is %d, must be at least 1: %w", p.Least, ErrPlan)
+		return fmt.Errorf("minimum units per arm is %d, must be at least 1: %w", p.Least, ErrInvalidPlan)
 	case len(p.Guards) > MaxGuards:
-		return fmt.Errorf("%d guards, the limit is %d: %w", len(p.Guards), MaxGuards, ErrPlan)
+		return fmt.Errorf("%d guards, the limit is %d: %w", len(p.Guards), MaxGuards, ErrInvalidPlan)
 	}
 	for i, g := range p.Guards {
 		if g.Name == "" || len(g.Name) > maxNameBytes || !(g.Base > 0 && g.Base < 1) || !(g.Tolerance >= 0 && g.Tolerance < 1) ||
 			slices.ContainsFunc(p.Guards[:i], func(x Guard) bool { return x.Name == g.Name }) {
-			return fmt.Errorf("guard %q with base %v and tolerance %v: %w", g.Name, g.Base, g.Tolerance, ErrPlan)
+			return fmt.Errorf("guard %q with base %v and tolerance %v: %w", g.Name, g.Base, g.Tolerance, ErrInvalidPlan)
 		}
 	}
 	return nil
@@ -108,16 +108,16 @@
 // Verdict is the outcome of an evaluation.
 type Verdict uint8
 
-// The verdicts. All except GoOn end a test.
+// The verdicts. All except Continue end a test.
 const (
-	GoOn     Verdict = iota
-	A                // A is better
-	B                // B is better
-	None             // the arms differ by less than the margin
-	Harm             // B is worse in a guard than tolerated
-	Void             // units are not assigned in the planned ratio: no count can be trusted
-	Deadline         // the time is over and no difference is shown
-	Stopped          // ended by an operator
+	Continue     Verdict = iota
+	A                    // A is better
+	B                    // B is better
+	NoDifference         // the arms differ by less than the margin
+	Harm                 // B is worse in a guard than tolerated
+	Void                 // units are not assigned in the planned ratio: no count can be trusted
+	Deadline             // the time is over and no difference is shown
+	Stopped              // ended by an operator
 )
 
 var verdictNames = [...]string{"go on", "A", "B", "none", "harm", "void", "deadline", "stopped"}
@@ -151,9 +151,9 @@
 	Difference float64  // estimated worth of B minus A per unit; 0 without units
 }
 
-// Look evaluates the current counts. Strata must be sorted by block, and by server within a block; over reports that
+// Evaluate evaluates the current counts. Strata must be sorted by block, and by server within a block; over reports that
 // the time of the test has ended. The cost is a few hundred nanoseconds per stratum.
-func Look(p *Plan, strata []Stratum, over bool) Result {
+func Evaluate(p *Plan, strata []Stratum, over bool) Result {
 	var r Result
 	for i := range strata {
 		for a := range r.Units {
@@ -201,10 +201,10 @@
 		requiredNone := math.Log(1 / p.Futility)
 		explanation += fmt.Sprintf("; for less than %.4f either way e^%.2f of e^%.2f", p.Margin, evidenceNone, requiredNone)
 		if evidenceNone >= requiredNone {
-			r.Verdict = None
+			r.Verdict = NoDifference
 		}
 	}
-	if r.Verdict == GoOn && over {
+	if r.Verdict == Continue && over {
 		r.Verdict = Deadline
 	}
 	r.Why = explanation
--- a/internal/sequential/sequential_test.go
+++ b/internal/sequential/sequential_test.go
@@ -38,13 +38,13 @@
 				strata[at+server].Arms[arm].addUnit(rng, worth, w.guard[arm])
 			}
 			if unit%10 == 9 {
-				if result = Look(p, strata, false); result.Verdict != GoOn {
+				if result = Evaluate(p, strata, false); result.Verdict != Continue {
 					return result
 				}
 			}
 		}
 	}
-	return Look(p, strata, true)
+	return Evaluate(p, strata, true)
 }
 
 func (a *Arm) addUnit(rng *rand.Rand, means ...float64) {
@@ -72,13 +72,13 @@
 		least float64 // minimum share of trials that end with want
 		never map[Verdict]float64
 	}{
-		{"A against A", simulation{worth: same, guard: same, unitsPerBlock: 300, blocks: 10}, None, 0.5, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
-		{"A against A, with load peaks", simulation{worth: same, guard: same, loadPenalty: 0.6, unitsPerBlock: 300, blocks: 10}, None, 0, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
-		{"B better as planned", simulation{worth: [2]float64{0.9, 0.97}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.9, map[Verdict]float64{A: limitFor(0.001), None: limitFor(0.05)}},
-		{"A better as planned", simulation{worth: [2]float64{0.97, 0.9}, guard: same, unitsPerBlock: 300, blocks: 10}, A, 0.9, map[Verdict]float64{B: limitFor(0.001), None: limitFor(0.05)}},
-		{"B better by the margin", simulation{worth: [2]float64{0.9, 0.9334}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.1, map[Verdict]float64{A: limitFor(0.001), None: limitFor(0.05)}},
+		{"A against A", simulation{worth: same, guard: same, unitsPerBlock: 300, blocks: 10}, NoDifference, 0.5, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
+		{"A against A, with load peaks", simulation{worth: same, guard: same, loadPenalty: 0.6, unitsPerBlock: 300, blocks: 10}, NoDifference, 0, map[Verdict]float64{A: limitFor(0.025), B: limitFor(0.025), Harm: limitFor(0.01), Void: limitFor(0.001)}},
+		{"B better as planned", simulation{worth: [2]float64{0.9, 0.97}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.9, map[Verdict]float64{A: limitFor(0.001), NoDifference: limitFor(0.05)}},
+		{"A better as planned", simulation{worth: [2]float64{0.97, 0.9}, guard: same, unitsPerBlock: 300, blocks: 10}, A, 0.9, map[Verdict]float64{B: limitFor(0.001), NoDifference: limitFor(0.05)}},
+		{"B better by the margin", simulation{worth: [2]float64{0.9, 0.9334}, guard: same, unitsPerBlock: 300, blocks: 10}, B, 0.1, map[Verdict]float64{A: limitFor(0.001), NoDifference: limitFor(0.05)}},
 		{"B better, but harmful", simulation{worth: [2]float64{0.8, 0.95}, guard: [2]float64{0.9, 0.4}, unitsPerBlock: 300, blocks: 10}, Harm, 0.95, nil},
-		{"tolerated harm", simulation{worth: same, guard: [2]float64{0.9, 0.88}, unitsPerBlock: 300, blocks: 10}, None, 0.5, map[Verdict]float64{Harm: limitFor(0.01)}},
+		{"tolerated harm", simulation{worth: same, guard: [2]float64{0.9, 0.88}, unitsPerBlock: 300, blocks: 10}, NoDifference, 0.5, map[Verdict]float64{Harm: limitFor(0.01)}},
 		{"time over", simulation{worth: same, guard: same, unitsPerBlock: 100, blocks: 3}, Deadline, 0.9, nil},
 	} {
 		p := plan()
@@ -108,9 +108,9 @@
 	for i := range 800 {
 		strata[0].Arms[i%2].addUnit(rand.New(rand.NewPCG(1, uint64(i))), 0.1+0.8*float64(i%2), 0.9)
 	}
-	r := Look(&p, strata, false)
-	if p.Least = 1000; r.Verdict != B || Look(&p, strata, false).Verdict != GoOn || Look(&p, nil, false).Verdict != GoOn {
-		t.Errorf("%+v, with too few units %+v", r, Look(&p, strata, false))
+	r := Evaluate(&p, strata, false)
+	if p.Least = 1000; r.Verdict != B || Evaluate(&p, strata, false).Verdict != Continue || Evaluate(&p, nil, false).Verdict != Continue {
+		t.Errorf("%+v, with too few units %+v", r, Evaluate(&p, strata, false))
 	}
 }
 
--- a/internal/standin/box_test.go
+++ b/internal/standin/box_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"larchscale/internal/keeper"
 	"larchscale/internal/ledger"
+	"larchscale/internal/ledgerstore"
 	"larchscale/internal/link"
 	"larchscale/internal/peers"
 	"larchscale/internal/standin"
@@ -39,12 +39,12 @@
 	site      *standin.Site
 	box       *standin.Box
 	collector *standin.Collector
-	opt       keeper.Options
+	opt       ledgerstore.Options
 }
 
 func newWorld(t *testing.T, mode string, faults float64) *world {
 	t.Helper()
-	w := &world{collector: standin.NewCollector(7, faults), opt: keeper.Defaults()}
+	w := &world{collector: standin.NewCollector(7, faults), opt: ledgerstore.Defaults()}
 	w.opt.Period = "hour"
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err == nil {
@@ -72,7 +72,7 @@
 func (w *world) settle(t *testing.T) *ledger.Fleet {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		b, _, err := keeper.Read(wal.Dir(w.box.Dir), w.opt)
+		b, _, err := ledgerstore.ReadLedger(wal.Dir(w.box.Dir), w.opt)
 		if err == nil && !b.Waits() && len(b.Pending()) == 0 {
 			break
 		}
@@ -104,7 +104,7 @@
 // A collector that fails in every way a third of the time ends with totals that match what the callers saw, to
 // the single request, in both modes and on both fronts.
 func TestLedgerMatchesCallers(t *testing.T) {
-	for _, mode := range []string{keeper.Strict, keeper.Relaxed} {
+	for _, mode := range []string{ledgerstore.Strict, ledgerstore.Relaxed} {
 		w := newWorld(t, mode, 0.33)
 		c := &standin.Callers{Box: w.box, Lines: 4}
 		for i := range 4 { // so that several batches leave
@@ -131,7 +131,7 @@
 // A strict box that is killed again and again in the middle of booking and exporting never loses a result that
 // a caller has, never counts one twice, and never sends other bytes under one identity.
 func TestLedgerOutlivesKills(t *testing.T) {
-	w := newWorld(t, keeper.Strict, 0.33)
+	w := newWorld(t, ledgerstore.Strict, 0.33)
 	c := &standin.Callers{Box: w.box, Lines: 2}
 	r := rand.New(rand.NewPCG(11, 1))
 	for i := range *kills {
--- a/internal/store/redis.go
+++ b/internal/store/redis.go
@@ -44,9 +44,9 @@
 	hexSumLen  = 64
 )
 
-// Owner returns an identifier of this process for its claims. The server's name from the settings is not enough: both
+// NewOwnerID returns an identifier of this process for its claims. The server's name from the settings is not enough: both
 // processes of a replacement have the same one, and each would take the other's claims for its own.
-func Owner(server string) string {
+func NewOwnerID(server string) string {
 	return fmt.Sprintf("%s-%d-%016x", server, os.Getpid(), rand.Uint64())
 }
 
@@ -62,8 +62,8 @@
 	seed       maphash.Seed
 }
 
-// New returns a store that passes the answers to claims to sink. class lists the class names used in keys.
-func New(opt Options, owner string, class []string, sink func(core.Event), log *slog.Logger) *Redis {
+// NewRedis returns a store that passes the answers to claims to sink. class lists the class names used in keys.
+func NewRedis(opt Options, owner string, class []string, sink func(core.Event), log *slog.Logger) *Redis {
 	timeout := time.Duration(opt.TimeoutMs) * time.Millisecond
 	s := &Redis{options: opt, owner: owner, classNames: class, sink: sink, log: log, seed: maphash.MakeSeed(),
 		client: redis.NewClient(&redis.Options{Addr: opt.Redis, DialTimeout: timeout, ReadTimeout: timeout,
--- a/internal/versus/stopper.go
+++ b/internal/versus/stopper.go
@@ -27,7 +27,7 @@
 		return nil, err
 	}
 	if !(r.Full > 0) {
-		return nil, fmt.Errorf("a whole difference of %v: %w", r.Full, sequential.ErrPlan)
+		return nil, fmt.Errorf("a whole difference of %v: %w", r.Full, sequential.ErrInvalidPlan)
 	}
 	return &test{plan: p, full: r.Full}, nil
 }
@@ -51,9 +51,9 @@
 	s.Arms[arm] = sequential.Arm{Assigned: 1, N: 1}
 	s.Arms[arm].Values[0] = sequential.Sums{Sum: x, Squares: x * x}
 	t.strata = append(t.strata, s)
-	got := sequential.Look(&t.plan, t.strata, false)
+	got := sequential.Evaluate(&t.plan, t.strata, false)
 	switch got.Verdict {
-	case sequential.GoOn:
+	case sequential.Continue:
 		return false, ""
 	case sequential.A:
 		return true, fmt.Sprintf("after %d seeds the second is better: %s", len(t.strata), got.Why)
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -20,8 +20,8 @@
 // Sync are not durable; Roll begins a new segment.
 var ErrFailed = errors.New("the log's segment has failed")
 
-// ErrLarge reports a record larger than MaxRecord or a group larger than a frame.
-var ErrLarge = errors.New("record too large")
+// ErrTooLarge reports a record larger than MaxRecord or a group larger than a frame.
+var ErrTooLarge = errors.New("record too large")
 
 // Options configures a log.
 type Options struct {
@@ -46,25 +46,25 @@
 	file        File       // open file of seg
 }
 
-// Recovered is the result of reading a log at Open.
-type Recovered struct {
-	Records uint64
-	Cut     *Cut // a torn tail, which the next Roll leaves behind; nil if there is none
+// Recovery is the result of reading a log at Open.
+type Recovery struct {
+	Records  uint64
+	TornTail *TornTail // a torn tail, which the next Roll leaves behind; nil if there is none
 }
 
 // Open reads the newest segment of a log and passes each record to visit. It writes nothing: the first Roll begins a
 // new segment, so that records are never appended after a torn tail.
-func Open(opt Options, visit Visit) (*Log, Recovered, error) {
+func Open(opt Options, visit Visitor) (*Log, Recovery, error) {
 	if opt.Segment <= 0 {
 		opt.Segment = 8 << 20
 	}
 	l := &Log{opt: opt, next: 1, failed: ErrFailed} // Append fails until the first Roll
 	name, names, err := findNewest(opt.FS)
 	if err != nil {
-		return nil, Recovered{}, err
+		return nil, Recovery{}, err
 	}
 	l.staleFiles = names
-	var recovered Recovered
+	var recovered Recovery
 	if name != "" {
 		newest, err := scanSegment(opt.FS, name, opt.Owner, visit)
 		if err != nil {
@@ -75,15 +75,15 @@
 		}
 		l.seg, l.next, l.lastSegment, recovered.Records = newest, newest.next, newest.segment, newest.next-newest.first
 		if newest.tornTail.Bytes > 0 {
-			recovered.Cut = &newest.tornTail
+			recovered.TornTail = &newest.tornTail
 		}
 	}
 	l.synced = l.next
 	return l, recovered, nil
 }
 
-// Next returns the LSN of the next record.
-func (l *Log) Next() uint64 { return l.next }
+// NextLSN returns the LSN of the next record.
+func (l *Log) NextLSN() uint64 { return l.next }
 
 // Segment returns the number of the newest segment, or 0 if there is none.
 func (l *Log) Segment() uint32 {
@@ -93,11 +93,11 @@
 	return l.seg.segment
 }
 
-// Failed returns the reason why the newest segment takes no more records, or nil if it does.
-func (l *Log) Failed() error { return l.failed }
+// Err returns the reason why the newest segment takes no more records, or nil if it does.
+func (l *Log) Err() error { return l.failed }
 
-// Full reports whether the newest segment has reached its size limit, not counting the records that it began with.
-func (l *Log) Full() bool { return l.seg.size-l.initialSize >= l.opt.Segment }
+// NeedsRoll reports whether the newest segment has reached its size limit, not counting the records that it began with.
+func (l *Log) NeedsRoll() bool { return l.seg.size-l.initialSize >= l.opt.Segment }
 
 // Size returns the bytes of the newest segment.
 func (l *Log) Size() int64 {
@@ -120,7 +120,7 @@
 	size := 0
 	for _, r := range records {
 		if size += len(r) + 10; len(r) > MaxRecord || size > maxFrame {
-			return nil, ErrLarge
+			return nil, ErrTooLarge
 		}
 	}
 	l.buf = appendFrame(l.buf[:0], l.next, l.synced, records)
@@ -247,13 +247,13 @@
 	return positions, f, l.opt.FS.SyncDir()
 }
 
-// ReadAt reads a record again. It may be called from any goroutine. It returns ErrGone if Roll has removed the
+// ReadAt reads a record again. It may be called from any goroutine. It returns ErrSegmentRemoved if Roll has removed the
 // segment.
 func (l *Log) ReadAt(p Position) ([]byte, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.seg == nil || l.file == nil || p.Segment != l.seg.segment || p.Size < 0 || p.Offset+int64(p.Size) > l.seg.size {
-		return nil, ErrGone
+		return nil, ErrSegmentRemoved
 	}
 	b := make([]byte, p.Size)
 	if _, err := l.file.ReadAt(b, p.Offset); err != nil {
@@ -262,8 +262,8 @@
 	return b, nil
 }
 
-// ErrGone reports a position in a segment that has been removed.
-var ErrGone = errors.New("the record's segment was removed")
+// ErrSegmentRemoved reports a position in a segment that has been removed.
+var ErrSegmentRemoved = errors.New("the record's segment was removed")
 
 // Close closes the file without syncing it.
 func (l *Log) Close() error {
--- a/internal/wal/log_test.go
+++ b/internal/wal/log_test.go
@@ -21,7 +21,7 @@
 
 var owner = wal.Owner{1, 2, 3}
 
-func open(t testing.TB, disk wal.FS) (*wal.Log, []string, wal.Recovered, error) {
+func open(t testing.TB, disk wal.FS) (*wal.Log, []string, wal.Recovery, error) {
 	t.Helper()
 	var got []string
 	log, recovered, err := wal.Open(wal.Options{FS: disk, Owner: owner}, func(_ uint64, _ wal.Position, b []byte) error {
@@ -116,10 +116,10 @@
 			_, got, r, err := open(t, disk)
 			var damage *wal.DamageError
 			switch {
-			case errors.As(err, &damage), errors.Is(err, wal.ErrForeign), errors.Is(err, wal.ErrNewer):
+			case errors.As(err, &damage), errors.Is(err, wal.ErrOtherOwner), errors.Is(err, wal.ErrNewer):
 			case err != nil:
 				t.Fatalf("%d: %v", n, err)
-			case r.Cut == nil || !cmp.Equal(got, recordsOf(len(groups)-1)):
+			case r.TornTail == nil || !cmp.Equal(got, recordsOf(len(groups)-1)):
 				t.Fatalf("%d: not detected: %q", n, got)
 			}
 		}
@@ -129,7 +129,7 @@
 // Checks that a log of another owner, of a newer version or under another segment's name is refused.
 func TestOtherOwnerAndNewerFormat(t *testing.T) {
 	disk := diskWithLog(t, groups...)
-	if _, _, err := wal.Open(wal.Options{FS: disk, Owner: wal.Owner{9}}, nil); !errors.Is(err, wal.ErrForeign) {
+	if _, _, err := wal.Open(wal.Options{FS: disk, Owner: wal.Owner{9}}, nil); !errors.Is(err, wal.ErrOtherOwner) {
 		t.Errorf("foreign: %v", err)
 	}
 	newer := disk.Bytes(firstSegment)
@@ -141,7 +141,7 @@
 		t.Errorf("newer: %v", err)
 	}
 	disk.Put("0000000007.wal", disk.Bytes(firstSegment))
-	if _, _, _, err := open(t, disk); !errors.Is(err, wal.ErrForeign) {
+	if _, _, _, err := open(t, disk); !errors.Is(err, wal.ErrOtherOwner) {
 		t.Errorf("another segment's name: %v", err)
 	}
 }
--- a/internal/wal/recover.go
+++ b/internal/wal/recover.go
@@ -12,8 +12,8 @@
 // ErrNewer reports a file of a format newer than this program supports.
 var ErrNewer = errors.New("written by a newer version")
 
-// ErrForeign reports a segment that belongs to another log.
-var ErrForeign = errors.New("the segment belongs to another log")
+// ErrOtherOwner reports a segment that belongs to another log.
+var ErrOtherOwner = errors.New("the segment belongs to another log")
 
 var errHeader = errors.New("invalid segment header")
 
@@ -35,8 +35,8 @@
 	return fmt.Sprintf("%s: damaged at byte %d, records %d to %d", e.File, e.Offset, e.From, e.Before-1)
 }
 
-// Cut describes a torn tail, which was never completely durable.
-type Cut struct {
+// TornTail describes a torn tail, which was never completely durable.
+type TornTail struct {
 	File   string
 	Offset int64
 	Bytes  int64
@@ -49,8 +49,8 @@
 	Size    int
 }
 
-// Visit receives each record while a log is read. The record's bytes are valid only until Visit returns.
-type Visit func(lsn uint64, at Position, record []byte) error
+// Visitor receives each record while a log is read. The record's bytes are valid only until Visitor returns.
+type Visitor func(lsn uint64, at Position, record []byte) error
 
 // segment is one file of the log.
 type segment struct {
@@ -58,7 +58,7 @@
 	name     string
 	size     int64 // end of the last valid frame
 	next     uint64
-	tornTail Cut // bytes after size
+	tornTail TornTail // bytes after size
 }
 
 const (
@@ -88,7 +88,7 @@
 }
 
 // scanSegment reads one segment. It holds at most one chunk or one frame in memory, whichever is larger.
-func scanSegment(fs FS, name string, owner Owner, visit Visit) (*segment, error) {
+func scanSegment(fs FS, name string, owner Owner, visit Visitor) (*segment, error) {
 	f, err := fs.Open(name)
 	if err != nil {
 		return nil, err
@@ -112,11 +112,11 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if segHeader.owner != owner {
-		return nil, fmt.Errorf("%s: %w", name, ErrForeign)
+		return nil, fmt.Errorf("%s: %w", name, ErrOtherOwner)
 	}
 	seg := &segment{header: segHeader, name: name, size: headerSize, next: segHeader.first}
 	if name != segmentName(segHeader.segment) {
-		return nil, fmt.Errorf("%s: %w", name, ErrForeign)
+		return nil, fmt.Errorf("%s: %w", name, ErrOtherOwner)
 	}
 	reader := &chunkReader{f: f, size: size}
 	for seg.size < size {
@@ -170,7 +170,7 @@
 		}
 		at = found + 1
 	}
-	s.tornTail = Cut{s.name, s.size, reader.size - s.size}
+	s.tornTail = TornTail{s.name, s.size, reader.size - s.size}
 	return nil
 }
 
