--- a/cmd/larchcontrol/faults_test.go
+++ b/cmd/larchcontrol/faults_test.go
@@ -15,8 +15,8 @@
 	"larchscale/internal/fleet/controlclient"
 	"larchscale/internal/fleet/controlnode"
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/watch"
 	"larchscale/internal/standin"
 	"larchscale/internal/standin/faultnet"
@@ -291,7 +291,7 @@
 }
 
 // Report implements driver.Process.
-func (o *observer) Report() takeout.Report { return takeout.Report{Warm: true} }
+func (o *observer) Report() maintenance.Report { return maintenance.Report{Warm: true} }
 
 // HoldHealth implements driver.Process.
 func (o *observer) HoldHealth(bool) {}
--- a/cmd/larchcontrol/main_test.go
+++ b/cmd/larchcontrol/main_test.go
@@ -14,8 +14,8 @@
 
 	"larchscale/internal/fleet/controlnode"
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/scenario/certs"
 	"larchscale/internal/standin"
 )
@@ -114,7 +114,7 @@
 }
 
 func leased(stats map[string]float64) bool {
-	return stats["fleet.session"] == float64(session.Open) && stats["fleet.lease_ms"] > 0 && stats["fleet.phase"] == float64(takeout.In)
+	return stats["fleet.session"] == float64(session.Open) && stats["fleet.lease_ms"] > 0 && stats["fleet.phase"] == float64(maintenance.InService)
 }
 
 // tokens are the fencing tokens of the servers' leases. A lease that ended and was granted again under the same token is
@@ -301,12 +301,12 @@
 	f := newTier(t, false)
 	s := f.Servers[2]
 	token := s.Stats()["fleet.life"]
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{s.Name}, Most: 1, Floor: 0}
+	plan := maintenance.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{s.Name}, Most: 1, Floor: 0}
 	f.until("the plan is taken", 20*time.Second, func() bool {
-		return f.Nodes[1].Say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return f.Nodes[1].Say(driver.Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: plan}}) == nil
 	})
 	f.until("the server is out", 20*time.Second, func() bool {
-		return s.Stats()["fleet.phase"] == float64(takeout.Out) && standin.Health(s.Admin) == 503
+		return s.Stats()["fleet.phase"] == float64(maintenance.Drained) && standin.Health(s.Admin) == 503
 	})
 	if code, err := s.Stop(); code != 0 || err != nil {
 		t.Errorf("%s ended with %d: %v", s.Name, code, err)
@@ -317,7 +317,7 @@
 	f.until("the plan is done", 30*time.Second, func() bool {
 		status, err := f.Nodes[3].State()
 		plan := status.State.Plan("disks")
-		return err == nil && plan != nil && plan.State == takeout.Done && f.settled()
+		return err == nil && plan != nil && plan.State == maintenance.Done && f.settled()
 	})
 	if now := s.Stats()["fleet.life"]; now <= token {
 		t.Errorf("the new process has token %v, the old one had %v", now, token)
--- a/cmd/larchctl/dev.go
+++ b/cmd/larchctl/dev.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/ledger"
 	"larchscale/internal/ledgerstore"
 	"larchscale/internal/standin"
@@ -104,8 +104,8 @@
 		}
 	})
 	began := time.Now()
-	err = f.Members[0].Propose(context.Background(), takeout.Plan{ID: "dev", By: "larchctl", Reason: "a trial", Boxes: f.Names(), Most: 1})
-	var plan takeout.Plan
+	err = f.Members[0].Propose(context.Background(), maintenance.Plan{ID: "dev", By: "larchctl", Reason: "a trial", Boxes: f.Names(), Most: 1})
+	var plan maintenance.Plan
 	if err == nil {
 		plan, err = f.Over("dev", time.Duration(c.Boxes)*10*time.Second)
 	}
--- a/cmd/larchctl/fleet.go
+++ b/cmd/larchctl/fleet.go
@@ -15,7 +15,7 @@
 	"larchscale/internal/config"
 	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/link"
 )
 
@@ -117,7 +117,7 @@
 	return con.print(map[string]any{"done": done}, func(w io.Writer) { fmt.Fprintln(w, done) })
 }
 
-func (a *atFleet) entry(con *console, e takeout.Entry, done string) error {
+func (a *atFleet) entry(con *console, e maintenance.Entry, done string) error {
 	return a.say(con, driver.Command{Entry: e}, done)
 }
 
@@ -135,35 +135,35 @@
 	Plan    string `arg:"" help:"Its name."`
 }
 
-func (c *ofPlan) word(con *console, kind takeout.Kind, done string) error {
-	return c.entry(con, takeout.Entry{Kind: kind, Plan: takeout.Plan{ID: c.Plan}}, "plan "+c.Plan+" "+done)
+func (c *ofPlan) word(con *console, kind maintenance.Kind, done string) error {
+	return c.entry(con, maintenance.Entry{Kind: kind, Plan: maintenance.Plan{ID: c.Plan}}, "plan "+c.Plan+" "+done)
 }
 
 type pauseCmd struct {
 	ofPlan `embed:""`
 }
 
-func (c *pauseCmd) Run(con *console) error { return c.word(con, takeout.Pause, "is paused") }
+func (c *pauseCmd) Run(con *console) error { return c.word(con, maintenance.Pause, "is paused") }
 
 type resumeCmd struct {
 	ofPlan `embed:""`
 }
 
-func (c *resumeCmd) Run(con *console) error { return c.word(con, takeout.Resume, "goes on") }
+func (c *resumeCmd) Run(con *console) error { return c.word(con, maintenance.Resume, "goes on") }
 
 type replanCmd struct {
 	ofPlan `embed:""`
 }
 
 func (c *replanCmd) Run(con *console) error {
-	return c.word(con, takeout.Replan, "is arranged anew")
+	return c.word(con, maintenance.Replan, "is arranged anew")
 }
 
 type cancelCmd struct {
 	ofPlan `embed:""`
 }
 
-func (c *cancelCmd) Run(con *console) error { return c.word(con, takeout.Cancel, "is cancelled") }
+func (c *cancelCmd) Run(con *console) error { return c.word(con, maintenance.Cancel, "is cancelled") }
 
 type backCmd struct {
 	atFleet `embed:""`
@@ -171,7 +171,7 @@
 }
 
 func (c *backCmd) Run(con *console) error {
-	return c.entry(con, takeout.Entry{Kind: takeout.Step, Box: c.Name, Phase: takeout.Returning}, "box "+c.Name+" returns")
+	return c.entry(con, maintenance.Entry{Kind: maintenance.Step, Box: c.Name, Phase: maintenance.Returning}, "box "+c.Name+" returns")
 }
 
 type writeOffCmd struct {
@@ -184,9 +184,9 @@
 
 func (c *writeOffCmd) Run(con *console) error {
 	if c.ForGood {
-		return c.entry(con, takeout.Entry{Kind: takeout.Leave, Box: c.Name, By: c.By, Why: c.Reason}, "box "+c.Name+" is a member no longer")
+		return c.entry(con, maintenance.Entry{Kind: maintenance.Leave, Box: c.Name, By: c.By, Why: c.Reason}, "box "+c.Name+" is a member no longer")
 	}
-	return c.entry(con, takeout.Entry{Kind: takeout.WriteOff, Box: c.Name, By: c.By, Why: c.Reason}, "box "+c.Name+" is written off")
+	return c.entry(con, maintenance.Entry{Kind: maintenance.WriteOff, Box: c.Name, By: c.By, Why: c.Reason}, "box "+c.Name+" is written off")
 }
 
 // which are the boxes of a plan, and its bounds.
@@ -204,11 +204,11 @@
 }
 
 // plan asks how the fleet stands, and makes the plan of it.
-func (c *which) plan() (s driver.Status, p takeout.Plan, err error) {
+func (c *which) plan() (s driver.Status, p maintenance.Plan, err error) {
 	if s, err = c.state(); err != nil {
 		return s, p, err
 	}
-	p = takeout.Plan{ID: c.Plan, By: c.By, Reason: c.Reason, Boxes: c.Boxes, Most: c.Most, Floor: c.Floor}
+	p = maintenance.Plan{ID: c.Plan, By: c.By, Reason: c.Reason, Boxes: c.Boxes, Most: c.Most, Floor: c.Floor}
 	if c.Within > 0 {
 		p.Deadline = time.Now().Add(c.Within).UnixMilli()
 	}
@@ -239,7 +239,7 @@
 			done += "; for now it waits: " + strings.TrimSpace(x.Box+" "+x.Why)
 		}
 	}
-	return c.entry(con, takeout.Entry{Kind: takeout.Propose, Plan: p}, done)
+	return c.entry(con, maintenance.Entry{Kind: maintenance.Propose, Plan: p}, done)
 }
 
 type membersCmd struct {
@@ -316,12 +316,12 @@
 		}
 		p := s.State.Plan(c.Plan)
 		if p == nil {
-			return badInput{fmt.Errorf("plan %q: %w", c.Plan, takeout.ErrUnknown)}
+			return badInput{fmt.Errorf("plan %q: %w", c.Plan, maintenance.ErrUnknown)}
 		}
 		if !con.json {
 			shown.show(con.out, progress(s, *p))
 		}
-		if p.State < takeout.Done {
+		if p.State < maintenance.Done {
 			continue
 		}
 		if con.json {
@@ -329,7 +329,7 @@
 				return err
 			}
 		}
-		if p.State != takeout.Done {
+		if p.State != maintenance.Done {
 			return fmt.Errorf("plan %s is %s: %d of %d boxes are done", p.ID, p.State, len(p.Gone), len(p.Boxes))
 		}
 		return nil
@@ -353,7 +353,7 @@
 }
 
 // progress is how a plan stands, a line each: the boxes that have their turn, what the next waits for.
-func progress(s driver.Status, p takeout.Plan) []string {
+func progress(s driver.Status, p maintenance.Plan) []string {
 	out := []string{fmt.Sprintf("plan %s: %s, %d of %d done", p.ID, p.State, len(p.Gone), len(p.Boxes))}
 	for _, b := range s.Boxes {
 		if b.Plan == p.ID {
@@ -395,12 +395,12 @@
 }
 
 // ago tells how long ago a box was heard of.
-func ago(r takeout.Report, now time.Time) string {
+func ago(r maintenance.Report, now time.Time) string {
 	return now.Sub(time.UnixMilli(r.Heard)).Round(100 * time.Millisecond).String()
 }
 
 // places writes an order.
-func places(w io.Writer, order []takeout.Place) {
+func places(w io.Writer, order []maintenance.OrderItem) {
 	for i, x := range order {
 		fmt.Fprintf(w, "  %d. %s: %s\n", i+1, x.Box, x.Why)
 	}
@@ -413,7 +413,7 @@
 		leader = "led by " + s.Leader
 	}
 	fmt.Fprintf(w, "as %s sees it: %s, term %d, entry %d, digest %x\n", s.Box, leader, s.Term, s.Index, s.Digest)
-	slices.SortStableFunc(s.Boxes, func(a, b takeout.Box) int { return strings.Compare(a.Zone, b.Zone) })
+	slices.SortStableFunc(s.Boxes, func(a, b maintenance.Server) int { return strings.Compare(a.Zone, b.Zone) })
 	rows := [][]string{{"zone", "box", "phase", "plan", "load", "can", "open", "heard", "note"}}
 	for _, b := range s.Boxes {
 		row := []string{b.Zone, b.Name, b.Phase.String(), name(b.Plan), "-", "-", "-", "-", b.WrittenOff}
--- a/cmd/larchscale/fleet.go
+++ b/cmd/larchscale/fleet.go
@@ -15,10 +15,10 @@
 	"larchscale/internal/core"
 	"larchscale/internal/fleet/claimstore"
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/membership"
 	"larchscale/internal/fleet/placement"
 	"larchscale/internal/fleet/replycache"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/trials"
 	"larchscale/internal/index"
@@ -210,14 +210,14 @@
 	figures func() *core.Metrics
 	holder  *admin.HealthHolder
 	guess   float64
-	meter   takeout.Meter
+	meter   maintenance.Meter
 	read    time.Time
 	load    float64
 	most    float64
 }
 
 // Report implements driver.Process.
-func (b *body) Report() takeout.Report {
+func (b *body) Report() maintenance.Report {
 	f, now := b.figures(), time.Now()
 	if now.Sub(b.read) >= time.Second/2 {
 		served := uint64(0)
@@ -225,10 +225,10 @@
 			served += n
 		}
 		b.read = now
-		b.load, b.most = b.meter.Read(now.UnixMilli(), served, f.CoreUse, b.guess)
+		b.load, b.most = b.meter.Update(now.UnixMilli(), served, f.CoreUse, b.guess)
 	}
 	warm := !f.WarmAt.IsZero() && !now.Before(f.WarmAt)
-	return takeout.Report{Warm: warm, Open: f.Active, KeyedUntil: f.KeyedUntil.UnixMilli(), Load: b.load, Capacity: b.most, Failing: !f.Serving}
+	return maintenance.Report{Warm: warm, Open: f.Active, KeyedUntil: f.KeyedUntil.UnixMilli(), Load: b.load, Capacity: b.most, Failing: !f.Serving}
 }
 
 // HoldHealth implements driver.Process.
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -20,8 +20,8 @@
 	"larchscale/internal/faultfs"
 	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/raftlog"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/standin"
 )
 
@@ -100,7 +100,7 @@
 	finish := f.Staff(100*time.Millisecond, quiet)
 	began := time.Now()
 	kept, err := share(func() error {
-		if err := f.Members[0].Propose(ctx, takeout.Plan{ID: "disks", By: "measure", Reason: "measure", Boxes: f.Names(), Most: 1}); err != nil {
+		if err := f.Members[0].Propose(ctx, maintenance.Plan{ID: "disks", By: "measure", Reason: "measure", Boxes: f.Names(), Most: 1}); err != nil {
 			return err
 		}
 		_, err := f.Over("disks", 45*time.Second)
@@ -121,7 +121,7 @@
 	sick.Kill()
 	time.Sleep(2 * time.Second) // its silence is known
 	kept, err = share(func() error {
-		if err := f.Members[1].Propose(ctx, takeout.Plan{ID: "again", By: "measure", Reason: "measure", Boxes: []string{few[0].Name}, Most: 1}); err != nil {
+		if err := f.Members[1].Propose(ctx, maintenance.Plan{ID: "again", By: "measure", Reason: "measure", Boxes: []string{few[0].Name}, Most: 1}); err != nil {
 			return err
 		}
 		time.Sleep(2 * time.Second) // it holds
@@ -226,8 +226,8 @@
 	}
 	const entries = 200 // about what an hour of plans writes
 	for i := range entries {
-		if err := at.Say(context.Background(), driver.Command{Entry: takeout.Entry{Kind: []takeout.Kind{takeout.Pause, takeout.Resume}[i%2],
-			Plan: takeout.Plan{ID: "disks"}}}); err == nil {
+		if err := at.Say(context.Background(), driver.Command{Entry: maintenance.Entry{Kind: []maintenance.Kind{maintenance.Pause, maintenance.Resume}[i%2],
+			Plan: maintenance.Plan{ID: "disks"}}}); err == nil {
 			return errors.New("a plan that is over was paused")
 		}
 	}
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -15,8 +15,8 @@
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/forecast"
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/placement"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/takeover"
 	"larchscale/internal/fleet/trial"
 	"larchscale/internal/ledger"
@@ -45,7 +45,7 @@
 func Bounds() []Bound {
 	return []Bound{
 		{"link.maxBoxes", "internal/link/link.go", linkServers + 1, "servers", "the operator's file is refused, and the program does not start"},
-		{"takeout.MaxBoxes", "internal/fleet/takeout/state.go", takeout.MaxBoxes, "servers", "a server that joins is refused"},
+		{"takeout.MaxBoxes", "internal/fleet/takeout/state.go", maintenance.MaxBoxes, "servers", "a server that joins is refused"},
 		{"lease.MaxBoxes", "internal/fleet/lease/state.go", lease.MaxBoxes, "servers", "a server gets no lease"},
 		{"place.MaxBoxes", "internal/fleet/place/state.go", placement.MaxBoxes, "servers", "a server is not placed on"},
 		{"forecast.MaxBoxes", "internal/fleet/forecast/sketch.go", forecast.MaxBoxes, "servers", "the sketch of a further server is refused"},
@@ -143,13 +143,13 @@
 // statusBytes is the answer to an operator who asks how the fleet stands, in plain JSON.
 func statusBytes(s Size) float64 {
 	n := int(s.Servers)
-	status := driver.Status{Members: make([]consensus.Member, n), Reports: map[string]takeout.Report{}}
-	status.Boxes = make([]takeout.Box, n)
+	status := driver.Status{Members: make([]consensus.Member, n), Reports: map[string]maintenance.Report{}}
+	status.Boxes = make([]maintenance.Server, n)
 	for i := range n {
 		name := fmt.Sprintf("server-%04d", i)
 		status.Members[i] = consensus.Member{ID: math.MaxUint64 - uint64(i), Name: name, Zone: "zone-1", Addr: "10.123.123.123:4567"}
-		status.Boxes[i] = takeout.Box{Name: name, Zone: "zone-1"}
-		status.Reports[name] = takeout.Report{Incarnation: 1000, Heard: 1_790_000_000_000, Capacity: 123.456, Load: 108.123, Warm: true, Open: 10}
+		status.Boxes[i] = maintenance.Server{Name: name, Zone: "zone-1"}
+		status.Reports[name] = maintenance.Report{Incarnation: 1000, Heard: 1_790_000_000_000, Capacity: 123.456, Load: 108.123, Warm: true, Open: 10}
 	}
 	data, err := json.Marshal(status)
 	if err != nil {
--- a/internal/capacity/messages.go
+++ b/internal/capacity/messages.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"larchscale/internal/fleet/lease"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/ledger"
 )
 
@@ -55,7 +55,7 @@
 
 // reportPayload is a report without the parts of modules.
 func reportPayload() float64 {
-	return cborBytes(takeout.Report{Incarnation: 1000, Heard: 1_790_000_000_000, Capacity: 123.456, Load: 108.123, Warm: true, Open: 10, KeyedUntil: 1_790_000_000_000})
+	return cborBytes(maintenance.Report{Incarnation: 1000, Heard: 1_790_000_000_000, Capacity: 123.456, Load: 108.123, Warm: true, Open: 10, KeyedUntil: 1_790_000_000_000})
 }
 
 func heartbeatPayload(kind raftpb.MessageType) float64 {
--- a/internal/fleet/consensus/node.go
+++ b/internal/fleet/consensus/node.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Ticks of raft: one is 100 ms in service, so a failed leader is replaced within 0.8 to 1.6 s.
@@ -63,8 +63,8 @@
 	Index    uint64
 	Proposer uint64
 	Token    uint64
-	Entry    *takeout.Entry // nil = an entry of another state machine, or a change of membership
-	Part     string         // the entry's state machine; "" = maintenance plans, or a change of membership
+	Entry    *maintenance.Entry // nil = an entry of another state machine, or a change of membership
+	Part     string             // the entry's state machine; "" = maintenance plans, or a change of membership
 	Change   *Change
 	Err      error
 }
@@ -84,7 +84,7 @@
 	}
 	m.ID, m.Voter = store.ID(), true
 	s := State{Members: []Member{m}}
-	if err := s.Work.Apply(1, &takeout.Entry{Kind: takeout.Join, Box: m.Name, Zone: m.Zone}); err != nil {
+	if err := s.Work.Apply(1, &maintenance.Entry{Kind: maintenance.Join, Box: m.Name, Zone: m.Zone}); err != nil {
 		return err
 	}
 	data, err := encoder.Marshal(&s)
@@ -196,8 +196,8 @@
 // Propose proposes an entry. The token comes back in the AppliedEntry on this node. Entries that only the
 // leader derives are valid in its current term alone: one that is delayed and committed in a later term is void. An
 // error means that the entry was not proposed at all.
-func (n *Node) Propose(token uint64, e *takeout.Entry) error {
-	leaderOnly := e.Kind == takeout.Grant || e.Kind == takeout.Arrange || e.Kind == takeout.Expire
+func (n *Node) Propose(token uint64, e *maintenance.Entry) error {
+	leaderOnly := e.Kind == maintenance.Grant || e.Kind == maintenance.Arrange || e.Kind == maintenance.Expire
 	return n.propose(command{Proposer: n.ID(), Token: token, Entry: *e}, leaderOnly)
 }
 
--- a/internal/fleet/consensus/sim_test.go
+++ b/internal/fleet/consensus/sim_test.go
@@ -19,8 +19,8 @@
 	"go.etcd.io/raft/v3"
 
 	"larchscale/internal/faultfs"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/raftlog"
-	"larchscale/internal/fleet/takeout"
 )
 
 var (
@@ -71,16 +71,16 @@
 	digestByIndex map[uint64]uint64 // by applied index
 	leaderByTerm  map[uint64]uint64 // by term
 	events        []string
-	countedOut    map[string]bool // processes whose phase out has been counted
-	ops           []op            // proposed entries, by token - 1
-	firstOp       int             // the first operation that checkLinearizable looks at
-	initial       takeout.State   // the state before that operation
+	countedOut    map[string]bool   // processes whose phase out has been counted
+	ops           []op              // proposed entries, by token - 1
+	firstOp       int               // the first operation that checkLinearizable looks at
+	initial       maintenance.State // the state before that operation
 }
 
 // op is a proposed entry. One that has not been applied anywhere by the end never took effect.
 type op struct {
 	proposer   int
-	entry      takeout.Entry
+	entry      maintenance.Entry
 	calledAt   int64
 	returnedAt int64 // when its proposer had applied it; 0 = never
 	applied    bool
@@ -88,7 +88,7 @@
 }
 
 // propose proposes an entry on a host's node and records it.
-func (w *world) propose(i int, e *takeout.Entry) bool {
+func (w *world) propose(i int, e *maintenance.Entry) bool {
 	n := w.hosts[i].node
 	if err := n.Propose(uint64(len(w.ops)+1), e); err != nil {
 		return false
@@ -115,12 +115,12 @@
 	model := porcupine.Model{
 		Init: func() any { return w.initial },
 		Step: func(state, input, output any) (bool, any) {
-			previous := state.(takeout.State)
+			previous := state.(maintenance.State)
 			err, _ := output.(error)
 			if errors.Is(err, ErrStaleTerm) {
 				return true, previous
 			}
-			s, e := previous.Clone(), input.(takeout.Entry)
+			s, e := previous.Clone(), input.(maintenance.Entry)
 			applyErr := s.Apply(0, &e)
 			if s.Index = 0; applyErr != nil {
 				s = previous
@@ -284,7 +284,7 @@
 	if _, leads := h.node.Leads(); !leads || w.now%3 != 0 {
 		return
 	}
-	view := takeout.View{Now: int64(w.now) * tickMs, Self: h.name, Silent: silentMs, Reports: map[string]takeout.Report{}, Voters: map[string]bool{}}
+	view := maintenance.View{Now: int64(w.now) * tickMs, Self: h.name, SilentAfter: silentMs, Reports: map[string]maintenance.Report{}, Voters: map[string]bool{}}
 	for _, m := range s.Members {
 		view.Voters[m.Name] = m.Voter
 	}
@@ -294,9 +294,9 @@
 	}
 	for j, o := range w.hosts {
 		if w.canReach(j, i) || i == j {
-			agreed := s.Work.Box(o.name)
-			warm := agreed != nil && agreed.Phase == takeout.In && agreed.Incarnation == o.incarnation
-			view.Reports[o.name] = takeout.Report{Incarnation: o.incarnation, Heard: view.Now, Capacity: 100, Load: 40, Warm: warm}
+			agreed := s.Work.Server(o.name)
+			warm := agreed != nil && agreed.Phase == maintenance.InService && agreed.Incarnation == o.incarnation
+			view.Reports[o.name] = maintenance.Report{Incarnation: o.incarnation, Heard: view.Now, Capacity: 100, Load: 40, Warm: warm}
 		}
 		if w.canReach(j, i) && o.node != nil && s.Member(o.store.ID()) == nil { // it sends a join request
 			if c, err := s.JoinChange(Member{ID: o.store.ID(), Name: o.name, Zone: o.zone, Addr: o.name}, reporting); err == nil && c != nil {
@@ -309,7 +309,7 @@
 		h.node.Change(c)
 		return
 	}
-	decision := takeout.Next(&s.Work, view)
+	decision := maintenance.Next(&s.Work, view)
 	if decision.Transfer != "" {
 		if m := s.MemberByName(decision.Transfer); m != nil {
 			h.node.TransferLeadership(m.ID)
@@ -324,11 +324,11 @@
 // has it.
 func (w *world) proposeOwnStep(i int, s *State) {
 	h := w.hosts[i]
-	agreed := s.Work.Box(h.name)
+	agreed := s.Work.Server(h.name)
 	if agreed == nil || w.now-h.lastProposed < 15 {
 		return
 	}
-	a := takeout.Agent(&s.Work, h.name, takeout.Local{Incarnation: h.incarnation, Warm: w.now-h.startedAt > 20, Held: int64(h.drainSince) * tickMs, DrainFor: 2000}, int64(w.now)*tickMs)
+	a := maintenance.NextAction(&s.Work, h.name, maintenance.LocalStatus{Incarnation: h.incarnation, Warm: w.now-h.startedAt > 20, DrainingSince: int64(h.drainSince) * tickMs, MinDrain: 2000}, int64(w.now)*tickMs)
 	switch {
 	case a.Hold && h.drainSince == 0:
 		h.drainSince = w.now
@@ -338,10 +338,10 @@
 	}
 	if a.Speak {
 		h.lastProposed = w.now
-		w.propose(i, &takeout.Entry{Kind: takeout.Step, Box: h.name, Incarnation: h.incarnation, Phase: a.Say})
+		w.propose(i, &maintenance.Entry{Kind: maintenance.Step, Box: h.name, Incarnation: h.incarnation, Phase: a.Say})
 	}
 	// The operators end the process and work on the machine.
-	if agreed.Phase == takeout.Out && agreed.Incarnation == h.incarnation {
+	if agreed.Phase == maintenance.Drained && agreed.Incarnation == h.incarnation {
 		w.logf("%s is under maintenance", h.name)
 		w.kill(h, false)
 		h.underMaintenance = true
@@ -366,10 +366,10 @@
 				o.returnedAt = 2*int64(w.now) + 1
 			}
 		}
-		if a.Entry != nil && a.Err == nil && a.Entry.Kind == takeout.Grant {
+		if a.Entry != nil && a.Err == nil && a.Entry.Kind == maintenance.Grant {
 			w.logf("%s applies the grant of %s at %d", h.name, a.Entry.Box, a.Index)
 		}
-		if a.Entry != nil && a.Err == nil && a.Entry.Kind == takeout.Step && a.Entry.Phase == takeout.Out && !w.countedOut[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] {
+		if a.Entry != nil && a.Err == nil && a.Entry.Kind == maintenance.Step && a.Entry.Phase == maintenance.Drained && !w.countedOut[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] {
 			w.countedOut[fmt.Sprint(a.Entry.Box, a.Entry.Incarnation)] = true
 			w.hosts[slices.IndexFunc(w.hosts, func(o *host) bool { return o.name == a.Entry.Box })].outCount++
 		}
@@ -429,7 +429,7 @@
 	states := ""
 	for _, h := range w.hosts {
 		if h.node != nil {
-			states += fmt.Sprintf("\n%s %x leader %x applied %d %v %+v", h.name, h.store.ID(), h.node.Leader(), h.node.applied, h.node.State().Members, h.node.State().Work.Box(h.name))
+			states += fmt.Sprintf("\n%s %x leader %x applied %d %v %+v", h.name, h.store.ID(), h.node.Leader(), h.node.applied, h.node.State().Members, h.node.State().Work.Server(h.name))
 			for _, p := range h.node.State().Work.Plans {
 				states += fmt.Sprintf("\n   %s %s order %v gone %v", p.ID, p.State, p.Order, p.Gone)
 			}
@@ -446,8 +446,8 @@
 func (w *world) ready() bool {
 	return w.all(func(h *host) bool {
 		s := h.node.State()
-		agreed := s.Work.Box(h.name)
-		return s.Member(h.store.ID()) != nil && len(s.Members) == len(w.hosts) && agreed != nil && agreed.Phase == takeout.In && agreed.Incarnation == h.incarnation
+		agreed := s.Work.Server(h.name)
+		return s.Member(h.store.ID()) != nil && len(s.Members) == len(w.hosts) && agreed != nil && agreed.Phase == maintenance.InService && agreed.Incarnation == h.incarnation
 	})
 }
 
@@ -525,12 +525,12 @@
 	w.until("all nodes in service", 3000+100*n, w.ready)
 	w.initial, w.firstOp = w.hosts[0].node.State().Work.Clone(), len(w.ops)
 	proposer := w.rnd.IntN(n)
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Most: maxUnavailable, Floor: 0.1}
+	plan := maintenance.Plan{ID: "disks", By: "staff", Reason: "new disks", Most: maxUnavailable, Floor: 0.1}
 	for _, h := range w.hosts[:cmp.Or(planned, n)] {
 		plan.Boxes = append(plan.Boxes, h.name)
 	}
 	w.until("plan proposed", 200, func() bool {
-		return w.hosts[proposer].node.State().Work.Plan("disks") != nil || w.now%20 == 0 && w.propose(proposer, &takeout.Entry{Kind: takeout.Propose, Plan: plan}) && false
+		return w.hosts[proposer].node.State().Work.Plan("disks") != nil || w.now%20 == 0 && w.propose(proposer, &maintenance.Entry{Kind: maintenance.Propose, Plan: plan}) && false
 	})
 	for range 25 {
 		w.injectFault()
@@ -541,7 +541,7 @@
 	w.heal()
 	planDone := func(h *host) bool {
 		p := h.node.State().Work.Plan("disks")
-		return p != nil && p.State == takeout.Done
+		return p != nil && p.State == maintenance.Done
 	}
 	w.until("plan done", 20000+1000*n, func() bool { return w.all(planDone) && w.ready() })
 	if p := w.hosts[0].node.State().Work.Plan("disks"); len(p.Gone) != len(plan.Boxes) {
--- a/internal/fleet/consensus/state.go
+++ b/internal/fleet/consensus/state.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Member is a member of the fleet in the replicated state.
@@ -26,7 +26,7 @@
 // State is the replicated state of the fleet.
 type State struct {
 	Members []Member // sorted by id
-	Work    takeout.State
+	Work    maintenance.State
 }
 
 // Errors that a Node returns.
@@ -88,7 +88,7 @@
 			}
 			return 1
 		})
-		return s.Work.Apply(index, &takeout.Entry{Kind: takeout.Join, Box: added.Name, Zone: added.Zone})
+		return s.Work.Apply(index, &maintenance.Entry{Kind: maintenance.Join, Box: added.Name, Zone: added.Zone})
 	case Promote:
 		if m != nil {
 			m.Voter = true
@@ -159,7 +159,7 @@
 // nil = there is none, except perhaps self: the leader cannot remove itself.
 func (s *State) RemovalChange(self uint64) *Change {
 	for _, m := range s.Members {
-		if m.ID != self && s.Work.Box(m.Name) == nil {
+		if m.ID != self && s.Work.Server(m.Name) == nil {
 			return &Change{Remove, m}
 		}
 	}
@@ -171,7 +171,7 @@
 	Proposer uint64 // raft's id
 	Token    uint64 // chosen by the proposer
 	Term     uint64 // the entry is valid only in this term; 0 = in any
-	Entry    takeout.Entry
+	Entry    maintenance.Entry
 	Part     string `cbor:",omitempty"` // the state machine that reads Data; "" = Entry applies
 	Data     []byte `cbor:",omitempty"`
 }
--- a/internal/fleet/controlclient/client.go
+++ b/internal/fleet/controlclient/client.go
@@ -15,9 +15,9 @@
 	"larchscale/internal/fleet/boottime"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -60,7 +60,7 @@
 	connection *connection // nil = none was made yet
 	ticks      int
 	heldSince  int64 // when the server's health began to say no, Unix milliseconds; 0 = it does not
-	act        takeout.Act
+	act        maintenance.Action
 	fed        bool // Configure has been called for what the view has
 }
 
@@ -200,8 +200,8 @@
 	}
 	report := c.server.Body.Report()
 	state := localState(c.client)
-	local := takeout.Local{Incarnation: c.client.Incarnation(), Warm: report.Warm, Open: report.Open, KeyedUntil: report.KeyedUntil, Held: c.heldSince, DrainFor: int64(c.options.DrainMs)}
-	act := takeout.Agent(&state, c.server.Name, local, now)
+	local := maintenance.LocalStatus{Incarnation: c.client.Incarnation(), Warm: report.Warm, Open: report.Open, KeyedUntil: report.KeyedUntil, DrainingSince: c.heldSince, MinDrain: int64(c.options.DrainMs)}
+	act := maintenance.NextAction(&state, c.server.Name, local, now)
 	if act != c.act && act.Why != "" {
 		c.log.Info("control", "do", "server", "hold", act.Hold, "why", act.Why)
 	}
@@ -211,7 +211,7 @@
 		c.client.Withdraw()
 		return
 	}
-	c.client.Propose(takeout.Entry{Kind: takeout.Step, Box: c.server.Name, Incarnation: c.client.Incarnation(), Phase: act.Say})
+	c.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: c.server.Name, Incarnation: c.client.Incarnation(), Phase: act.Say})
 }
 
 // hold has the server's health say no, or what it says by itself.
@@ -227,14 +227,14 @@
 }
 
 // localState returns the part of the agreed state of plans that is of this server, as its view has it.
-func localState(client *session.Client) (state takeout.State) {
+func localState(client *session.Client) (state maintenance.State) {
 	standing, ok := client.Standing()
 	if !ok {
 		return state
 	}
-	state.Boxes = []takeout.Box{standing.Box}
+	state.Boxes = []maintenance.Server{standing.Box}
 	if standing.Box.Plan != "" && !standing.PlanOver {
-		state.Plans = []takeout.Plan{{ID: standing.Box.Plan, State: takeout.Running}}
+		state.Plans = []maintenance.Plan{{ID: standing.Box.Plan, State: maintenance.Running}}
 	}
 	return state
 }
--- a/internal/fleet/controlclient/client_test.go
+++ b/internal/fleet/controlclient/client_test.go
@@ -10,7 +10,7 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/goleak"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -61,11 +61,11 @@
 	held  atomic.Bool
 }
 
-func (b *body) Report() takeout.Report {
+func (b *body) Report() maintenance.Report {
 	if b.looks.Add(1) > 3 {
 		panic("no load")
 	}
-	return takeout.Report{Warm: true}
+	return maintenance.Report{Warm: true}
 }
 
 func (b *body) HoldHealth(on bool) { b.held.Store(on) }
--- a/internal/fleet/controlclient/metrics.go
+++ b/internal/fleet/controlclient/metrics.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"larchscale/internal/fleet/boottime"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 )
 
 // metrics are what the admin endpoint tells of the session.
@@ -18,7 +18,7 @@
 	applied  uint64
 	until    time.Duration // when the lease ends
 	token    uint64
-	phase    takeout.Phase
+	phase    maintenance.Phase
 }
 
 // publish has Metrics tell how things stand.
--- a/internal/fleet/controlnode/leases.go
+++ b/internal/fleet/controlnode/leases.go
@@ -104,7 +104,7 @@
 	}
 	work := l.host.MaintenanceState()
 	for i := range l.State.Boxes {
-		if b := &l.State.Boxes[i]; b.Lost && work.Box(b.Name) == nil {
+		if b := &l.State.Boxes[i]; b.Lost && work.Server(b.Name) == nil {
 			l.propose(lease.Entry{Kind: lease.Removed, Box: b.Name}, true)
 		}
 	}
--- a/internal/fleet/controlnode/node.go
+++ b/internal/fleet/controlnode/node.go
@@ -11,8 +11,8 @@
 	"larchscale/internal/fleet/consensus"
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 )
 
 // The names of the parts of the agreed state. A later format gets another number.
@@ -68,8 +68,8 @@
 
 // Report implements driver.Process: a control node is always warm, and no capacity is lost with it. What is open on it are its
 // sessions.
-func (n *Node) Report() takeout.Report {
-	return takeout.Report{Warm: true, Open: int(n.sessions.count.Load())}
+func (n *Node) Report() maintenance.Report {
+	return maintenance.Report{Warm: true, Open: int(n.sessions.count.Load())}
 }
 
 // HoldHealth implements driver.Process: a node that is taken out sends its sessions to the others, and takes none until it is in again.
--- a/internal/fleet/controlnode/peer.go
+++ b/internal/fleet/controlnode/peer.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"larchscale/internal/fleet/limits"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 )
 
 // readInterval is the least time between two messages that are read of a session: one that sends without pause waits.
@@ -29,7 +29,7 @@
 	joinedAt   time.Duration // when its server was last proposed as a member
 	livedAt    time.Duration
 	steppedAt  time.Duration
-	steppedFor takeout.Phase
+	steppedFor maintenance.Phase
 }
 
 // arrival is what a connection brings to the loop; one of the fields after peer is set.
--- a/internal/fleet/controlnode/propose.go
+++ b/internal/fleet/controlnode/propose.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 )
 
 // proposeEach is how often the same proposal of a server is made again until it has taken hold.
@@ -14,17 +14,17 @@
 
 // join has the server of a session made a member of the fleet, if it is none or has moved to another zone.
 func (s *sessions) join(p *peer, at time.Duration) {
-	box := s.host.MaintenanceState().Box(p.hello.Server)
+	box := s.host.MaintenanceState().Server(p.hello.Server)
 	if box != nil && box.Zone == p.hello.Zone || !elapsed(&p.joinedAt, at) {
 		return
 	}
-	s.host.ProposeMaintenance(takeout.Entry{Kind: takeout.Join, At: time.Now().UnixMilli(), Box: p.hello.Server, Zone: p.hello.Zone})
+	s.host.ProposeMaintenance(maintenance.Entry{Kind: maintenance.Join, At: time.Now().UnixMilli(), Box: p.hello.Server, Zone: p.hello.Zone})
 }
 
 // propose asks for what a server proposes of itself. What it says of others, or of another process, is dropped.
 func (s *sessions) propose(p *peer, proposal *session.Proposal, at time.Duration) {
 	server, incarnation := p.hello.Server, p.hello.Incarnation
-	if e := proposal.Step; e != nil && e.Kind == takeout.Step && e.Box == server && e.Incarnation == incarnation {
+	if e := proposal.Step; e != nil && e.Kind == maintenance.Step && e.Box == server && e.Incarnation == incarnation {
 		s.proposeStep(p, e.Phase, at)
 	}
 	if e := proposal.Live; e != nil && e.Kind == lease.Registered && e.Box == server && e.Incarnation == incarnation {
@@ -32,15 +32,15 @@
 	}
 }
 
-func (s *sessions) proposeStep(p *peer, phase takeout.Phase, at time.Duration) {
-	if s.host.MaintenanceState().Box(p.hello.Server) == nil {
+func (s *sessions) proposeStep(p *peer, phase maintenance.Phase, at time.Duration) {
+	if s.host.MaintenanceState().Server(p.hello.Server) == nil {
 		return // it joins first
 	}
 	if phase != p.steppedFor {
 		p.steppedFor, p.steppedAt = phase, 0
 	}
 	if elapsed(&p.steppedAt, at) {
-		s.host.ProposeMaintenance(takeout.Entry{Kind: takeout.Step, At: time.Now().UnixMilli(), Box: p.hello.Server, Incarnation: p.hello.Incarnation, Phase: phase})
+		s.host.ProposeMaintenance(maintenance.Entry{Kind: maintenance.Step, At: time.Now().UnixMilli(), Box: p.hello.Server, Incarnation: p.hello.Incarnation, Phase: phase})
 	}
 }
 
--- a/internal/fleet/controlnode/publish.go
+++ b/internal/fleet/controlnode/publish.go
@@ -68,7 +68,7 @@
 		return
 	}
 	for name := range s.published {
-		if work.Box(name) == nil {
+		if work.Server(name) == nil {
 			delete(s.published, name)
 			s.history.Delete(revision, session.ServerPrefix+name)
 		}
--- a/internal/fleet/controlnode/refusals_test.go
+++ b/internal/fleet/controlnode/refusals_test.go
@@ -10,9 +10,9 @@
 
 	"larchscale/internal/fleet/driver"
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
 )
 
@@ -59,7 +59,7 @@
 	hello := func(server string) *session.FromServer {
 		return &session.FromServer{Hello: &session.Hello{Server: server, Zone: "a", Incarnation: 7, Session: 1}}
 	}
-	first := &session.Heartbeat{Report: &takeout.Report{Incarnation: 7, Warm: true}}
+	first := &session.Heartbeat{Report: &maintenance.Report{Incarnation: 7, Warm: true}}
 	proposing := func(p session.Proposal) *session.FromServer {
 		heartbeat := *first
 		heartbeat.Proposals = []session.Proposal{p}
@@ -79,9 +79,9 @@
 		"nothing":                        {[]*session.FromServer{{}}, session.Invalid},
 		"another fleet":                  {[]*session.FromServer{wrongFleet}, session.OtherFleet},
 		"no report in the first":         {[]*session.FromServer{hello("app-9"), {Heartbeat: &session.Heartbeat{}}}, session.Invalid},
-		"a proposal for another server":  {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Step, Box: "app-1", Incarnation: 7, Phase: takeout.Returning}})}, session.Invalid},
-		"a proposal for another process": {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Step, Box: "app-9", Incarnation: 8, Phase: takeout.Returning}})}, session.Invalid},
-		"a plan":                         {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &takeout.Entry{Kind: takeout.Propose, Box: "app-9", Incarnation: 7}})}, session.Invalid},
+		"a proposal for another server":  {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &maintenance.Entry{Kind: maintenance.Step, Box: "app-1", Incarnation: 7, Phase: maintenance.Returning}})}, session.Invalid},
+		"a proposal for another process": {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &maintenance.Entry{Kind: maintenance.Step, Box: "app-9", Incarnation: 8, Phase: maintenance.Returning}})}, session.Invalid},
+		"a plan":                         {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Step: &maintenance.Entry{Kind: maintenance.Propose, Box: "app-9", Incarnation: 7}})}, session.Invalid},
 		"the end of another's lease":     {[]*session.FromServer{hello("app-9"), proposing(session.Proposal{Live: &lease.Entry{Kind: lease.Expired, Box: "app-1", Life: 1}})}, session.Invalid},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -106,7 +106,7 @@
 		}
 	})
 	t.Run("a control node's words", func(t *testing.T) { f.onlyNodesSpeakAsNodes() })
-	if status, err := f.nodes[0].state(); err != nil || status.State.Box("app-1").Phase != takeout.In || len(status.State.Plans) != 0 {
+	if status, err := f.nodes[0].state(); err != nil || status.State.Server("app-1").Phase != maintenance.InService || len(status.State.Plans) != 0 {
 		t.Errorf("%+v, %v", status.State, err)
 	}
 	f.until("the two servers have their leases still", func() bool { return f.all(leased) && f.servers[0].lost.Load() == 0 && f.servers[1].lost.Load() == 0 })
--- a/internal/fleet/controlnode/standing.go
+++ b/internal/fleet/controlnode/standing.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 )
 
 // standing is the value of a server's key. The index of the lease's last change keeps a value from ever coming back, as
@@ -34,7 +34,7 @@
 }
 
 // newStanding returns what is agreed of a server; held is nil if it never had a lease.
-func newStanding(work *takeout.State, box *takeout.Box, held *lease.Server) standing {
+func newStanding(work *maintenance.State, box *maintenance.Server, held *lease.Server) standing {
 	out := standing{Standing: session.Standing{Box: *box, PlanOver: planOver(work, box.Plan)}}
 	if held == nil {
 		return out
@@ -47,10 +47,10 @@
 }
 
 // planOver tells that the plan whose grant a server has is over.
-func planOver(work *takeout.State, id string) bool {
+func planOver(work *maintenance.State, id string) bool {
 	if id == "" {
 		return false
 	}
 	plan := work.Plan(id)
-	return plan == nil || plan.State >= takeout.Done
+	return plan == nil || plan.State >= maintenance.Done
 }
--- a/internal/fleet/controlnode/tier_test.go
+++ b/internal/fleet/controlnode/tier_test.go
@@ -19,9 +19,9 @@
 	"larchscale/internal/fleet/controlclient"
 	"larchscale/internal/fleet/controlnode"
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/watch"
 	"larchscale/internal/link"
 	"larchscale/internal/scenario/certs"
@@ -55,8 +55,8 @@
 }
 
 // Report implements driver.Process.
-func (s *testServer) Report() takeout.Report {
-	return takeout.Report{Warm: true, Capacity: 100, Load: 30}
+func (s *testServer) Report() maintenance.Report {
+	return maintenance.Report{Warm: true, Capacity: 100, Load: 30}
 }
 
 // HoldHealth implements driver.Process.
@@ -348,7 +348,7 @@
 }
 
 func leased(s *testServer) bool {
-	return s.metric("fleet.session") == int(session.Open) && s.metric("fleet.lease_ms") > 0 && s.metric("fleet.phase") == int(takeout.In)
+	return s.metric("fleet.session") == int(session.Open) && s.metric("fleet.lease_ms") > 0 && s.metric("fleet.phase") == int(maintenance.InService)
 }
 
 // settled reports whether all nodes vote, and all servers have a session and a lease and are in.
@@ -455,11 +455,11 @@
 			server = s
 		}
 	}
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{name}, Most: 1, Floor: 0.1}
+	plan := maintenance.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{name}, Most: 1, Floor: 0.1}
 	f.until("the plan is taken", func() bool {
-		return f.nodes[1].say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return f.nodes[1].say(driver.Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: plan}}) == nil
 	})
-	f.until(name+" is out", func() bool { return server.metric("fleet.phase") == int(takeout.Out) && server.held.Load() })
+	f.until(name+" is out", func() bool { return server.metric("fleet.phase") == int(maintenance.Drained) && server.held.Load() })
 	server.stop()
 	was := server.metric("fleet.life")
 	for i, s := range f.servers {
@@ -472,7 +472,7 @@
 	f.until("the plan is done and all are in", func() bool {
 		status, err := f.nodes[0].state()
 		plan := status.State.Plan("disks")
-		return err == nil && plan != nil && plan.State == takeout.Done && f.settled()
+		return err == nil && plan != nil && plan.State == maintenance.Done && f.settled()
 	})
 	if now := f.servers[len(f.servers)-1].metric("fleet.life"); now <= was {
 		f.t.Errorf("the new process of %s has token %d, the old one had %d", name, now, was)
@@ -549,14 +549,14 @@
 		}
 	}
 	t.Logf("%s is taken out with %d of 5 sessions", out.name, out.metric("fleet.sessions"))
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{out.name}, Most: 1, Floor: 0.1}
+	plan := maintenance.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{out.name}, Most: 1, Floor: 0.1}
 	f.until("the plan is taken", func() bool {
-		return out.say(driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}) == nil
+		return out.say(driver.Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: plan}}) == nil
 	})
 	f.until(out.name+" is out", func() bool {
 		status, err := out.state()
-		box := status.State.Box(out.name)
-		return err == nil && box != nil && box.Phase == takeout.Out
+		box := status.State.Server(out.name)
+		return err == nil && box != nil && box.Phase == maintenance.Drained
 	})
 	if sessions := out.openSessions(); sessions != 0 {
 		t.Errorf("%s is out with %d sessions", out.name, sessions)
@@ -577,7 +577,7 @@
 	f.until("the plan is done", func() bool {
 		status, err := f.nodes[0].state()
 		plan := status.State.Plan("disks")
-		return err == nil && plan != nil && plan.State == takeout.Done && f.settled()
+		return err == nil && plan != nil && plan.State == maintenance.Done && f.settled()
 	})
 	f.takesSessions(out)
 }
--- a/internal/fleet/driver/client.go
+++ b/internal/fleet/driver/client.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/link"
 )
 
@@ -65,20 +65,20 @@
 
 // PredictPlan predicts what a plan would lead to if it were proposed now: the order of its servers, and what its first
 // grant would wait for, as far as the reports in the status tell. Nothing is changed.
-func PredictPlan(status Status, plan takeout.Plan, now time.Time) (outcome struct {
-	Order []takeout.Place
-	Waits []takeout.Wait
+func PredictPlan(status Status, plan maintenance.Plan, now time.Time) (outcome struct {
+	Order []maintenance.OrderItem
+	Waits []maintenance.Wait
 }, err error) {
 	work := status.State.Clone()
-	if err := work.Apply(status.Index+1, &takeout.Entry{Kind: takeout.Propose, Plan: plan}); err != nil {
+	if err := work.Apply(status.Index+1, &maintenance.Entry{Kind: maintenance.Propose, Plan: plan}); err != nil {
 		return outcome, err
 	}
-	view := takeout.View{Now: now.UnixMilli(), Self: status.Leader, Silent: int64(status.SilentMs), Reports: status.Reports}
+	view := maintenance.View{Now: now.UnixMilli(), Self: status.Leader, SilentAfter: int64(status.SilentMs), Reports: status.Reports}
 	for range 2 { // the first round arranges the order, the second one grants
-		next := takeout.Next(&work, view)
-		outcome.Waits = slices.DeleteFunc(next.Waits, func(w takeout.Wait) bool { return w.Plan != plan.ID })
+		next := maintenance.Next(&work, view)
+		outcome.Waits = slices.DeleteFunc(next.Waits, func(w maintenance.Wait) bool { return w.Plan != plan.ID })
 		for i := range next.Entries {
-			if e := &next.Entries[i]; e.Kind == takeout.Arrange && e.Plan.ID == plan.ID {
+			if e := &next.Entries[i]; e.Kind == maintenance.Arrange && e.Plan.ID == plan.ID {
 				outcome.Order = e.Order
 				if err := work.Apply(work.Index+1, e); err != nil {
 					return outcome, err
--- a/internal/fleet/driver/driver.go
+++ b/internal/fleet/driver/driver.go
@@ -17,8 +17,8 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/consensus"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/raftlog"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
 	"larchscale/internal/wal"
 )
@@ -44,7 +44,7 @@
 // Process is this process as the driver sees it. Its methods must not block.
 type Process interface {
 	// Report returns the current report on this process. The driver fills in its incarnation and the time.
-	Report() takeout.Report
+	Report() maintenance.Report
 	// HoldHealth makes the health check fail, or ends that.
 	HoldHealth(on bool)
 }
@@ -72,20 +72,20 @@
 	store            *raftlog.Log
 	incarnation      uint64
 	ticks            int
-	reports          map[string]takeout.Report
+	reports          map[string]maintenance.Report
 	senders          map[uint64]*sender // to the members, by id
 	healthHeldSince  time.Time
-	proposedPhase    takeout.Phase // the newest proposal for this server
+	proposedPhase    maintenance.Phase // the newest proposal for this server
 	proposedAtTick   int
-	lastReport       takeout.Report // as last sent
+	lastReport       maintenance.Report // as last sent
 	lastToken        uint64
 	transferTarget   uint64 // raft's id of the voter that transfer chose; 0 = none
 	pendingProposals map[uint64]pendingProposal
 	lastSender       consensus.Member // the sender of the newest messages, who gets the replies until the members are known
 	joinSender       *sender
 	joinAttempts     int
-	decision         takeout.Decision
-	action           takeout.Act
+	decision         maintenance.Decision
+	action           maintenance.Action
 	metrics          atomic.Pointer[Metrics]
 }
 
@@ -105,7 +105,7 @@
 		addrOverrides[server.Name] = server.Addr
 	}
 	d := &Driver{opt: opt, self: consensus.Member{Name: name, Zone: opt.Zone, Addr: addr}, joinTargets: joinTargets, addrOverrides: addrOverrides, link: l, process: process, log: log, lock: lock,
-		queue: make(chan func(), maxQueuedEvents), done: make(chan struct{}), reports: map[string]takeout.Report{}, senders: map[uint64]*sender{}, pendingProposals: map[uint64]pendingProposal{}, joinAttempts: rand.IntN(max(1, len(joinTargets))),
+		queue: make(chan func(), maxQueuedEvents), done: make(chan struct{}), reports: map[string]maintenance.Report{}, senders: map[uint64]*sender{}, pendingProposals: map[uint64]pendingProposal{}, joinAttempts: rand.IntN(max(1, len(joinTargets))),
 		modules: modules, supportedModules: map[uint64][]string{}, pendingReads: map[uint64]pendingRead{}}
 	if err := d.open(); err != nil {
 		lock.Close()
@@ -252,7 +252,7 @@
 }
 
 // propose proposes an entry. result, unless it is nil, receives the outcome.
-func (d *Driver) propose(e *takeout.Entry, result chan error) {
+func (d *Driver) propose(e *maintenance.Entry, result chan error) {
 	d.lastToken++
 	token := d.lastToken
 	if result != nil {
@@ -297,9 +297,9 @@
 
 // proposeCommand proposes an operator's entry. A step of this server itself, which ends maintenance without a restart
 // of the process, gets the incarnation of this process.
-func (d *Driver) proposeCommand(e takeout.Entry, result chan error) {
+func (d *Driver) proposeCommand(e maintenance.Entry, result chan error) {
 	e.At = time.Now().UnixMilli()
-	if e.Kind == takeout.Step && e.Box == d.self.Name {
+	if e.Kind == maintenance.Step && e.Box == d.self.Name {
 		e.Incarnation = d.incarnation
 	}
 	d.propose(&e, result)
--- a/internal/fleet/driver/driver_test.go
+++ b/internal/fleet/driver/driver_test.go
@@ -14,15 +14,15 @@
 
 	"go.uber.org/goleak"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/link"
 )
 
 // fakeProcess is a process that is warm and has no open requests.
 type fakeProcess struct{ healthHeld atomic.Bool }
 
-func (s *fakeProcess) Report() takeout.Report {
-	return takeout.Report{Warm: true, Capacity: 100, Load: 30}
+func (s *fakeProcess) Report() maintenance.Report {
+	return maintenance.Report{Warm: true, Capacity: 100, Load: 30}
 }
 func (s *fakeProcess) HoldHealth(on bool) { s.healthHeld.Store(on) }
 
@@ -137,7 +137,7 @@
 	until(t, "three voters in service", func() bool {
 		for _, s := range all {
 			status, ok := s.state()
-			if !ok || len(status.Members) != 3 || slices.ContainsFunc(status.Boxes, func(x takeout.Box) bool { return x.Phase != takeout.In || x.Incarnation == 0 }) {
+			if !ok || len(status.Members) != 3 || slices.ContainsFunc(status.Boxes, func(x maintenance.Server) bool { return x.Phase != maintenance.InService || x.Incarnation == 0 }) {
 				return false
 			}
 			for _, m := range status.Members {
@@ -148,11 +148,11 @@
 		}
 		return true
 	})
-	plan := takeout.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{"n1", "n2", "n3"}, Most: 1, Floor: 0.1}
-	if errText := all[2].command(Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: plan}}); errText != "" {
+	plan := maintenance.Plan{ID: "disks", By: "staff", Reason: "new disks", Boxes: []string{"n1", "n2", "n3"}, Most: 1, Floor: 0.1}
+	if errText := all[2].command(Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: plan}}); errText != "" {
 		t.Fatal(errText)
 	}
-	if errText := all[1].command(Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); errText == "" {
+	if errText := all[1].command(Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: maintenance.Plan{ID: "x", By: "staff", Boxes: []string{"n9"}, Most: 1}}}); errText == "" {
 		t.Fatal("a plan for an unknown server was accepted")
 	}
 	outCount := map[string]int{}
@@ -168,7 +168,7 @@
 				continue
 			}
 			for _, x := range status.Boxes {
-				if x.Name == s.name && x.Phase == takeout.Out && x.Incarnation == status.Incarnation {
+				if x.Name == s.name && x.Phase == maintenance.Drained && x.Incarnation == status.Incarnation {
 					if !s.process.healthHeld.Load() {
 						t.Fatalf("%s is out, but its health check does not fail", s.name)
 					}
@@ -190,7 +190,7 @@
 			if out > 1 {
 				t.Fatalf("%d servers are out at once", out)
 			}
-			if i := slices.IndexFunc(status.Plans, func(p takeout.Plan) bool { return p.ID == "disks" }); i >= 0 && status.Plans[i].State == takeout.Done {
+			if i := slices.IndexFunc(status.Plans, func(p maintenance.Plan) bool { return p.ID == "disks" }); i >= 0 && status.Plans[i].State == maintenance.Done {
 				return true
 			}
 		}
@@ -234,7 +234,7 @@
 			t.Errorf("%s %q: %d, want %d", c.path, c.body, res.StatusCode, c.code)
 		}
 	}
-	if errText := s.command(Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "p"}}}); errText == "" {
+	if errText := s.command(Command{Entry: maintenance.Entry{Kind: maintenance.Pause, Plan: maintenance.Plan{ID: "p"}}}); errText == "" {
 		t.Error("a command was accepted without a leader")
 	}
 	if _, ok := s.state(); !ok {
--- a/internal/fleet/driver/figures.go
+++ b/internal/fleet/driver/figures.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"time"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Metrics are the fleet's metrics on the admin endpoint, as this server sees the fleet.
@@ -18,7 +18,7 @@
 	Out     int // servers that are not in service, according to the log
 	Silent  int // members without a recent report; only voters receive reports
 	Plans   int // plans that have not ended
-	Phase   takeout.Phase
+	Phase   maintenance.Phase
 	modules []byte // metrics of the modules
 }
 
@@ -36,7 +36,7 @@
 // publishMetrics updates what Driver.Metrics returns.
 func (d *Driver) publishMetrics(now time.Time) {
 	s := d.node.State()
-	f := &Metrics{Index: s.Work.Index, Members: len(s.Members), Out: s.Work.Away(), Known: d.node.Leader() != 0}
+	f := &Metrics{Index: s.Work.Index, Members: len(s.Members), Out: s.Work.CountUnavailable(), Known: d.node.Leader() != 0}
 	f.Term, f.Leader = d.node.Leads()
 	me := s.Member(d.self.ID)
 	for _, m := range s.Members {
@@ -48,11 +48,11 @@
 		}
 	}
 	for i := range s.Work.Plans {
-		if s.Work.Plans[i].State < takeout.Done {
+		if s.Work.Plans[i].State < maintenance.Done {
 			f.Plans++
 		}
 	}
-	if b := s.Work.Box(d.self.Name); b != nil {
+	if b := s.Work.Server(d.self.Name); b != nil {
 		f.Phase = b.Phase
 	}
 	for _, m := range d.modules {
--- a/internal/fleet/driver/fleet_test.go
+++ b/internal/fleet/driver/fleet_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/scenario/certs"
 	"larchscale/internal/standin"
 	"larchscale/internal/standin/faultnet"
@@ -70,7 +70,7 @@
 }
 
 // ask proposes a plan at a server until it is accepted.
-func (f *fleetTest) ask(at string, p takeout.Plan) error {
+func (f *fleetTest) ask(at string, p maintenance.Plan) error {
 	p.By, p.Reason = "staff", "new disks"
 	slices.Sort(p.Boxes)
 	return standin.Until("plan "+p.ID+" is accepted", 20*time.Second, func() bool {
@@ -84,19 +84,19 @@
 	p, err := f.Over(id, 60*time.Second)
 	f.must(err)
 	completed := slices.Clone(p.Gone)
-	if slices.Sort(completed); p.State != takeout.Done || !slices.Equal(completed, p.Boxes) {
+	if slices.Sort(completed); p.State != maintenance.Done || !slices.Equal(completed, p.Boxes) {
 		f.fatal("plan %s is %s, completed for %v of %v", id, p.State, p.Gone, p.Boxes)
 	}
 }
 
 // waitForPhase waits for a server of a plan to be in one of the phases, according to the log of any server that
 // answers.
-func (f *fleetTest) waitForPhase(plan string, phases ...takeout.Phase) (name string) {
+func (f *fleetTest) waitForPhase(plan string, phases ...maintenance.Phase) (name string) {
 	f.Helper()
 	f.must(standin.Until("a server of plan "+plan+" is in the phase", 30*time.Second, func() bool {
 		for _, m := range f.Members {
 			s, err := m.State()
-			k := slices.IndexFunc(s.Boxes, func(b takeout.Box) bool { return b.Plan == plan && slices.Contains(phases, b.Phase) })
+			k := slices.IndexFunc(s.Boxes, func(b maintenance.Server) bool { return b.Plan == plan && slices.Contains(phases, b.Phase) })
 			if err == nil && k >= 0 {
 				name = s.Boxes[k].Name
 				return true
@@ -156,8 +156,8 @@
 	}
 	setLoad(0.5)
 	f.must(standin.Until("the servers know their capacity", 30*time.Second, func() bool { h := headroom(); return h > 0.36 && h < 0.46 }))
-	f.must(f.ask("n3", takeout.Plan{ID: "disks", Boxes: f.Names(), Most: 1, Floor: 0.3}))
-	f.waitForPhase("disks", takeout.Granted, takeout.Draining, takeout.Out)
+	f.must(f.ask("n3", maintenance.Plan{ID: "disks", Boxes: f.Names(), Most: 1, Floor: 0.3}))
+	f.waitForPhase("disks", maintenance.Granted, maintenance.Draining, maintenance.Drained)
 	setLoad(0.8)
 	f.must(standin.Until("the plan waits", 30*time.Second, func() bool {
 		l := f.Leader()
@@ -165,7 +165,7 @@
 			return false
 		}
 		s, _ := l.State()
-		return slices.ContainsFunc(s.Waits, func(w takeout.Wait) bool { return strings.Contains(w.Why, "under the floor of 0.30") })
+		return slices.ContainsFunc(s.Waits, func(w maintenance.Wait) bool { return strings.Contains(w.Why, "under the floor of 0.30") })
 	}))
 	maintained := 0
 	for _, m := range f.Members {
@@ -198,8 +198,8 @@
 	}
 	f.must(standin.Until("the new process is in service", 15*time.Second, func() bool {
 		s, err := m.State()
-		b := s.State.Box(m.Name)
-		return err == nil && s.Incarnation > before.Incarnation && b != nil && b.Incarnation == s.Incarnation && b.Phase == takeout.In
+		b := s.State.Server(m.Name)
+		return err == nil && s.Incarnation > before.Incarnation && b != nil && b.Incarnation == s.Incarnation && b.Phase == maintenance.InService
 	}))
 
 	damaged := f.Members[2]
@@ -239,49 +239,49 @@
 		do   func(plan string)
 	}{
 		{"the leader dies after a grant", func(plan string) {
-			f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			l := f.Leader()
 			l.Kill()
 			f.must(standin.Until("another leads", 4*time.Second, func() bool { n := f.Leader(); return n != nil && n != l }))
 			f.must(l.Start())
 		}},
 		{"the draining server dies", func(plan string) {
-			m := f.Member(f.waitForPhase(plan, takeout.Granted, takeout.Draining))
+			m := f.Member(f.waitForPhase(plan, maintenance.Granted, maintenance.Draining))
 			m.Kill()
 			time.Sleep(2 * time.Second) // longer than silent_ms
 			f.must(m.Start())
 		}},
 		{"the draining server is frozen", func(plan string) {
-			m := f.Member(f.waitForPhase(plan, takeout.Granted, takeout.Draining))
+			m := f.Member(f.waitForPhase(plan, maintenance.Granted, maintenance.Draining))
 			m.Freeze(true)
 			time.Sleep(3 * time.Second)
 			m.Freeze(false)
 		}},
 		{"all messages from the draining server are lost", func(plan string) {
-			n := f.waitForPhase(plan, takeout.Granted, takeout.Draining)
+			n := f.waitForPhase(plan, maintenance.Granted, maintenance.Draining)
 			f.Net.Set(faultnet.Fault{Drop: true}, func(from, _ string) bool { return from == n })
 			time.Sleep(3 * time.Second)
 			f.Net.Heal()
 		}},
 		{"three servers are partitioned from four", func(plan string) {
-			f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			f.must(faultnet.Script{{Do: "part", Who: []string{"n1", "n4", "n5"}}}.Play(t.Context(), f.Net, nil, func(faultnet.Step) {}))
 			time.Sleep(3 * time.Second)
 			f.Net.Heal()
 		}},
 		{"a server comes back without its disk", func(plan string) {
-			f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			m := f.Member("n7")
 			f.must(m.Wipe())
 			f.must(m.Start())
 		}},
 		{"the disk of a server is full", func(plan string) {
-			f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			m := f.Member("n4")
 			f.must(m.FullDisk())
 			f.must(standin.Until("its membership ends", 20*time.Second, func() bool {
 				// The entry is written to the log even though it is refused.
-				f.Member("n3").Say(t.Context(), driver.Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
+				f.Member("n3").Say(t.Context(), driver.Command{Entry: maintenance.Entry{Kind: maintenance.Pause, Plan: maintenance.Plan{ID: "none"}}})
 				return strings.Contains(m.Log(), "do=keep")
 			}))
 			l, err := standin.DialLine(m.Listen)
@@ -294,7 +294,7 @@
 			f.must(m.Start())
 		}},
 		{"a certificate is replaced", func(plan string) {
-			n := f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			n := f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			certs.New(t, dir, n, ca)
 			certs.New(t, dir, "n4", ca)
 			f.Net.Set(faultnet.Fault{Refuse: true}, func(_, to string) bool { return to == n || to == "n4" })
@@ -302,7 +302,7 @@
 			f.Net.Heal()
 		}},
 		{"all servers restart", func(plan string) {
-			f.waitForPhase(plan, takeout.Granted, takeout.Draining, takeout.Out)
+			f.waitForPhase(plan, maintenance.Granted, maintenance.Draining, maintenance.Drained)
 			for _, m := range f.Members {
 				m.Kill()
 			}
@@ -314,7 +314,7 @@
 		began := time.Now()
 		f.note(x.name)
 		plan := strings.ReplaceAll(x.name, " ", "-")
-		f.must(f.ask("n3", takeout.Plan{ID: plan, Boxes: planned, Most: 1}))
+		f.must(f.ask("n3", maintenance.Plan{ID: plan, Boxes: planned, Most: 1}))
 		x.do(plan)
 		f.waitForPlan(plan)
 		f.must(f.Settle(30*time.Second, 5))
@@ -330,7 +330,7 @@
 	f := newFleet(t, 400, "")
 	f.Call(4)
 	asked := make(chan error, 2)
-	for i, p := range []takeout.Plan{{ID: "disks", Boxes: f.Names(), Most: 1}, {ID: "cables", Boxes: []string{"n1", "n2"}, Most: 1}} {
+	for i, p := range []maintenance.Plan{{ID: "disks", Boxes: f.Names(), Most: 1}, {ID: "cables", Boxes: []string{"n1", "n2"}, Most: 1}} {
 		go func() { asked <- f.ask([]string{"n1", "n6"}[i], p) }()
 	}
 	f.must(errors.Join(<-asked, <-asked))
@@ -358,7 +358,7 @@
 		t.Run(fmt.Sprint("seed ", seed+1), func(t *testing.T) {
 			t.Parallel()
 			f := newFleet(t, 300, "")
-			f.must(f.ask("n1", takeout.Plan{ID: "disks", Boxes: f.Names(), Most: 2}))
+			f.must(f.ask("n1", maintenance.Plan{ID: "disks", Boxes: f.Names(), Most: 2}))
 			s := faultnet.Draw(seed+1, f.Names(), 40)
 			if *script != "" {
 				text, err := os.ReadFile(*script)
--- a/internal/fleet/driver/handover.go
+++ b/internal/fleet/driver/handover.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchscale/internal/fleet/consensus"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // ErrNoSuccessor means that no other voter can become the leader.
@@ -93,8 +93,8 @@
 		if m.ID == d.self.ID || !m.Voter || !d.hasFreshReport(m, now) {
 			continue
 		}
-		server, report := s.Work.Box(m.Name), d.reports[m.Name]
-		if server != nil && (server.Phase == takeout.In || server.Phase == takeout.Returning) && report.Warm && !report.Failing {
+		server, report := s.Work.Server(m.Name), d.reports[m.Name]
+		if server != nil && (server.Phase == maintenance.InService || server.Phase == maintenance.Returning) && report.Warm && !report.Failing {
 			return m
 		}
 	}
--- a/internal/fleet/driver/http.go
+++ b/internal/fleet/driver/http.go
@@ -11,7 +11,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/consensus"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // maxMessagesBody limits the raft messages of one request.
@@ -31,7 +31,7 @@
 	Found bool
 	Part  string          `json:",omitempty"` // the module that reads Data; "" = none
 	Data  json.RawMessage `json:",omitempty"`
-	Entry takeout.Entry
+	Entry maintenance.Entry
 }
 
 // CommandResult is the outcome of a command.
--- a/internal/fleet/driver/modules.go
+++ b/internal/fleet/driver/modules.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/consensus"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Module is a replicated state machine together with what this server does about its state. Its methods are called on
@@ -90,7 +90,7 @@
 }
 
 // Report returns the newest report of a server, and whether it is recent. Only voters receive reports.
-func (h *Host) Report(name string) (r takeout.Report, fresh bool) {
+func (h *Host) Report(name string) (r maintenance.Report, fresh bool) {
 	m := h.d.node.State().MemberByName(name)
 	if m == nil {
 		return r, false
@@ -142,22 +142,22 @@
 func (h *Host) Index() uint64 { return h.d.node.Applied() }
 
 // MaintenanceState returns the replicated state of maintenance plans, which must not be changed.
-func (h *Host) MaintenanceState() *takeout.State { return &h.d.node.State().Work }
+func (h *Host) MaintenanceState() *maintenance.State { return &h.d.node.State().Work }
 
 // ProposeMaintenance proposes an entry of the maintenance plans. The outcome shows in their state.
-func (h *Host) ProposeMaintenance(entry takeout.Entry) { h.d.propose(&entry, nil) }
+func (h *Host) ProposeMaintenance(entry maintenance.Entry) { h.d.propose(&entry, nil) }
 
 // SetReports sets the newest reports of servers that are not members of the raft group. It drops the reports of
 // servers that the maintenance state no longer contains.
-func (h *Host) SetReports(reports map[string]takeout.Report) {
+func (h *Host) SetReports(reports map[string]maintenance.Report) {
 	work := h.MaintenanceState()
 	for name, report := range reports {
-		if work.Box(name) != nil {
+		if work.Server(name) != nil {
 			h.d.reports[name] = report
 		}
 	}
 	for name := range h.d.reports {
-		if work.Box(name) == nil && name != h.d.self.Name {
+		if work.Server(name) == nil && name != h.d.self.Name {
 			delete(h.d.reports, name)
 		}
 	}
--- a/internal/fleet/driver/reports.go
+++ b/internal/fleet/driver/reports.go
@@ -8,7 +8,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"larchscale/internal/fleet/consensus"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // sendReport reports on this server to all voters, as each of them may become the leader.
@@ -31,7 +31,7 @@
 // reportMessage is a report as it is sent.
 type reportMessage struct {
 	ID     uint64
-	Report takeout.Report
+	Report maintenance.Report
 	Parts  map[string][]byte `cbor:",omitempty"` // of the modules, by name
 }
 
--- a/internal/fleet/driver/status.go
+++ b/internal/fleet/driver/status.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"larchscale/internal/fleet/consensus"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Status is the status of the fleet as one server sees it.
@@ -14,19 +14,19 @@
 	Leader      string
 	Term        uint64
 	Digest      uint64
-	Self        takeout.Act
+	Self        maintenance.Action
 	Members     []consensus.Member
-	takeout.State
-	Waits    []takeout.Wait            // only the leader knows these
-	Reports  map[string]takeout.Report // those that this server has received
-	SilentMs int                       // a server without a report for so long counts as silent
+	maintenance.State
+	Waits    []maintenance.Wait            // only the leader knows these
+	Reports  map[string]maintenance.Report // those that this server has received
+	SilentMs int                           // a server without a report for so long counts as silent
 }
 
 func (d *Driver) status() Status {
 	s := d.node.State()
 	term, leads := d.node.Leads()
 	out := Status{Box: d.self.Name, Incarnation: d.incarnation, Term: term, Self: d.action, Members: slices.Clone(s.Members),
-		State: s.Work.Clone(), Reports: map[string]takeout.Report{}, SilentMs: d.opt.SilentMs}
+		State: s.Work.Clone(), Reports: map[string]maintenance.Report{}, SilentMs: d.opt.SilentMs}
 	out.Digest, _ = d.node.Digest()
 	if m := s.Member(d.node.Leader()); m != nil {
 		out.Leader = m.Name
--- a/internal/fleet/takeout/apply.go
+++ b/internal/fleet/maintenance/apply.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"fmt"
@@ -33,7 +33,7 @@
 	Incarnation uint64 // Grant, Step: the server's process
 	Phase       Phase  // Step: the phase that it enters; In = it is warm again
 	Plan        Plan   // Propose: the whole plan; others: its ID alone
-	Order       []Place
+	Order       []OrderItem
 	Missing     []string // Grant: servers that the leader considers unavailable, whatever the log says of them
 	By, Why     string   // WriteOff, Leave: the operator and the reason; Grant: the reason for the choice
 }
@@ -84,7 +84,7 @@
 		}
 		for i := range s.Boxes { // a server that was granted and has not begun returns to In
 			if b := &s.Boxes[i]; b.Plan == p.ID && b.Phase == Granted {
-				b.Phase, b.Plan, b.Index, b.WrittenOff = In, "", index, ""
+				b.Phase, b.Plan, b.Index, b.WrittenOff = InService, "", index, ""
 			}
 		}
 	default:
@@ -98,15 +98,15 @@
 	if e.Box == "" || len(e.Box) > maxName || len(e.Zone) > maxName {
 		return fmt.Errorf("server name %q, zone %q: %w", e.Box, e.Zone, ErrInvalid)
 	}
-	if b := s.Box(e.Box); b != nil {
+	if b := s.Server(e.Box); b != nil {
 		b.Zone = e.Zone
 		return nil
 	}
 	if len(s.Boxes) >= MaxBoxes {
 		return fmt.Errorf("server %s: the fleet has %d servers, which is the maximum: %w", e.Box, MaxBoxes, ErrInvalid)
 	}
-	s.Boxes = append(s.Boxes, Box{Name: e.Box, Zone: e.Zone})
-	slices.SortFunc(s.Boxes, func(a, b Box) int { return compare(a.Name, b.Name) })
+	s.Boxes = append(s.Boxes, Server{Name: e.Box, Zone: e.Zone})
+	slices.SortFunc(s.Boxes, func(a, b Server) int { return compare(a.Name, b.Name) })
 	return nil
 }
 
@@ -138,7 +138,7 @@
 
 // holdsGrant reports whether a server holds a grant of the plan.
 func (s *State) holdsGrant(p *Plan) bool {
-	return slices.ContainsFunc(s.Boxes, func(b Box) bool { return b.Plan == p.ID })
+	return slices.ContainsFunc(s.Boxes, func(b Server) bool { return b.Plan == p.ID })
 }
 
 // arrange sets the order of the servers that a plan has left to grant.
@@ -154,7 +154,7 @@
 }
 
 // covers reports whether an order lists exactly the servers that are left, which are sorted by name.
-func covers(order []Place, left []string) bool {
+func covers(order []OrderItem, left []string) bool {
 	names := make([]string, len(order))
 	for i, place := range order {
 		names[i] = place.Box
@@ -167,7 +167,7 @@
 func (s *State) left(p *Plan) []string {
 	var names []string
 	for _, name := range p.Boxes {
-		if b := s.Box(name); b.Plan != p.ID && !slices.Contains(p.Gone, name) {
+		if b := s.Server(name); b.Plan != p.ID && !slices.Contains(p.Gone, name) {
 			names = append(names, name)
 		}
 	}
@@ -176,7 +176,7 @@
 
 // grant lets the first server in a plan's order begin to drain.
 func (s *State) grant(index uint64, p *Plan, e *Entry) error {
-	b := s.Box(e.Box)
+	b := s.Server(e.Box)
 	switch {
 	case b == nil:
 		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
@@ -184,7 +184,7 @@
 		return fmt.Errorf("plan %s is %s: %w", p.ID, p.State, ErrPhase)
 	case len(p.Order) == 0 || p.Order[0].Box != b.Name:
 		return fmt.Errorf("server %s is not the next in plan %s: %w", b.Name, p.ID, ErrPhase)
-	case b.Phase != In || b.Incarnation != e.Incarnation:
+	case b.Phase != InService || b.Incarnation != e.Incarnation:
 		return fmt.Errorf("server %s is %s in incarnation %d, the grant is for incarnation %d: %w", b.Name, b.Phase, b.Incarnation, e.Incarnation, ErrPhase)
 	}
 	if n := s.unavailable(e.Missing, b.Name); n+1 > p.Most {
@@ -210,7 +210,7 @@
 // and the server is known by that process's incarnation from then on. A server whose process died before it was Out
 // for its plan is granted again once it is back. The same process may return too, if the maintenance did not end it.
 func (s *State) step(index uint64, e *Entry) error {
-	b := s.Box(e.Box)
+	b := s.Server(e.Box)
 	if b == nil {
 		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	}
@@ -218,15 +218,15 @@
 	switch {
 	case e.Incarnation == 0, newProcess && e.Incarnation < b.Incarnation:
 		return fmt.Errorf("server %s is in incarnation %d, incarnation %d reported: %w", b.Name, b.Incarnation, e.Incarnation, ErrPhase)
-	case newProcess && e.Phase != Returning, !newProcess && e.Phase == Returning && b.Phase < Out,
-		e.Phase == Draining && b.Phase > Draining, e.Phase == Draining && b.Phase == In,
-		e.Phase == Out && b.Phase != Draining && b.Phase != Out, e.Phase == Granted:
+	case newProcess && e.Phase != Returning, !newProcess && e.Phase == Returning && b.Phase < Drained,
+		e.Phase == Draining && b.Phase > Draining, e.Phase == Draining && b.Phase == InService,
+		e.Phase == Drained && b.Phase != Draining && b.Phase != Drained, e.Phase == Granted:
 		return fmt.Errorf("server %s is %s and reported %s: %w", b.Name, b.Phase, e.Phase, ErrPhase)
-	case e.Phase == In && b.Phase == Granted:
+	case e.Phase == InService && b.Phase == Granted:
 		return fmt.Errorf("server %s has an unused grant: %w", b.Name, ErrPhase)
-	case e.Phase == In && b.Phase == Out:
+	case e.Phase == InService && b.Phase == Drained:
 		return fmt.Errorf("server %s is out, and its new process has not reported: %w", b.Name, ErrPhase)
-	case e.Phase == In && b.Phase == Draining && !s.planClosed(b.Plan):
+	case e.Phase == InService && b.Phase == Draining && !s.planClosed(b.Plan):
 		return fmt.Errorf("server %s drains for plan %s, which is still open: %w", b.Name, b.Plan, ErrPhase)
 	}
 	b.Incarnation = e.Incarnation
@@ -235,11 +235,11 @@
 	}
 	b.Phase, b.Index = e.Phase, index
 	switch e.Phase {
-	case Out:
+	case Drained:
 		b.WasOut = true
 	case Returning: // counts again, even if it was written off
 		b.WrittenOff = ""
-	case In:
+	case InService:
 		if p := s.Plan(b.Plan); p != nil && b.WasOut && !slices.Contains(p.Gone, b.Name) {
 			p.Gone = append(p.Gone, b.Name)
 		}
@@ -256,13 +256,13 @@
 
 // writeOff records an operator's decision not to wait for a server.
 func (s *State) writeOff(index uint64, e *Entry) error {
-	b := s.Box(e.Box)
+	b := s.Server(e.Box)
 	switch {
 	case b == nil:
 		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
 	case e.By == "" || e.Why == "" || len(e.By) > maxName || len(e.Why) > maxReason:
 		return fmt.Errorf("server %s: operator or reason is missing or too long: %w", b.Name, ErrInvalid)
-	case b.Phase == In:
+	case b.Phase == InService:
 		return fmt.Errorf("server %s is in and does not count as unavailable: %w", b.Name, ErrPhase)
 	}
 	b.WrittenOff, b.Index = e.By+": "+e.Why, index
@@ -276,7 +276,7 @@
 // leave removes a server from the fleet and from all plans, by an operator's decision. If it still runs, it joins
 // again as a new member.
 func (s *State) leave(e *Entry) error {
-	b := s.Box(e.Box)
+	b := s.Server(e.Box)
 	switch {
 	case b == nil:
 		return fmt.Errorf("server %q: %w", e.Box, ErrUnknown)
@@ -290,9 +290,9 @@
 		p := &s.Plans[i]
 		p.Boxes = slices.DeleteFunc(slices.Clone(p.Boxes), matches)
 		p.Gone = slices.DeleteFunc(slices.Clone(p.Gone), matches)
-		p.Order = slices.DeleteFunc(slices.Clone(p.Order), func(x Place) bool { return matches(x.Box) })
+		p.Order = slices.DeleteFunc(slices.Clone(p.Order), func(x OrderItem) bool { return matches(x.Box) })
 	}
-	s.Boxes = slices.DeleteFunc(s.Boxes, func(x Box) bool { return matches(x.Name) })
+	s.Boxes = slices.DeleteFunc(s.Boxes, func(x Server) bool { return matches(x.Name) })
 	s.advancePlans()
 	return nil
 }
@@ -312,7 +312,7 @@
 		}
 		free := true
 		for _, name := range p.Boxes {
-			b := s.Box(name)
+			b := s.Server(name)
 			free = free && !reserved[name] && (b.Plan == "" || b.Plan == p.ID)
 		}
 		for _, name := range p.Boxes {
--- a/internal/fleet/takeout/meter.go
+++ b/internal/fleet/maintenance/meter.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 // Meter estimates how many requests per second a server serves and could serve, from the requests it has served and
 // the use of its cores.
@@ -15,10 +15,10 @@
 	meterMinUse = 0.05 // core use under which a reading says nothing about the capacity
 )
 
-// Read takes the number of requests served so far and the share of the cores in use (negative = unknown) at a time,
+// Update takes the number of requests served so far and the share of the cores in use (negative = unknown) at a time,
 // and returns the load and the capacity in requests per second. The capacity is the guess until the server was busy
 // enough to measure it.
-func (m *Meter) Read(now int64, served uint64, use, guess float64) (load, capacity float64) {
+func (m *Meter) Update(now int64, served uint64, use, guess float64) (load, capacity float64) {
 	if m.capacity == 0 {
 		m.capacity = guess
 	}
--- a/internal/fleet/takeout/next.go
+++ b/internal/fleet/maintenance/next.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"cmp"
@@ -23,18 +23,18 @@
 
 // View is what the leader knows besides the replicated state.
 type View struct {
-	Now     int64
-	Self    string // name of the leader
-	Silent  int64  // ms without a report after which a server counts as missing
-	Reports map[string]Report
-	Voters  map[string]bool // servers that can lead; nil = all
+	Now         int64
+	Self        string // name of the leader
+	SilentAfter int64  // ms without a report after which a server counts as missing
+	Reports     map[string]Report
+	Voters      map[string]bool // servers that can lead; nil = all
 }
 
 // report returns a server's report, and false if the server is silent or the report is from another process than the
 // one in the log.
-func (v *View) report(b *Box) (Report, bool) {
+func (v *View) report(b *Server) (Report, bool) {
 	r, ok := v.Reports[b.Name]
-	return r, ok && r.Fresh(v.Now, v.Silent) && (b.Incarnation == 0 || r.Incarnation == b.Incarnation)
+	return r, ok && r.Fresh(v.Now, v.SilentAfter) && (b.Incarnation == 0 || r.Incarnation == b.Incarnation)
 }
 
 // Wait is the reason for which a plan waits.
@@ -74,7 +74,7 @@
 		case granted:
 			wait(p.Order[0].Box, "another plan's grant comes first")
 		default:
-			b := s.Box(p.Order[0].Box)
+			b := s.Server(p.Order[0].Box)
 			missing, why := mayGrant(s, p, b, &v)
 			if why != "" {
 				wait(b.Name, "%s", why)
@@ -95,7 +95,7 @@
 }
 
 // mayGrant returns the missing servers, and the reason for which a server must not be granted now; "" = it may be.
-func mayGrant(s *State, p *Plan, b *Box, v *View) (missing []string, why string) {
+func mayGrant(s *State, p *Plan, b *Server, v *View) (missing []string, why string) {
 	demand, restCapacity := 0.0, 0.0
 	coldCount := 0
 	for i := range s.Boxes {
@@ -111,20 +111,20 @@
 		case !r.Warm:
 			missing = append(missing, x.Name)
 			coldCount++
-		case x.Phase == In:
+		case x.Phase == InService:
 			restCapacity += r.Capacity
 		}
 	}
 	n := s.unavailable(missing, b.Name)
 	switch _, ok := v.report(b); {
-	case b.Phase != In:
+	case b.Phase != InService:
 		return nil, fmt.Sprintf("it is %s already", b.Phase)
 	case b.Incarnation == 0:
 		return nil, "no process of it has been heard of"
 	case !ok:
 		return nil, "it is silent, and may be serving"
 	case n+1 > p.Most:
-		return nil, fmt.Sprintf("%d boxes are missing (%d by the log, %d cold), %d at most may be with it", n, s.Away(), coldCount, p.Most)
+		return nil, fmt.Sprintf("%d boxes are missing (%d by the log, %d cold), %d at most may be with it", n, s.CountUnavailable(), coldCount, p.Most)
 	case restCapacity <= 0, 1-demand/restCapacity < p.Floor:
 		return nil, fmt.Sprintf("the warm rest carries %.0f/s, asked are %.0f/s: under the floor of %.2f", restCapacity, demand, p.Floor)
 	}
@@ -135,9 +135,9 @@
 // last fit server of the plan's order, since it is granted last.
 func successor(s *State, p *Plan, v *View) string {
 	fit := func(name string) bool {
-		b := s.Box(name)
+		b := s.Server(name)
 		r, ok := v.report(b)
-		return name != v.Self && (v.Voters == nil || v.Voters[name]) && ok && r.Warm && b.Phase == In && !r.Failing
+		return name != v.Self && (v.Voters == nil || v.Voters[name]) && ok && r.Warm && b.Phase == InService && !r.Failing
 	}
 	for i := range s.Boxes {
 		if n := s.Boxes[i].Name; fit(n) && !slices.Contains(p.Boxes, n) {
@@ -160,7 +160,7 @@
 // order derives the order of the servers that a plan has left, with the reason for each position: servers that already
 // fail come first, then the zones take turns, and within a zone the server with the fewest requests in flight comes
 // first, those with keyed results that may still be asked for later, and the leader last.
-func order(s *State, p *Plan, left []string, v *View) []Place {
+func order(s *State, p *Plan, left []string, v *View) []OrderItem {
 	type item struct {
 		name, zone           string
 		failing, keyed, lead bool
@@ -169,7 +169,7 @@
 	}
 	items := make([]item, 0, len(left))
 	for _, name := range left {
-		b := s.Box(name)
+		b := s.Server(name)
 		r := v.Reports[name]
 		items = append(items, item{name: name, zone: b.Zone, failing: r.Failing, keyed: r.KeyedUntil > v.Now, lead: name == v.Self, open: r.Open})
 	}
@@ -186,7 +186,7 @@
 	turnsByZone := map[string]int{}
 	for _, name := range p.Boxes { // servers that were granted before count too
 		if !slices.Contains(left, name) {
-			turnsByZone[s.Box(name).Zone]++
+			turnsByZone[s.Server(name).Zone]++
 		}
 	}
 	for i := range items {
@@ -196,7 +196,7 @@
 	slices.SortFunc(items, func(a, b item) int {
 		return cmp.Or(boolToInt(b.failing)-boolToInt(a.failing), boolToInt(a.lead)-boolToInt(b.lead), cmp.Compare(a.turn, b.turn), byOwnState(a, b))
 	})
-	places := make([]Place, len(items))
+	places := make([]OrderItem, len(items))
 	for i, x := range items {
 		why := fmt.Sprintf("number %d of zone %s, %d in hand", x.turn+1, x.zone, x.open)
 		switch {
@@ -207,7 +207,7 @@
 		case x.keyed:
 			why += ", keyed results still wanted"
 		}
-		places[i] = Place{x.name, why}
+		places[i] = OrderItem{x.name, why}
 	}
 	return places
 }
--- a/internal/fleet/takeout/state.go
+++ b/internal/fleet/maintenance/state.go
@@ -1,10 +1,10 @@
-// Package takeout decides in which order servers are drained for maintenance, and when the next one may start. It
+// Package maintenance decides in which order servers are drained for maintenance, and when the next one may start. It
 // holds the replicated state, which changes only by the entries of the log (Apply), and derives from it and from the
 // newest reports what the leader proposes next (Next). It does no I/O and reads no clock: times are arguments, in Unix
 // milliseconds of the proposer's clock.
 //
 // Apply checks a plan's bound against the replicated state, so two leaders can never grant past it together.
-package takeout
+package maintenance
 
 import (
 	"errors"
@@ -27,10 +27,10 @@
 
 // The phases, in the order in which a server passes through them.
 const (
-	In        Phase = iota // serving, or able to serve
+	InService Phase = iota // serving, or able to serve
 	Granted                // may begin to drain
 	Draining               // draining
-	Out                    // drained: no request is open, and the machine may be serviced
+	Drained                // drained: no request is open, and the machine may be serviced
 	Returning              // a new process is up and still cold
 )
 
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// Box is the replicated state of one server.
-type Box struct {
+// Server is the replicated state of one server.
+type Server struct {
 	Name        string
 	Zone        string
 	Incarnation uint64 // of the process that last reported a phase; 0 = none yet
@@ -65,7 +65,7 @@
 }
 
 // unavailable reports whether the server counts against the bounds.
-func (b *Box) unavailable() bool { return b.Phase != In && b.WrittenOff == "" }
+func (b *Server) unavailable() bool { return b.Phase != InService && b.WrittenOff == "" }
 
 // PlanState is the progress of a plan.
 type PlanState uint8
@@ -100,8 +100,8 @@
 
 func (s PlanState) closed() bool { return s >= Done }
 
-// Place is one server in the order of a plan, with the reason for its position.
-type Place struct {
+// OrderItem is one server in the order of a plan, with the reason for its position.
+type OrderItem struct {
 	Box string
 	Why string
 }
@@ -116,16 +116,16 @@
 	Floor    float64  // share of the warm servers' capacity that stays unused, 0 to under 1
 	Deadline int64    // no grant from this time on; 0 = none
 	State    PlanState
-	Order    []Place  // servers that have not been granted; empty until arranged
-	Gone     []string // servers that have been out and are back, or were written off, in that order
-	Index    uint64   // of the entry that proposed it
+	Order    []OrderItem // servers that have not been granted; empty until arranged
+	Gone     []string    // servers that have been out and are back, or were written off, in that order
+	Index    uint64      // of the entry that proposed it
 }
 
 // State is the replicated state. Its zero value is an empty fleet.
 type State struct {
-	Index uint64 // of the last applied entry
-	Boxes []Box  // sorted by name
-	Plans []Plan // in the order in which they were proposed
+	Index uint64   // of the last applied entry
+	Boxes []Server // sorted by name
+	Plans []Plan   // in the order in which they were proposed
 }
 
 // Errors of Apply. An entry that fails with one changes nothing but the index.
@@ -147,9 +147,9 @@
 	return clone
 }
 
-// Box returns the server of a name, or nil if it is unknown.
-func (s *State) Box(name string) *Box {
-	i, ok := slices.BinarySearchFunc(s.Boxes, name, func(b Box, n string) int { return compare(b.Name, n) })
+// Server returns the server of a name, or nil if it is unknown.
+func (s *State) Server(name string) *Server {
+	i, ok := slices.BinarySearchFunc(s.Boxes, name, func(b Server, n string) int { return compare(b.Name, n) })
 	if !ok {
 		return nil
 	}
@@ -166,8 +166,8 @@
 	return nil
 }
 
-// Away counts the servers that are unavailable by the log alone.
-func (s *State) Away() int {
+// CountUnavailable counts the servers that are unavailable by the log alone.
+func (s *State) CountUnavailable() int {
 	count := 0
 	for i := range s.Boxes {
 		if s.Boxes[i].unavailable() {
@@ -204,7 +204,7 @@
 		return fmt.Errorf("plan %s: negative deadline %d: %w", p.ID, p.Deadline, ErrInvalid)
 	}
 	for i, name := range p.Boxes {
-		if s.Box(name) == nil {
+		if s.Server(name) == nil {
 			return fmt.Errorf("plan %s: server %q: %w", p.ID, name, ErrUnknown)
 		}
 		if i > 0 && p.Boxes[i-1] >= name {
--- a/internal/fleet/takeout/takeout_test.go
+++ b/internal/fleet/maintenance/takeout_test.go
@@ -1,4 +1,4 @@
-package takeout
+package maintenance
 
 import (
 	"errors"
@@ -18,14 +18,14 @@
 	for i := range n {
 		name := fmt.Sprintf("%c%d", 'a'+i%zones, i/zones+1)
 		s.Apply(s.Index+1, &Entry{Kind: Join, Box: name, Zone: name[:1]})
-		s.Box(name).Incarnation = 1
+		s.Server(name).Incarnation = 1
 	}
 	return s
 }
 
 // calmView returns a view in which every server is warm and carries half of its capacity.
 func calmView(s *State) View {
-	v := View{Now: 1_000_000, Silent: 3000, Reports: map[string]Report{}}
+	v := View{Now: 1_000_000, SilentAfter: 3000, Reports: map[string]Report{}}
 	for _, b := range s.Boxes {
 		v.Reports[b.Name] = Report{Incarnation: b.Incarnation, Heard: v.Now, Capacity: 100, Load: 50, Warm: true}
 	}
@@ -72,8 +72,8 @@
 // finishMaintenance takes a granted server through its phases. Its new process is warm at once.
 func finishMaintenance(t *testing.T, s *State, v View, name string) {
 	t.Helper()
-	inc := s.Box(name).Incarnation
-	for _, e := range []Entry{{Phase: Draining, Incarnation: inc}, {Phase: Out, Incarnation: inc}, {Phase: Returning, Incarnation: inc + 1}, {Phase: In, Incarnation: inc + 1}} {
+	inc := s.Server(name).Incarnation
+	for _, e := range []Entry{{Phase: Draining, Incarnation: inc}, {Phase: Drained, Incarnation: inc}, {Phase: Returning, Incarnation: inc + 1}, {Phase: InService, Incarnation: inc + 1}} {
 		e.Kind, e.Box = Step, name
 		if err := s.Apply(s.Index+1, &e); err != nil {
 			t.Fatal(err)
@@ -109,8 +109,8 @@
 			v.Self = d.Transfer
 			continue
 		}
-		if len(granted) != 1 || s.Away() != 1 || granted[0] == v.Self {
-			t.Fatalf("granted %v, %d unavailable, waits %v", granted, s.Away(), d.Waits)
+		if len(granted) != 1 || s.CountUnavailable() != 1 || granted[0] == v.Self {
+			t.Fatalf("granted %v, %d unavailable, waits %v", granted, s.CountUnavailable(), d.Waits)
 		}
 		if _, d := applyProposals(t, s, v); len(d.Waits) != 1 || !strings.Contains(d.Waits[0].Why, "1 boxes are missing") && !strings.Contains(d.Waits[0].Why, "all of its boxes") {
 			t.Fatalf("waits %v", d.Waits)
@@ -126,7 +126,7 @@
 
 func makeSilent(v *View, name string) {
 	r := v.Reports[name]
-	r.Heard = v.Now - v.Silent - 1
+	r.Heard = v.Now - v.SilentAfter - 1
 	v.Reports[name] = r
 }
 
@@ -143,7 +143,7 @@
 			r.Warm = false
 			v.Reports["b2"] = r
 		}, "1 cold"},
-		{"another process of a server reports", func(s *State, v *View) { s.Box("b2").Incarnation = 2 }, "1 boxes are missing"},
+		{"another process of a server reports", func(s *State, v *View) { s.Server("b2").Incarnation = 2 }, "1 boxes are missing"},
 		{"traffic jumps", func(s *State, v *View) {
 			for n, r := range v.Reports {
 				r.Load = 80
@@ -194,8 +194,8 @@
 		t.Fatalf("granted %v, second %s", granted, s.Plan("second").State)
 	}
 	s.Apply(s.Index+1, &Entry{Kind: Cancel, Plan: Plan{ID: "first"}})
-	if s.Box("a1").Phase != In || s.Plan("second").State != Running {
-		t.Fatalf("a1 is %s, second is %s after the first was cancelled", s.Box("a1").Phase, s.Plan("second").State)
+	if s.Server("a1").Phase != InService || s.Plan("second").State != Running {
+		t.Fatalf("a1 is %s, second is %s after the first was cancelled", s.Server("a1").Phase, s.Plan("second").State)
 	}
 }
 
@@ -226,15 +226,15 @@
 		}, nil, ErrPhase},
 		{"the server restarted and is in", func(s *State) {
 			s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 2, Phase: Returning})
-			s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 2, Phase: In})
+			s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 2, Phase: InService})
 		}, nil, ErrPhase},
-		{"the server returns in the same process", func(s *State) { s.Box("a1").Phase = Returning }, nil, ErrPhase},
+		{"the server returns in the same process", func(s *State) { s.Server("a1").Phase = Returning }, nil, ErrPhase},
 		{"the order was discarded", func(s *State) { s.Apply(s.Index+1, &Entry{Kind: Replan, Plan: Plan{ID: "p"}}) }, nil, ErrPhase},
 		{"the plan is over", func(s *State) { s.Apply(s.Index+1, &Entry{Kind: Cancel, Plan: Plan{ID: "p"}}) }, nil, ErrOver},
 	} {
 		s := newFleet(6, 3)
 		propose(s, "p", []string{"a1", "b1"}, 1)
-		s.Apply(s.Index+1, &Entry{Kind: Arrange, Plan: Plan{ID: "p"}, Order: []Place{{Box: "a1"}, {Box: "b1"}}})
+		s.Apply(s.Index+1, &Entry{Kind: Arrange, Plan: Plan{ID: "p"}, Order: []OrderItem{{Box: "a1"}, {Box: "b1"}}})
 		tc.change(s)
 		err := s.Apply(s.Index+1, &Entry{Kind: Grant, Box: "a1", Incarnation: 1, Plan: Plan{ID: "p"}, Missing: tc.missing})
 		if !errors.Is(err, tc.want) {
@@ -246,7 +246,7 @@
 // A server that dies while it holds a grant counts as unavailable until it is back or written off. One that was not
 // Out yet is granted again. A server that was written off counts again once it turns up.
 func TestServerDiesDuringMaintenance(t *testing.T) {
-	for _, at := range []Phase{Granted, Draining, Out} {
+	for _, at := range []Phase{Granted, Draining, Drained} {
 		s := newFleet(6, 3)
 		propose(s, "p", []string{"a1"}, 1)
 		v := calmView(s)
@@ -254,16 +254,16 @@
 		for p := Draining; p <= at; p++ {
 			s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 1, Phase: p})
 		}
-		if s.Away() != 1 {
-			t.Fatalf("%s: %d unavailable", at, s.Away())
+		if s.CountUnavailable() != 1 {
+			t.Fatalf("%s: %d unavailable", at, s.CountUnavailable())
 		}
 		s.Apply(s.Index+1, &Entry{Kind: WriteOff, Box: "a1", By: "staff", Why: "no disk"})
-		if s.Away() != 0 || s.Box("a1").WrittenOff != "staff: no disk" || s.Plan("p").State != Done {
-			t.Errorf("%s, written off: %d unavailable, %+v, plan %s", at, s.Away(), s.Box("a1"), s.Plan("p").State)
+		if s.CountUnavailable() != 0 || s.Server("a1").WrittenOff != "staff: no disk" || s.Plan("p").State != Done {
+			t.Errorf("%s, written off: %d unavailable, %+v, plan %s", at, s.CountUnavailable(), s.Server("a1"), s.Plan("p").State)
 		}
 		s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 2, Phase: Returning})
-		if s.Away() != 1 {
-			t.Errorf("%s, written off and up again: %d unavailable", at, s.Away())
+		if s.CountUnavailable() != 1 {
+			t.Errorf("%s, written off and up again: %d unavailable", at, s.CountUnavailable())
 		}
 
 		s = newFleet(6, 3)
@@ -272,13 +272,13 @@
 		for p := Draining; p <= at; p++ {
 			s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 1, Phase: p})
 		}
-		for _, p := range []Phase{Returning, In} {
+		for _, p := range []Phase{Returning, InService} {
 			if err := s.Apply(s.Index+1, &Entry{Kind: Step, Box: "a1", Incarnation: 2, Phase: p}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if done := s.Plan("p").State == Done; done != (at == Out) || s.Away() != 0 {
-			t.Errorf("%s and back: plan %s, %d unavailable", at, s.Plan("p").State, s.Away())
+		if done := s.Plan("p").State == Done; done != (at == Drained) || s.CountUnavailable() != 0 {
+			t.Errorf("%s and back: plan %s, %d unavailable", at, s.Plan("p").State, s.CountUnavailable())
 		}
 	}
 }
@@ -292,8 +292,8 @@
 	if err := s.Apply(s.Index+1, &Entry{Kind: Leave, Box: "a1", By: "staff"}); !errors.Is(err, ErrInvalid) {
 		t.Errorf("without a reason: %v", err)
 	}
-	if err := s.Apply(s.Index+1, &Entry{Kind: Leave, Box: "a1", By: "staff", Why: "scrapped"}); err != nil || s.Box("a1") != nil || s.Away() != 0 {
-		t.Fatalf("%v, %+v, %d unavailable", err, s.Box("a1"), s.Away())
+	if err := s.Apply(s.Index+1, &Entry{Kind: Leave, Box: "a1", By: "staff", Why: "scrapped"}); err != nil || s.Server("a1") != nil || s.CountUnavailable() != 0 {
+		t.Fatalf("%v, %+v, %d unavailable", err, s.Server("a1"), s.CountUnavailable())
 	}
 	v := calmView(s)
 	if granted, d := applyProposals(t, s, v); !slices.Equal(granted, []string{"b1"}) {
@@ -303,7 +303,7 @@
 	if p := s.Plan("p"); p.State != Done || !slices.Equal(p.Gone, []string{"b1"}) {
 		t.Errorf("%+v", p)
 	}
-	if err := s.Apply(s.Index+1, &Entry{Kind: Join, Box: "a1", Zone: "a"}); err != nil || s.Box("a1").Phase != In {
+	if err := s.Apply(s.Index+1, &Entry{Kind: Join, Box: "a1", Zone: "a"}); err != nil || s.Server("a1").Phase != InService {
 		t.Errorf("joining again: %v", err)
 	}
 }
@@ -359,7 +359,7 @@
 		var history []Entry
 		timesOut := map[string]int{} // by plan and server
 		apply := func(e Entry) error {
-			before := map[string]Box{}
+			before := map[string]Server{}
 			for _, b := range s.Boxes {
 				before[b.Name] = b
 			}
@@ -371,15 +371,15 @@
 			if err != nil {
 				return err
 			}
-			if e.Kind == Grant && s.Away() > s.Plan(e.Plan.ID).Most {
-				t.Fatalf("%d unavailable with a bound of %d after %+v", s.Away(), s.Plan(e.Plan.ID).Most, e)
+			if e.Kind == Grant && s.CountUnavailable() > s.Plan(e.Plan.ID).Most {
+				t.Fatalf("%d unavailable with a bound of %d after %+v", s.CountUnavailable(), s.Plan(e.Plan.ID).Most, e)
 			}
 			for _, b := range s.Boxes {
 				was := before[b.Name]
 				if b.Phase == Draining && was.Phase != Draining && was.Phase != Granted {
 					t.Fatalf("%s drains and was %s before", b.Name, was.Phase)
 				}
-				if b.Phase == Out && was.Phase != Out {
+				if b.Phase == Drained && was.Phase != Drained {
 					if timesOut[b.Plan+"/"+b.Name]++; timesOut[b.Plan+"/"+b.Name] > 1 {
 						t.Fatalf("%s is out twice for %s", b.Name, b.Plan)
 					}
@@ -392,8 +392,8 @@
 			v := calmView(of)
 			v.Self = pick()
 			for name, r := range v.Reports {
-				b := s.Box(name)
-				r.Incarnation, r.Warm = b.Incarnation, b.Phase == In
+				b := s.Server(name)
+				r.Incarnation, r.Warm = b.Incarnation, b.Phase == InService
 				if rapid.IntRange(0, 9).Draw(t, "silent") == 0 {
 					r.Heard = 0
 				}
@@ -420,9 +420,9 @@
 				c := s.Clone()
 				outdated = &c
 			case 6, 7, 8, 9:
-				b := s.Box(pick())
+				b := s.Server(pick())
 				next := (b.Phase + 1) % 5
-				if b.Phase == In {
+				if b.Phase == InService {
 					continue
 				}
 				inc := b.Incarnation
@@ -431,7 +431,7 @@
 				}
 				apply(Entry{Kind: Step, Box: b.Name, Incarnation: inc, Phase: next})
 			case 10: // a crash and a new process
-				b := s.Box(pick())
+				b := s.Server(pick())
 				apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation + 1, Phase: Returning})
 			case 11:
 				if len(s.Plans) > 0 {
@@ -440,7 +440,7 @@
 					apply(Entry{Kind: kind, Plan: Plan{ID: id}})
 				}
 			case 12:
-				if b := s.Box(pick()); rapid.Bool().Draw(t, "write off") {
+				if b := s.Server(pick()); rapid.Bool().Draw(t, "write off") {
 					apply(Entry{Kind: WriteOff, Box: b.Name, By: "x", Why: "scrapped"})
 				}
 			}
@@ -454,11 +454,11 @@
 				case Granted:
 					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation, Phase: Draining})
 				case Draining:
-					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation, Phase: Out})
-				case Out:
+					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation, Phase: Drained})
+				case Drained:
 					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation + 1, Phase: Returning})
 				case Returning:
-					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation, Phase: In})
+					apply(Entry{Kind: Step, Box: b.Name, Incarnation: b.Incarnation, Phase: InService})
 				}
 			}
 			v := calmView(s)
--- a/internal/fleet/session/client.go
+++ b/internal/fleet/session/client.go
@@ -11,7 +11,7 @@
 
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -91,8 +91,8 @@
 
 // Local is the server's own state, which the client reports to the control node.
 type Local struct {
-	Report  takeout.Report // Heard and Incarnation are ignored
-	Applied uint64         // revision of the configuration in force
+	Report  maintenance.Report // Heard and Incarnation are ignored
+	Applied uint64             // revision of the configuration in force
 }
 
 // Action is a command to the driver of a Client. Exactly one field is set. Actions must be carried out in order.
@@ -167,7 +167,7 @@
 
 	serverState    Standing
 	hasServerState bool
-	proposedStep   *takeout.Entry // sent with each heartbeat; nil = none
+	proposedStep   *maintenance.Entry // sent with each heartbeat; nil = none
 	session        openSession
 	returnAt       time.Duration // when to return to the preferred node
 	everGranted    bool          // whether this process was ever granted a lease
--- a/internal/fleet/session/client_test.go
+++ b/internal/fleet/session/client_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"larchscale/internal/fleet/lease"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -90,7 +90,7 @@
 
 func (d *clientDriver) sendServerState(revision, token, incarnation uint64) {
 	d.t.Helper()
-	s := Standing{Box: takeout.Box{Name: "s1"}, FencingToken: token, LeaseProcess: incarnation}
+	s := Standing{Box: maintenance.Server{Name: "s1"}, FencingToken: token, LeaseProcess: incarnation}
 	b := watch.Batch{From: d.client.View().Revision(), To: revision, Updates: []watch.Update{{Revision: revision, Key: ServerPrefix + "s1", Value: s.Encode()}}}
 	if err := d.receive(FromNode{Batch: &b}); err != nil {
 		d.t.Fatal(err)
@@ -172,7 +172,7 @@
 // changes. A report is sent only when it has changed.
 func TestHeartbeats(t *testing.T) {
 	d := &clientDriver{t: t, client: testClient(t, 3)}
-	d.local.Report = takeout.Report{Capacity: 100, Load: 50, Warm: true}
+	d.local.Report = maintenance.Report{Capacity: 100, Load: 50, Warm: true}
 	d.open()
 	d.sendServerState(6, 4, 7)
 	countSent := func(span time.Duration, change func(i int)) (heartbeats, reports int) {
@@ -225,18 +225,18 @@
 	d.open()
 	d.sendServerState(6, 4, 7)
 	d.advance(ms(500))
-	d.client.Propose(takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 7, Phase: takeout.Draining})
-	d.client.Propose(takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 7, Phase: takeout.Returning})
+	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.Draining})
+	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.Returning})
 	before := d.heartbeats()
 	d.advance(PromptHeartbeat)
-	if p := d.lastHeartbeat().Proposals; d.heartbeats() == before || len(p) != 1 || p[0].Step == nil || p[0].Step.Phase != takeout.Returning {
+	if p := d.lastHeartbeat().Proposals; d.heartbeats() == before || len(p) != 1 || p[0].Step == nil || p[0].Step.Phase != maintenance.Returning {
 		t.Errorf("%+v", p)
 	}
 	d.advance(ms(600))
 	if len(d.lastHeartbeat().Proposals) != 1 {
 		t.Error("the step is proposed only once")
 	}
-	s := Standing{Box: takeout.Box{Name: "s1", Incarnation: 7, Phase: takeout.Returning}, FencingToken: 4, LeaseProcess: 7}
+	s := Standing{Box: maintenance.Server{Name: "s1", Incarnation: 7, Phase: maintenance.Returning}, FencingToken: 4, LeaseProcess: 7}
 	b := watch.Batch{From: 6, To: 8, Updates: []watch.Update{{Revision: 8, Key: ServerPrefix + "s1", Value: s.Encode()}}}
 	if err := d.receive(FromNode{Batch: &b}); err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 	if len(d.lastHeartbeat().Proposals) != 0 {
 		t.Error("the step is proposed after it was applied")
 	}
-	d.client.Propose(takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 7, Phase: takeout.In})
+	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.InService})
 	d.client.Withdraw()
 	d.advance(ms(600))
 	if len(d.lastHeartbeat().Proposals) != 0 {
--- a/internal/fleet/session/collector.go
+++ b/internal/fleet/session/collector.go
@@ -8,7 +8,7 @@
 
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Absent is how long the leader may receive nothing about a server before it assumes that the server has no
@@ -157,8 +157,8 @@
 
 // Reports returns the newest report of each server that sent one, by server name. Heard is set to wall, the present
 // time in Unix milliseconds, less the age of the newest information about the server.
-func (c *Collector) Reports(now time.Duration, wall int64) map[string]takeout.Report {
-	reports := make(map[string]takeout.Report, len(c.servers))
+func (c *Collector) Reports(now time.Duration, wall int64) map[string]maintenance.Report {
+	reports := make(map[string]maintenance.Report, len(c.servers))
 	for name, tracked := range c.servers {
 		if tracked.status.Session == 0 || !tracked.present(now) {
 			continue
--- a/internal/fleet/session/collector_test.go
+++ b/internal/fleet/session/collector_test.go
@@ -11,7 +11,7 @@
 
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 func status(server string, incarnation, session, heartbeat, applied uint64) ServerStatus {
@@ -62,7 +62,7 @@
 		t.Error(behind, of)
 	}
 	r := c.Reports(3*time.Second, 100_000)
-	want := map[string]takeout.Report{}
+	want := map[string]maintenance.Report{}
 	for name, heard := range map[string]int64{"s1": 98_000, "s2": 99_000, "s3": 98_000} {
 		w := *report(3)
 		w.Heard = heard
--- a/internal/fleet/session/heartbeat.go
+++ b/internal/fleet/session/heartbeat.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // Timing of heartbeats and reports in addition to lease.Terms.RenewInterval.
@@ -30,20 +30,20 @@
 	sentToken     uint64        // this and the following values were last sent
 	sentApplied   uint64
 	sentProposals pendingProposals
-	sentReport    takeout.Report
+	sentReport    maintenance.Report
 	reportSentAt  time.Duration
 }
 
 // pendingProposals are the proposals that the next heartbeat has to carry.
 type pendingProposals struct {
-	step      *takeout.Entry
+	step      *maintenance.Entry
 	registers bool
 }
 
-// Propose sets the next phase of this server (takeout.Step) as its proposal. Each heartbeat carries the proposal
+// Propose sets the next phase of this server (maintenance.Step) as its proposal. Each heartbeat carries the proposal
 // until the watch shows that it was applied or can no longer apply, or until it is replaced or canceled. The client
 // proposes the registration of the process by itself.
-func (c *Client) Propose(step takeout.Entry) {
+func (c *Client) Propose(step maintenance.Entry) {
 	if c.proposedStep != nil && c.proposedStep.Phase == step.Phase && c.proposedStep.Incarnation == step.Incarnation {
 		return
 	}
--- a/internal/fleet/session/messages.go
+++ b/internal/fleet/session/messages.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"larchscale/internal/fleet/lease"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -50,18 +50,18 @@
 
 // Heartbeat reports the state of a server, at least every lease.Terms.RenewInterval.
 type Heartbeat struct {
-	Sequence     uint64          `cbor:"1,keyasint"`           // of the renewal, increasing per process; 0 = no renewal
-	FencingToken uint64          `cbor:"2,keyasint,omitempty"` // of the lease to renew; 0 = no renewal
-	Applied      uint64          `cbor:"3,keyasint"`           // revision of the configuration in force at the server
-	Report       *takeout.Report `cbor:"4,keyasint,omitempty"` // set if it changed, and in the first heartbeat of a session
-	Proposals    []Proposal      `cbor:"5,keyasint,omitempty"`
+	Sequence     uint64              `cbor:"1,keyasint"`           // of the renewal, increasing per process; 0 = no renewal
+	FencingToken uint64              `cbor:"2,keyasint,omitempty"` // of the lease to renew; 0 = no renewal
+	Applied      uint64              `cbor:"3,keyasint"`           // revision of the configuration in force at the server
+	Report       *maintenance.Report `cbor:"4,keyasint,omitempty"` // set if it changed, and in the first heartbeat of a session
+	Proposals    []Proposal          `cbor:"5,keyasint,omitempty"`
 }
 
 // Proposal is an entry that a server asks the control tier to agree on. Exactly one field is set. The server
 // repeats it until the watch shows that it was applied or can no longer apply.
 type Proposal struct {
-	Step *takeout.Entry `cbor:"1,keyasint,omitempty"` // the next phase of this server
-	Live *lease.Entry   `cbor:"2,keyasint,omitempty"` // registers this process and requests a lease
+	Step *maintenance.Entry `cbor:"1,keyasint,omitempty"` // the next phase of this server
+	Live *lease.Entry       `cbor:"2,keyasint,omitempty"` // registers this process and requests a lease
 }
 
 // FromNode is a message of a control node. Exactly one field is set.
@@ -108,10 +108,10 @@
 
 // Standing is the agreed state of one app server, the value of its key in the watch.
 type Standing struct {
-	Box          takeout.Box `cbor:"1,keyasint"`
-	PlanOver     bool        `cbor:"2,keyasint,omitempty"` // the plan that granted its maintenance is over
-	FencingToken uint64      `cbor:"3,keyasint,omitempty"` // of its lease; 0 = the server has none
-	LeaseProcess uint64      `cbor:"4,keyasint,omitempty"` // incarnation of the process that FencingToken belongs to
+	Box          maintenance.Server `cbor:"1,keyasint"`
+	PlanOver     bool               `cbor:"2,keyasint,omitempty"` // the plan that granted its maintenance is over
+	FencingToken uint64             `cbor:"3,keyasint,omitempty"` // of its lease; 0 = the server has none
+	LeaseProcess uint64             `cbor:"4,keyasint,omitempty"` // incarnation of the process that FencingToken belongs to
 }
 
 // Digest is a control node's summary for the leader of what happened to its sessions since the last digest.
@@ -132,9 +132,9 @@
 // ServerStatus is the newest state that a server reported in a session. Of two statuses the one with the greater
 // Report.Incarnation, Session and Heartbeat, compared in this order, is newer, regardless of the order of arrival.
 type ServerStatus struct {
-	Server    string         `cbor:"1,keyasint"`
-	Applied   uint64         `cbor:"2,keyasint"`
-	Report    takeout.Report `cbor:"3,keyasint"`
-	Session   uint64         `cbor:"4,keyasint"`
-	Heartbeat uint64         `cbor:"5,keyasint"` // number of heartbeats that the node has received in the session
+	Server    string             `cbor:"1,keyasint"`
+	Applied   uint64             `cbor:"2,keyasint"`
+	Report    maintenance.Report `cbor:"3,keyasint"`
+	Session   uint64             `cbor:"4,keyasint"`
+	Heartbeat uint64             `cbor:"5,keyasint"` // number of heartbeats that the node has received in the session
 }
--- a/internal/fleet/session/sim_client_test.go
+++ b/internal/fleet/session/sim_client_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -57,7 +57,7 @@
 		client.random = constantRandom()
 	}
 	c.client = client
-	c.local.Report = takeout.Report{Capacity: 100, Warm: true}
+	c.local.Report = maintenance.Report{Capacity: 100, Warm: true}
 	w.after(w.randomPart(100*time.Millisecond), func() { c.exec(c.tick) })
 	w.processes = append(w.processes, c)
 	w.processesByServer[server] = append(w.processesByServer[server], c)
--- a/internal/fleet/session/sim_node_test.go
+++ b/internal/fleet/session/sim_node_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"larchscale/internal/fleet/lease"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -82,7 +82,7 @@
 
 // encodedServerState returns the value of a server's key.
 func encodedServerState(b *lease.Server) []byte {
-	s := Standing{Box: takeout.Box{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
+	s := Standing{Box: maintenance.Server{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
 	if !b.Lost {
 		s.FencingToken = b.Life
 	}
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -14,7 +14,7 @@
 
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -36,8 +36,8 @@
 	return Hello{Server: server, Zone: "z", Incarnation: incarnation, Session: session}
 }
 
-func report(incarnation uint64) *takeout.Report {
-	return &takeout.Report{Incarnation: incarnation, Capacity: 100, Load: 20}
+func report(incarnation uint64) *maintenance.Report {
+	return &maintenance.Report{Incarnation: incarnation, Capacity: 100, Load: 20}
 }
 
 // mustOpen opens a session and completes the writing of its Welcome message.
@@ -167,9 +167,9 @@
 }
 
 func TestInvalidHeartbeats(t *testing.T) {
-	step := takeout.Entry{Kind: takeout.Step, Box: "s1", Incarnation: 3, Phase: takeout.Draining}
+	step := maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 3, Phase: maintenance.Draining}
 	live := lease.Entry{Kind: lease.Registered, Box: "s1", Zone: "z", Incarnation: 3}
-	steps := func(change func(*takeout.Entry)) []Proposal {
+	steps := func(change func(*maintenance.Entry)) []Proposal {
 		e := step
 		change(&e)
 		return []Proposal{{Step: &e}}
@@ -190,19 +190,19 @@
 		{"a token without a sequence", Heartbeat{FencingToken: 4, Report: report(3)}, false},
 		{"a sequence without a token", Heartbeat{Sequence: 4, Report: report(3)}, false},
 		{"a report of another process", Heartbeat{Report: report(2)}, false},
-		{"a load of NaN", Heartbeat{Report: &takeout.Report{Incarnation: 3, Load: math.NaN()}}, false},
-		{"an infinite capacity", Heartbeat{Report: &takeout.Report{Incarnation: 3, Capacity: math.Inf(1)}}, false},
-		{"a negative number of requests", Heartbeat{Report: &takeout.Report{Incarnation: 3, Open: -1}}, false},
+		{"a load of NaN", Heartbeat{Report: &maintenance.Report{Incarnation: 3, Load: math.NaN()}}, false},
+		{"an infinite capacity", Heartbeat{Report: &maintenance.Report{Incarnation: 3, Capacity: math.Inf(1)}}, false},
+		{"a negative number of requests", Heartbeat{Report: &maintenance.Report{Incarnation: 3, Open: -1}}, false},
 		{"two proposals", Heartbeat{Report: report(3), Proposals: []Proposal{{Step: &step}, {Live: &live}}}, true},
 		{"five proposals", Heartbeat{Report: report(3), Proposals: make([]Proposal, MaxProposals+1)}, false},
 		{"an empty proposal", Heartbeat{Report: report(3), Proposals: make([]Proposal, 1)}, false},
 		{"two fields in one proposal", Heartbeat{Report: report(3), Proposals: []Proposal{{Step: &step, Live: &live}}}, false},
-		{"a step of another server", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Box = "s2" })}, false},
-		{"a step of another process", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Incarnation = 2 })}, false},
-		{"a grant", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Kind = takeout.Grant })}, false},
-		{"an unknown phase", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Phase = 9 })}, false},
-		{"a step with a list", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Missing = []string{"s2"} })}, false},
-		{"a step with a long reason", Heartbeat{Report: report(3), Proposals: steps(func(e *takeout.Entry) { e.Why = strings.Repeat("x", 300) })}, false},
+		{"a step of another server", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Box = "s2" })}, false},
+		{"a step of another process", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Incarnation = 2 })}, false},
+		{"a grant", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Kind = maintenance.Grant })}, false},
+		{"an unknown phase", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Phase = 9 })}, false},
+		{"a step with a list", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Missing = []string{"s2"} })}, false},
+		{"a step with a long reason", Heartbeat{Report: report(3), Proposals: steps(func(e *maintenance.Entry) { e.Why = strings.Repeat("x", 300) })}, false},
 		{"registration of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Box = "s2" })}, false},
 		{"expiry of another server", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Kind = lease.Expired })}, false},
 		{"registration of another process", Heartbeat{Report: report(3), Proposals: registrations(func(e *lease.Entry) { e.Incarnation = 4 })}, false},
--- a/internal/fleet/session/validate.go
+++ b/internal/fleet/session/validate.go
@@ -7,7 +7,7 @@
 
 	"larchscale/internal/fleet/lease"
 	"larchscale/internal/fleet/limits"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // maxPoolBytes bounds the address of a worker pool.
@@ -60,7 +60,7 @@
 	return nil
 }
 
-func validateReport(server string, incarnation uint64, r *takeout.Report) error {
+func validateReport(server string, incarnation uint64, r *maintenance.Report) error {
 	finite := func(f float64) bool { return f >= 0 && !math.IsInf(f, 0) }
 	switch {
 	case r.Incarnation != incarnation:
@@ -78,7 +78,7 @@
 		e := p.Step
 		empty := e.Zone == "" && e.Plan.ID == "" && len(e.Plan.Boxes) == 0 && len(e.Plan.Order) == 0 && len(e.Plan.Gone) == 0 &&
 			len(e.Order) == 0 && len(e.Missing) == 0 && e.By == "" && len(e.Why) <= MaxReason
-		if e.Kind != takeout.Step || e.Box != h.Server || e.Incarnation != h.Incarnation || e.Phase > takeout.Returning || !empty {
+		if e.Kind != maintenance.Step || e.Box != h.Server || e.Incarnation != h.Incarnation || e.Phase > maintenance.Returning || !empty {
 			return fmt.Errorf("server %s proposes an entry of kind %d for %.70q: %w", h.Server, e.Kind, e.Box, ErrInvalid)
 		}
 		return nil
--- a/internal/fleet/stream/cut_test.go
+++ b/internal/fleet/stream/cut_test.go
@@ -16,9 +16,9 @@
 	"go.uber.org/goleak"
 
 	"larchscale/internal/fleet/lease"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
 	"larchscale/internal/fleet/stream"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/watch"
 )
 
@@ -422,7 +422,7 @@
 // tick advances the time.
 func (s *appServer) tick(ctx context.Context, by time.Duration) {
 	s.now += by
-	local := session.Local{Report: takeout.Report{Warm: true}, Applied: s.client.View().Revision()}
+	local := session.Local{Report: maintenance.Report{Warm: true}, Applied: s.client.View().Revision()}
 	s.do(ctx, s.client.Tick(s.now, local))
 }
 
--- a/internal/measure/hollow/server.go
+++ b/internal/measure/hollow/server.go
@@ -18,9 +18,9 @@
 	"strings"
 
 	"larchscale/internal/fleet/driver"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/membership"
 	"larchscale/internal/fleet/placement"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/link"
 	"larchscale/internal/measure/certificates"
 	"larchscale/internal/measure/traffic"
@@ -54,7 +54,9 @@
 type stub struct{}
 
 // Report implements driver.Process.
-func (stub) Report() takeout.Report { return takeout.Report{Warm: true, Capacity: 100, Load: 30} }
+func (stub) Report() maintenance.Report {
+	return maintenance.Report{Warm: true, Capacity: 100, Load: 30}
+}
 
 // HoldHealth implements driver.Process.
 func (stub) HoldHealth(bool) {}
@@ -154,7 +156,7 @@
 
 // Commit has an entry committed that changes nothing: a pause of a plan that does not exist.
 func (s *Server) Commit() error {
-	err := s.command(driver.Command{Entry: takeout.Entry{Kind: takeout.Pause, Plan: takeout.Plan{ID: "none"}}})
+	err := s.command(driver.Command{Entry: maintenance.Entry{Kind: maintenance.Pause, Plan: maintenance.Plan{ID: "none"}}})
 	if errors.Is(err, ErrRefused) {
 		return nil
 	}
--- a/internal/measure/pure/pure.go
+++ b/internal/measure/pure/pure.go
@@ -15,8 +15,8 @@
 
 	"larchscale/internal/faultfs"
 	"larchscale/internal/fleet/consensus"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/raftlog"
-	"larchscale/internal/fleet/takeout"
 )
 
 const (
@@ -31,8 +31,8 @@
 
 // Costs are the CPU times of one call each, and sizes.
 type Costs struct {
-	Look          time.Duration // takeout.Next with a plan in order
-	Arrange       time.Duration // takeout.Next with a plan that has no order yet
+	Look          time.Duration // maintenance.Next with a plan in order
+	Arrange       time.Duration // maintenance.Next with a plan that has no order yet
 	Named         time.Duration // consensus.State.MemberByName, of the member that is last
 	Digest        time.Duration // consensus.Node.Digest: what a snapshot holds, encoded, and its sum
 	SnapshotBytes int           // of raft's snapshot as it is sent
@@ -45,16 +45,16 @@
 func Measure(servers int) (c Costs, err error) {
 	state := fleetState(servers)
 	view := reports(&state.Work)
-	first := takeout.Next(&state.Work, view)
-	if len(first.Entries) != 1 || first.Entries[0].Kind != takeout.Arrange {
+	first := maintenance.Next(&state.Work, view)
+	if len(first.Entries) != 1 || first.Entries[0].Kind != maintenance.Arrange {
 		return c, fmt.Errorf("%d entries: %w", len(first.Entries), ErrNext)
 	}
-	c.Arrange = timed(func() { takeout.Next(&state.Work, view) })
+	c.Arrange = timed(func() { maintenance.Next(&state.Work, view) })
 	state.Work.Plans[0].Order = first.Entries[0].Order
-	if second := takeout.Next(&state.Work, view); len(second.Entries) != 1 || second.Entries[0].Kind != takeout.Grant {
+	if second := maintenance.Next(&state.Work, view); len(second.Entries) != 1 || second.Entries[0].Kind != maintenance.Grant {
 		return c, fmt.Errorf("%d entries: %w", len(second.Entries), ErrNext)
 	}
-	c.Look = timed(func() { takeout.Next(&state.Work, view) })
+	c.Look = timed(func() { maintenance.Next(&state.Work, view) })
 	last := state.Members[len(state.Members)-1].Name
 	c.Named = timed(func() { state.MemberByName(last) })
 	state.Work.Plans = nil
@@ -72,9 +72,9 @@
 
 // Admitted tells whether the rules of the fleet admit so many servers.
 func Admitted(servers int) error {
-	var state takeout.State
+	var state maintenance.State
 	for i := range servers {
-		if err := state.Apply(uint64(i+1), &takeout.Entry{Kind: takeout.Join, Box: name(i), Zone: zone(i)}); err != nil {
+		if err := state.Apply(uint64(i+1), &maintenance.Entry{Kind: maintenance.Join, Box: name(i), Zone: zone(i)}); err != nil {
 			return err
 		}
 	}
@@ -89,21 +89,21 @@
 // what may be applied do not hold it back.
 func fleetState(servers int) consensus.State {
 	var s consensus.State
-	plan := takeout.Plan{ID: "plan", By: "measure", Reason: "measure", Most: 1, State: takeout.Running, Index: 1}
+	plan := maintenance.Plan{ID: "plan", By: "measure", Reason: "measure", Most: 1, State: maintenance.Running, Index: 1}
 	for i := range servers {
 		s.Members = append(s.Members, consensus.Member{ID: uint64(i+1) << 40, Name: name(i), Zone: zone(i), Addr: "127.0.0.1:40000", Voter: i < voters})
-		s.Work.Boxes = append(s.Work.Boxes, takeout.Box{Name: name(i), Zone: zone(i), Incarnation: incarnation, Index: uint64(2 * i)})
+		s.Work.Boxes = append(s.Work.Boxes, maintenance.Server{Name: name(i), Zone: zone(i), Incarnation: incarnation, Index: uint64(2 * i)})
 		plan.Boxes = append(plan.Boxes, name(i))
 	}
-	s.Work.Plans = []takeout.Plan{plan}
+	s.Work.Plans = []maintenance.Plan{plan}
 	return s
 }
 
 // reports are those of a fleet in which all are warm.
-func reports(s *takeout.State) takeout.View {
-	v := takeout.View{Now: incarnation, Self: s.Boxes[0].Name, Silent: silent, Reports: map[string]takeout.Report{}, Voters: map[string]bool{}}
+func reports(s *maintenance.State) maintenance.View {
+	v := maintenance.View{Now: incarnation, Self: s.Boxes[0].Name, SilentAfter: silent, Reports: map[string]maintenance.Report{}, Voters: map[string]bool{}}
 	for i, b := range s.Boxes {
-		v.Reports[b.Name] = takeout.Report{Incarnation: incarnation, Heard: incarnation, Capacity: 100, Load: 30, Warm: true}
+		v.Reports[b.Name] = maintenance.Report{Incarnation: incarnation, Heard: incarnation, Capacity: 100, Load: 30, Warm: true}
 		v.Voters[b.Name] = i < voters
 	}
 	return v
--- a/internal/measure/pure/pure_test.go
+++ b/internal/measure/pure/pure_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 func TestMeasure(t *testing.T) {
@@ -14,10 +14,10 @@
 	if c.Look <= 0 || c.Arrange <= 0 || c.Named < 0 || c.Digest <= 0 || c.SnapshotBytes < 30*len("server0001") {
 		t.Errorf("%+v", c)
 	}
-	if err := Admitted(takeout.MaxBoxes); err != nil {
+	if err := Admitted(maintenance.MaxBoxes); err != nil {
 		t.Error(err)
 	}
-	if Admitted(takeout.MaxBoxes+1) == nil {
+	if Admitted(maintenance.MaxBoxes+1) == nil {
 		t.Error("more than the most were admitted")
 	}
 }
--- a/internal/measure/sessions/hollow.go
+++ b/internal/measure/sessions/hollow.go
@@ -16,8 +16,8 @@
 
 	"larchscale/internal/fleet/boottime"
 	"larchscale/internal/fleet/controlclient"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/fleet/session"
-	"larchscale/internal/fleet/takeout"
 	"larchscale/internal/fleet/watch"
 	"larchscale/internal/measure/certificates"
 )
@@ -183,14 +183,14 @@
 	idle   bool
 	random *rand.Rand
 	at     time.Time
-	report takeout.Report
+	report maintenance.Report
 }
 
 // Report implements driver.Process.
-func (b *stubBody) Report() takeout.Report {
+func (b *stubBody) Report() maintenance.Report {
 	if now := time.Now(); now.Sub(b.at) >= newLoad {
 		b.at = now
-		b.report = takeout.Report{Warm: true, Capacity: capacity}
+		b.report = maintenance.Report{Warm: true, Capacity: capacity}
 		if !b.idle {
 			b.report.Load = load - loadNoise + 2*loadNoise*b.random.Float64()
 			b.report.Open = b.random.IntN(openMost)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -19,7 +19,7 @@
 	"time"
 
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/link"
 	"larchscale/internal/standin/faultnet"
 )
@@ -251,7 +251,7 @@
 				}
 			}
 			return s.Leader != "" && len(s.Members) == len(f.Members) && n >= voters &&
-				!slices.ContainsFunc(s.Boxes, func(b takeout.Box) bool { return b.Phase != takeout.In || b.Incarnation == 0 })
+				!slices.ContainsFunc(s.Boxes, func(b maintenance.Server) bool { return b.Phase != maintenance.InService || b.Incarnation == 0 })
 		})
 	})
 }
@@ -272,11 +272,11 @@
 }
 
 // Over waits until all boxes hold the same state, in which a plan is over, and gives the plan.
-func (f *Fleet) Over(plan string, most time.Duration) (p takeout.Plan, err error) {
+func (f *Fleet) Over(plan string, most time.Duration) (p maintenance.Plan, err error) {
 	err = Until("plan "+plan+" is over everywhere", most, func() bool {
 		return f.same(func(s driver.Status) bool {
 			x := s.Plan(plan)
-			if x == nil || x.State < takeout.Done || slices.ContainsFunc(s.Boxes, func(b takeout.Box) bool { return b.Phase != takeout.In }) {
+			if x == nil || x.State < maintenance.Done || slices.ContainsFunc(s.Boxes, func(b maintenance.Server) bool { return b.Phase != maintenance.InService }) {
 				return false
 			}
 			p = *x
@@ -336,8 +336,8 @@
 }
 
 // Propose has an operator ask this box for a plan.
-func (m *Member) Propose(ctx context.Context, p takeout.Plan) error {
-	return m.Say(ctx, driver.Command{Entry: takeout.Entry{Kind: takeout.Propose, Plan: p}})
+func (m *Member) Propose(ctx context.Context, p maintenance.Plan) error {
+	return m.Say(ctx, driver.Command{Entry: maintenance.Entry{Kind: maintenance.Propose, Plan: p}})
 }
 
 // Start starts its process if it has none and staff do not work on it.
@@ -497,19 +497,19 @@
 			}
 			n++
 			s, err := m.State()
-			b := s.State.Box(m.Name)
+			b := s.State.Server(m.Name)
 			if err != nil || b == nil || b.Incarnation != s.Incarnation {
 				continue
 			}
 			switch phase := b.Phase; {
-			case phase == takeout.Out && m.take():
+			case phase == maintenance.Drained && m.take():
 				note(m.Name + " is out")
 				busy.Go(func() {
 					if err := m.work(work); err != nil {
 						note(m.Name + ": " + err.Error())
 					}
 				})
-			case s.Self.Hold && phase != takeout.Draining && phase != takeout.Out:
+			case s.Self.Hold && phase != maintenance.Draining && phase != maintenance.Drained:
 				w.Faults = append(w.Faults, m.Name+" drains, and the log has it "+phase.String())
 			}
 		}
--- a/internal/versus/fleet.go
+++ b/internal/versus/fleet.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"larchscale/internal/fleet/driver"
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 	"larchscale/internal/standin"
 	"larchscale/internal/standin/faultnet"
 	"larchscale/internal/standin/keystore"
@@ -196,7 +196,7 @@
 	defer p.Audit.Stop()
 	finish := p.Staff(50*time.Millisecond, func(s string) { p.Note("%s", s) })
 	names := p.Names()
-	if err := p.propose(takeout.Plan{ID: plan, By: "versus", Reason: "games", Boxes: names[len(names)-f.Planned:], Most: f.AtOnce + 1}); err != nil {
+	if err := p.propose(maintenance.Plan{ID: plan, By: "versus", Reason: "games", Boxes: names[len(names)-f.Planned:], Most: f.AtOnce + 1}); err != nil {
 		return out, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
@@ -274,8 +274,8 @@
 	for i := range errs {
 		all.Go(func() {
 			for range n / len(errs) {
-				err := p.Members[i%len(p.Members)].Say(context.Background(), driver.Command{Entry: takeout.Entry{Kind: takeout.Pause,
-					Plan: takeout.Plan{ID: "none", Reason: strings.Repeat("x", 4<<10)}}})
+				err := p.Members[i%len(p.Members)].Say(context.Background(), driver.Command{Entry: maintenance.Entry{Kind: maintenance.Pause,
+					Plan: maintenance.Plan{ID: "none", Reason: strings.Repeat("x", 4<<10)}}})
 				if err == nil {
 					errs[i] = errors.New("a plan that is unknown was paused")
 				}
@@ -287,7 +287,7 @@
 }
 
 // propose asks for a plan until it is taken.
-func (p *Played) propose(x takeout.Plan) error {
+func (p *Played) propose(x maintenance.Plan) error {
 	return standin.Until("plan "+x.ID+" is taken", settle, func() bool {
 		return slices.ContainsFunc(p.Members, func(m *standin.Member) bool { return m.Propose(context.Background(), x) == nil })
 	})
@@ -302,7 +302,7 @@
 			continue
 		}
 		if x := s.Plan(id); x != nil {
-			n := len(x.Gone) * int(takeout.Returning+1)
+			n := len(x.Gone) * int(maintenance.Returning+1)
 			for _, b := range s.Boxes {
 				if b.Plan == id {
 					n += int(b.Phase)
--- a/internal/versus/orders.go
+++ b/internal/versus/orders.go
@@ -9,26 +9,26 @@
 	"slices"
 	"strings"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
-// Decider is what a leader does with the agreed state and its view of it: takeout.Next, or a simpler one.
-type Decider func(*takeout.State, takeout.View) takeout.Decision
+// Decider is what a leader does with the agreed state and its view of it: maintenance.Next, or a simpler one.
+type Decider func(*maintenance.State, maintenance.View) maintenance.Decision
 
-// ByName decides as takeout.Next does, but takes the boxes out in the order of their names.
-func ByName(s *takeout.State, v takeout.View) takeout.Decision {
-	return ordered(s, v, func(a, b takeout.Place) int { return strings.Compare(a.Box, b.Box) })
+// ByName decides as maintenance.Next does, but takes the boxes out in the order of their names.
+func ByName(s *maintenance.State, v maintenance.View) maintenance.Decision {
+	return ordered(s, v, func(a, b maintenance.OrderItem) int { return strings.Compare(a.Box, b.Box) })
 }
 
 // ZonesByName takes the zones in turn, and of each the next by name, whatever the boxes have in hand.
-func ZonesByName(s *takeout.State, v takeout.View) takeout.Decision {
-	return ordered(s, v, func(a, b takeout.Place) int {
+func ZonesByName(s *maintenance.State, v maintenance.View) maintenance.Decision {
+	return ordered(s, v, func(a, b maintenance.OrderItem) int {
 		return cmp.Or(strings.Compare(a.Box[1:], b.Box[1:]), strings.Compare(a.Box, b.Box))
 	})
 }
 
-func ordered(s *takeout.State, v takeout.View, by func(a, b takeout.Place) int) takeout.Decision {
-	d := takeout.Next(s, v)
+func ordered(s *maintenance.State, v maintenance.View, by func(a, b maintenance.OrderItem) int) maintenance.Decision {
+	d := maintenance.Next(s, v)
 	for i := range d.Entries {
 		slices.SortFunc(d.Entries[i].Order, by)
 	}
@@ -58,7 +58,7 @@
 func Orders() Game[Decider] { return Game[Decider]{Name: "orders", Play: playOrder} }
 
 type simBox struct {
-	takeout.Local
+	maintenance.LocalStatus
 	name, zone  string
 	capacity    float64
 	hand        float64 // mean of requests in hand while it serves
@@ -68,7 +68,7 @@
 }
 
 type simFleet struct {
-	state  takeout.State
+	state  maintenance.State
 	boxes  []simBox
 	rand   *rand.Rand
 	phase  float64 // of the day
@@ -82,7 +82,7 @@
 	for z := range zones {
 		for i := range each {
 			b := simBox{name: fmt.Sprintf("%c%d", 'a'+z, i+1), zone: string(rune('a' + z)), capacity: carries * (0.8 + 0.4*f.rand.Float64()), hand: math.Floor(40 * f.rand.Float64())}
-			b.Incarnation, b.DrainFor = 1, 300
+			b.Incarnation, b.MinDrain = 1, 300
 			if f.rand.IntN(3) == 0 {
 				b.KeyedUntil = 1 + f.rand.Int64N(keyedMost)
 			}
@@ -97,18 +97,18 @@
 	for i := range f.boxes {
 		b := &f.boxes[i]
 		names = append(names, b.name)
-		for _, e := range []takeout.Entry{{Kind: takeout.Join, Box: b.name, Zone: b.zone}, {Kind: takeout.Step, Box: b.name, Incarnation: 1, Phase: takeout.Returning},
-			{Kind: takeout.Step, Box: b.name, Incarnation: 1, Phase: takeout.In}} {
+		for _, e := range []maintenance.Entry{{Kind: maintenance.Join, Box: b.name, Zone: b.zone}, {Kind: maintenance.Step, Box: b.name, Incarnation: 1, Phase: maintenance.Returning},
+			{Kind: maintenance.Step, Box: b.name, Incarnation: 1, Phase: maintenance.InService}} {
 			if err := f.apply(&e); err != nil {
 				return nil, err
 			}
 		}
 	}
 	slices.Sort(names)
-	return f, f.apply(&takeout.Entry{Kind: takeout.Propose, Plan: takeout.Plan{ID: plan, By: "versus", Reason: "games", Boxes: names, Most: bound, Floor: floor}})
+	return f, f.apply(&maintenance.Entry{Kind: maintenance.Propose, Plan: maintenance.Plan{ID: plan, By: "versus", Reason: "games", Boxes: names, Most: bound, Floor: floor}})
 }
 
-func (f *simFleet) apply(e *takeout.Entry) error { return f.state.Apply(f.state.Index+1, e) }
+func (f *simFleet) apply(e *maintenance.Entry) error { return f.state.Apply(f.state.Index+1, e) }
 
 // demand is what is asked in a zone at a time; each zone has its own day.
 func (f *simFleet) demand(zone int, now int64) float64 {
@@ -119,8 +119,8 @@
 
 // serves tells that callers' requests reach it.
 func (f *simFleet) serves(b *simBox, now int64) bool {
-	p := f.state.Box(b.name).Phase
-	return !b.dead(now) && (p == takeout.In || p == takeout.Granted || p == takeout.Returning && now >= b.warm)
+	p := f.state.Server(b.name).Phase
+	return !b.dead(now) && (p == maintenance.InService || p == maintenance.Granted || p == maintenance.Returning && now >= b.warm)
 }
 
 // carry gives the share of what is asked that is carried in its zone and outside of it, and the headroom of all.
@@ -143,15 +143,15 @@
 }
 
 // look makes the leader's view.
-func (f *simFleet) look(now int64) takeout.View {
-	v := takeout.View{Now: now, Self: f.leader, Silent: 3000, Reports: map[string]takeout.Report{}}
+func (f *simFleet) look(now int64) maintenance.View {
+	v := maintenance.View{Now: now, Self: f.leader, SilentAfter: 3000, Reports: map[string]maintenance.Report{}}
 	for i := range f.boxes {
 		b := &f.boxes[i]
 		if b.dead(now) {
 			continue
 		}
 		zone := int(b.zone[0] - 'a')
-		v.Reports[b.name] = takeout.Report{Incarnation: b.Incarnation, Heard: now, Capacity: b.capacity, Load: f.demand(zone, now) / each, Warm: now >= b.warm,
+		v.Reports[b.name] = maintenance.Report{Incarnation: b.Incarnation, Heard: now, Capacity: b.capacity, Load: f.demand(zone, now) / each, Warm: now >= b.warm,
 			Open: f.open(b, now), KeyedUntil: b.KeyedUntil}
 	}
 	return v
@@ -159,7 +159,7 @@
 
 // open counts what a box has in hand.
 func (f *simFleet) open(b *simBox, now int64) (n int) {
-	if b.Held == 0 {
+	if b.DrainingSince == 0 {
 		return int(b.hand)
 	}
 	for _, end := range b.ends {
@@ -177,12 +177,12 @@
 	}
 	if b.outAt > 0 && now-b.outAt >= workTime {
 		b.Incarnation++
-		b.outAt, b.Held, b.ends, b.warm = 0, 0, nil, now+coldTime
+		b.outAt, b.DrainingSince, b.ends, b.warm = 0, 0, nil, now+coldTime
 	}
 	b.Warm, b.Open = now >= b.warm, f.open(b, now)
-	a := takeout.Agent(&f.state, b.name, b.Local, now)
-	if a.Hold && b.Held == 0 {
-		b.Held = now
+	a := maintenance.NextAction(&f.state, b.name, b.LocalStatus, now)
+	if a.Hold && b.DrainingSince == 0 {
+		b.DrainingSince = now
 		for range int(b.hand) {
 			b.ends = append(b.ends, now+int64(longRun*f.rand.ExpFloat64()))
 		}
@@ -190,10 +190,10 @@
 	if !a.Speak {
 		return nil
 	}
-	if a.Say == takeout.Out {
+	if a.Say == maintenance.Drained {
 		b.outAt = now
 	}
-	return f.apply(&takeout.Entry{Kind: takeout.Step, At: now, Box: b.name, Incarnation: b.Incarnation, Phase: a.Say})
+	return f.apply(&maintenance.Entry{Kind: maintenance.Step, At: now, Box: b.name, Incarnation: b.Incarnation, Phase: a.Say})
 }
 
 func playOrder(seed uint64, decide Decider) (Outcome, error) {
@@ -204,7 +204,7 @@
 	worth, looks, least, under := 0.0, 0.0, 1.0, 0.0
 	most, mostZone := 0, 0
 	for now := int64(step); now < overAt; now += step {
-		if f.leads(now); f.state.Plan(plan).State == takeout.Done {
+		if f.leads(now); f.state.Plan(plan).State == maintenance.Done {
 			return Outcome{Value: worth / looks, Counts: map[string]float64{"plan s": float64(now) / 1000, "least headroom": least, "under floor s": under,
 				"away": float64(most), "away of a zone": float64(mostZone)}}, nil
 		}
@@ -228,9 +228,9 @@
 		if least = min(least, headroom); headroom < floor {
 			under += step / 1000.0
 		}
-		away, gone := map[string]int{}, f.state.Away()
+		away, gone := map[string]int{}, f.state.CountUnavailable()
 		for _, b := range f.state.Boxes {
-			if b.Phase != takeout.In {
+			if b.Phase != maintenance.InService {
 				away[b.Zone]++
 				mostZone = max(mostZone, away[b.Zone])
 			}
--- a/internal/versus/orders_test.go
+++ b/internal/versus/orders_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"larchscale/internal/fleet/takeout"
+	"larchscale/internal/fleet/maintenance"
 )
 
 // The order of takeout against plainer ones: zones in turn keep more of the worth, and the games end as soon as that is
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table, err := Set(Orders(), 1, 100, stop, Contender[Decider]{"takeout", takeout.Next}, Contender[Decider]{"by name", ByName},
+	table, err := Set(Orders(), 1, 100, stop, Contender[Decider]{"takeout", maintenance.Next}, Contender[Decider]{"by name", ByName},
 		Contender[Decider]{"zones by name", ZonesByName})
 	if err != nil {
 		t.Fatal(err)
