--- a/cmd/larchcontrol/serve.go
+++ b/cmd/larchcontrol/serve.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return fmt.Errorf("sessions: %w", err)
 	}
-	accept := &stream.Server{TLS: certificates, ReadTimeout: session.Expiry, MaxSessions: n.settings.MaxSessions, Meter: &n.meter, Log: n.log, Accept: n.node.Accept}
+	accept := &stream.Server{TLS: certificates, ReadTimeout: session.SessionTimeout, MaxSessions: n.settings.MaxSessions, Meter: &n.meter, Log: n.log, Accept: n.node.Accept}
 	go accept.Serve(ctx, servers)
 	if n.settings.Admin == "" {
 		return nil
--- a/internal/fleet/controlclient/client.go
+++ b/internal/fleet/controlclient/client.go
@@ -123,7 +123,7 @@
 	if c.ticks%reconcileEach == 0 {
 		c.reconcile(time.Now().UnixMilli())
 	}
-	local := session.Local{Report: c.server.Body.Report(), Applied: c.server.Applied()}
+	local := session.LocalState{Report: c.server.Body.Report(), Applied: c.server.Applied()}
 	local.Report.Incarnation = c.client.Incarnation()
 	c.do(ctx, c.client.Tick(boottime.Now(), local))
 }
@@ -208,7 +208,7 @@
 	c.act = act
 	c.hold(act.Hold, now)
 	if !act.Speak {
-		c.client.Withdraw()
+		c.client.CancelProposal()
 		return
 	}
 	c.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: c.server.Name, Incarnation: c.client.Incarnation(), Phase: act.Say})
@@ -228,7 +228,7 @@
 
 // localState returns the part of the agreed state of plans that is of this server, as its view has it.
 func localState(client *session.Client) (state maintenance.State) {
-	standing, ok := client.Standing()
+	standing, ok := client.ServerState()
 	if !ok {
 		return state
 	}
@@ -243,22 +243,22 @@
 func (c *Client) tell() {
 	for _, e := range c.client.Events() {
 		if c.observer.Event != nil {
-			c.observer.Event(e, Lease{c.client.FencingToken(), c.client.Until()})
+			c.observer.Event(e, Lease{c.client.FencingToken(), c.client.LeaseEnd()})
 		}
 		switch e.Kind {
-		case session.Opened:
+		case session.SessionOpened:
 			c.log.Info("control", "do", "open", "node", e.Node)
-		case session.Lost:
+		case session.SessionLost:
 			c.log.Warn("control", "do", "lost", "node", e.Node, "why", e.Reason)
-		case session.Refused:
+		case session.SessionRefused:
 			c.log.Warn("control", "do", "refused", "node", e.Node, "code", e.Code, "why", e.Reason)
-		case session.Incarnated:
+		case session.IncarnationChanged:
 			c.log.Info("control", "do", "incarnation", "number", c.client.Incarnation())
 		case session.LeaseBegan:
 			c.log.Info("control", "do", "lease", "held", true, "token", c.client.FencingToken())
 		case session.LeaseEnded:
 			c.log.Warn("control", "do", "lease", "held", false, "why", "no control node renews it: the server serves on by what it knows")
-		case session.SessionOver:
+		case session.SessionEnded:
 			c.log.Warn("control", "do", "over", "why", "a newer process of this server has spoken")
 		}
 	}
--- a/internal/fleet/controlclient/metrics.go
+++ b/internal/fleet/controlclient/metrics.go
@@ -24,8 +24,8 @@
 // publish has Metrics tell how things stand.
 func (c *Client) publish(now time.Duration) {
 	m := &metrics{state: c.client.State(), node: slices.Index(c.names, c.client.Node()) + 1, revision: c.client.View().Revision(),
-		applied: c.server.Applied(), until: c.client.Until(), token: c.client.FencingToken()}
-	if standing, ok := c.client.Standing(); ok {
+		applied: c.server.Applied(), until: c.client.LeaseEnd(), token: c.client.FencingToken()}
+	if standing, ok := c.client.ServerState(); ok {
 		m.phase = standing.Box.Phase
 	}
 	c.metrics.Store(m)
--- a/internal/fleet/controlnode/digest.go
+++ b/internal/fleet/controlnode/digest.go
@@ -87,7 +87,7 @@
 		s.collect(from, m.Digest, at)
 	case s.table == nil:
 	case m.Grants != nil:
-		s.table.Granted(m.Grants, at)
+		s.table.AcceptGrants(m.Grants, at)
 		s.pump(at)
 	case m.Resync && from == s.host.Leader():
 		s.resync()
@@ -140,7 +140,7 @@
 	at := boottime.Now()
 	byNode := map[string][]lease.Grant{}
 	for _, grant := range grants {
-		node := s.collector.Node(grant.Box)
+		node := s.collector.NodeOf(grant.Box)
 		byNode[node] = append(byNode[node], grant)
 	}
 	delete(byNode, "")
@@ -171,7 +171,7 @@
 func (s *sessions) nodeReport() nodeReport {
 	out := nodeReport{Revision: s.history.Revision(), Region: s.node.options.Region}
 	if s.table != nil {
-		out.Sessions = s.table.Sessions()
+		out.Sessions = s.table.SessionCount()
 	}
 	return out
 }
--- a/internal/fleet/controlnode/peer.go
+++ b/internal/fleet/controlnode/peer.go
@@ -128,7 +128,7 @@
 		case <-p.gone:
 			return
 		case <-s.over:
-			p.stream.Send(&session.FromNode{Refusal: &session.Refusal{Code: session.Moving, Reason: "the node ends"}})
+			p.stream.Send(&session.FromNode{Refusal: &session.Refusal{Code: session.NodeUnavailable, Reason: "the node ends"}})
 			return
 		}
 	}
--- a/internal/fleet/controlnode/publish.go
+++ b/internal/fleet/controlnode/publish.go
@@ -89,7 +89,7 @@
 	s.published[name] = now
 	s.history.Put(revision, session.ServerPrefix+name, value)
 	if s.table != nil {
-		s.end(s.table.Superseded(name, now.incarnation(held)))
+		s.end(s.table.EndSuperseded(name, now.incarnation(held)))
 	}
 }
 
--- a/internal/fleet/controlnode/sessions.go
+++ b/internal/fleet/controlnode/sessions.go
@@ -143,10 +143,10 @@
 		p.taken <- struct{}{}
 	case s.peers[p.id] == nil: // its session has ended
 	case a.written:
-		s.table.Written(p.id)
+		s.table.MessageWritten(p.id)
 	case a.closed:
 		delete(s.peers, p.id)
-		s.table.Closed(p.id, at)
+		s.table.ConnectionClosed(p.id, at)
 	}
 }
 
@@ -174,7 +174,7 @@
 		reason := err.Error()
 		p.refuse(session.Refusal{Code: session.Invalid, Reason: reason[:min(len(reason), session.MaxReason)]})
 		delete(s.peers, p.id)
-		s.table.Closed(p.id, at)
+		s.table.ConnectionClosed(p.id, at)
 		return
 	}
 	s.join(p, at)
@@ -198,8 +198,8 @@
 	if s.table == nil {
 		return
 	}
-	s.count.Store(int64(s.table.Sessions()))
-	for _, id := range s.table.Pending(at) {
+	s.count.Store(int64(s.table.SessionCount()))
+	for _, id := range s.table.ReadySessions(at) {
 		p := s.peers[id]
 		if p == nil {
 			continue
@@ -224,7 +224,7 @@
 	} else {
 		s.table.Resume()
 	}
-	s.table.Leaderless(s.host.Leader() == "")
+	s.table.SetLeaderless(s.host.Leader() == "")
 	s.end(s.table.Tick(at))
 	s.report(at)
 	s.pump(at)
--- a/internal/fleet/controlnode/standing.go
+++ b/internal/fleet/controlnode/standing.go
@@ -13,7 +13,7 @@
 // standing is the value of a server's key. The index of the lease's last change keeps a value from ever coming back, as
 // watch.History requires of keys of which not every change is given; readers do not look at it.
 type standing struct {
-	session.Standing
+	session.ServerState
 	LeaseIndex uint64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -35,7 +35,7 @@
 
 // newStanding returns what is agreed of a server; held is nil if it never had a lease.
 func newStanding(work *maintenance.State, box *maintenance.Server, held *lease.Server) standing {
-	out := standing{Standing: session.Standing{Box: *box, PlanOver: planOver(work, box.Plan)}}
+	out := standing{ServerState: session.ServerState{Box: *box, PlanOver: planOver(work, box.Plan)}}
 	if held == nil {
 		return out
 	}
--- a/internal/fleet/controlnode/tier_test.go
+++ b/internal/fleet/controlnode/tier_test.go
@@ -189,7 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	accept := &stream.Server{TLS: config, ReadTimeout: session.Expiry, MaxSessions: 64, Meter: &stream.Meter{}, Log: n.tier.log, Accept: n.node.Accept}
+	accept := &stream.Server{TLS: config, ReadTimeout: session.SessionTimeout, MaxSessions: 64, Meter: &stream.Meter{}, Log: n.tier.log, Accept: n.node.Accept}
 	ctx, end := context.WithCancel(context.Background())
 	var running []chan struct{}
 	for _, run := range []func(){
--- a/internal/fleet/session/client.go
+++ b/internal/fleet/session/client.go
@@ -17,13 +17,13 @@
 
 // Timeouts and delays of an app server's side of a session.
 const (
-	Silence        = 2 * time.Second         // a session is given up when nothing is received for this long
-	GrantPatience  = 2500 * time.Millisecond // without a lease grant for this long, the client tries another node
+	SilenceTimeout = 2 * time.Second         // a session is given up when nothing is received for this long
+	GrantTimeout   = 2500 * time.Millisecond // without a lease grant for this long, the client tries another node
 	ConnectTimeout = time.Second             // to establish a connection
 	OpenTimeout    = time.Second             // from the connection to the Welcome message
-	FirstBackoff   = 500 * time.Millisecond  // the first wait is a random part of it; each failure doubles it
+	InitialBackoff = 500 * time.Millisecond  // the first wait is a random part of it; each failure doubles it
 	MaxBackoff     = 8 * time.Second
-	ReturnWithin   = 10 * time.Minute // a session at another node than the preferred one returns after a random part of it
+	MaxReturnDelay = 10 * time.Minute // a session at another node than the preferred one returns after a random part of it
 
 	initialStay = 2 * time.Second // at a node without grants once all nodes were tried; doubles up to MaxBackoff
 )
@@ -89,8 +89,8 @@
 	return [...]string{"waiting", "connecting", "opening", "open", "ended"}[s]
 }
 
-// Local is the server's own state, which the client reports to the control node.
-type Local struct {
+// LocalState is the server's own state, which the client reports to the control node.
+type LocalState struct {
 	Report  maintenance.Report // Heard and Incarnation are ignored
 	Applied uint64             // revision of the configuration in force
 }
@@ -131,7 +131,7 @@
 // timeouts are the timeouts after which an open session is given up.
 type timeouts struct {
 	silence time.Duration // since the last message; Silence by default
-	grant   time.Duration // since the last lease grant; GrantPatience by default
+	grant   time.Duration // since the last lease grant; GrantTimeout by default
 }
 
 // Client is an app server's side of its session with the control tier. It chooses a control node, opens the session
@@ -145,7 +145,7 @@
 	view        *watch.View
 	fleet       uint64
 	incarnation uint64
-	local       Local
+	local       LocalState
 	events      []Event
 
 	state     State
@@ -165,7 +165,7 @@
 	searchStay        time.Duration // time at a node without grants once all nodes were tried
 	lastGrant         time.Duration
 
-	serverState    Standing
+	serverState    ServerState
 	hasServerState bool
 	proposedStep   *maintenance.Entry // sent with each heartbeat; nil = none
 	session        openSession
@@ -182,7 +182,7 @@
 		options:     o,
 		nodes:       rankNodes(o.Server, o.Nodes),
 		random:      rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(o.Server))),
-		timeouts:    timeouts{silence: Silence, grant: GrantPatience},
+		timeouts:    timeouts{silence: SilenceTimeout, grant: GrantTimeout},
 		holder:      lease.NewHolder(o.Server, o.Terms),
 		view:        watch.NewView(),
 		incarnation: o.Incarnation,
@@ -192,7 +192,7 @@
 }
 
 // Tick advances the timers; the driver calls it every 100 ms. now must be read before any returned message is sent.
-func (c *Client) Tick(now time.Duration, l Local) []Action {
+func (c *Client) Tick(now time.Duration, l LocalState) []Action {
 	c.local = l
 	c.local.Report.Heard = 0
 	c.local.Report.Incarnation = c.incarnation
@@ -263,7 +263,7 @@
 
 // abandon gives up the current session or attempt and goes to the next node after a backoff.
 func (c *Client) abandon(reason string, now time.Duration) []Action {
-	c.addEvent(Event{Kind: Lost, Reason: reason})
+	c.addEvent(Event{Kind: SessionLost, Reason: reason})
 	c.consecutiveFailures++
 	c.nodesWithoutGrant++
 	return c.reconnectToNext(c.backoff(), now)
@@ -283,13 +283,13 @@
 
 // switchTo closes the current session and connects to another node at the next Tick.
 func (c *Client) switchTo(nodeIndex int, now time.Duration) []Action {
-	c.addEvent(Event{Kind: Lost, Reason: "returning to the preferred node"})
+	c.addEvent(Event{Kind: SessionLost, Reason: "returning to the preferred node"})
 	return c.reconnect(nodeIndex, 0, now)
 }
 
 // backoff returns the wait after the present number of consecutive failures.
 func (c *Client) backoff() time.Duration {
-	limit := FirstBackoff << min(max(c.consecutiveFailures-1, 0), 10)
+	limit := InitialBackoff << min(max(c.consecutiveFailures-1, 0), 10)
 	return c.randomPart(min(limit, MaxBackoff))
 }
 
@@ -317,7 +317,7 @@
 // rejectMessage ends the session after an invalid message. After a gap in the watch the client reconnects to the
 // same node.
 func (c *Client) rejectMessage(err error, now time.Duration) []Action {
-	c.addEvent(Event{Kind: Lost, Reason: err.Error()})
+	c.addEvent(Event{Kind: SessionLost, Reason: err.Error()})
 	c.consecutiveFailures++
 	if errors.Is(err, watch.ErrGap) {
 		return c.reconnect(c.nodeIndex, c.backoff(), now)
@@ -355,9 +355,9 @@
 	c.fleet, c.state, c.everOpen, c.busyRetry, c.lastRefusal = w.Fleet, Open, true, false, 0
 	c.session = openSession{openedAt: now, heardAt: now}
 	if c.nodeIndex != 0 {
-		c.returnAt = now + c.randomPart(ReturnWithin)
+		c.returnAt = now + c.randomPart(MaxReturnDelay)
 	}
-	c.addEvent(Event{Kind: Opened})
+	c.addEvent(Event{Kind: SessionOpened})
 	return c.heartbeat(now), nil
 }
 
@@ -369,7 +369,7 @@
 		c.lastGrant, c.everGranted, c.session.granted = now, true, true
 		c.nodesWithoutGrant, c.searchStay = 0, initialStay
 	}
-	if c.session.granted || now-c.session.openedAt >= Silence {
+	if c.session.granted || now-c.session.openedAt >= SilenceTimeout {
 		c.consecutiveFailures = 0
 	}
 }
@@ -391,8 +391,8 @@
 // Holds reports whether the server holds its lease at the given time.
 func (c *Client) Holds(now time.Duration) bool { return c.holder.Holds(now) }
 
-// Until returns when the lease ends; 0 = no lease was granted under the current fencing token.
-func (c *Client) Until() time.Duration { return c.holder.LeaseEnd() }
+// LeaseEnd returns when the lease ends; 0 = no lease was granted under the current fencing token.
+func (c *Client) LeaseEnd() time.Duration { return c.holder.LeaseEnd() }
 
 // FencingToken returns the fencing token of the lease; 0 = none is agreed for this process.
 func (c *Client) FencingToken() uint64 { return c.holder.Token() }
--- a/internal/fleet/session/client_test.go
+++ b/internal/fleet/session/client_test.go
@@ -32,7 +32,7 @@
 	t              *testing.T
 	client         *Client
 	now            time.Duration
-	local          Local
+	local          LocalState
 	sent           []FromServer
 	connects       []Connect
 	closedAttempts []uint64
@@ -90,7 +90,7 @@
 
 func (d *clientDriver) sendServerState(revision, token, incarnation uint64) {
 	d.t.Helper()
-	s := Standing{Box: maintenance.Server{Name: "s1"}, FencingToken: token, LeaseProcess: incarnation}
+	s := ServerState{Box: maintenance.Server{Name: "s1"}, FencingToken: token, LeaseProcess: incarnation}
 	b := watch.Batch{From: d.client.View().Revision(), To: revision, Updates: []watch.Update{{Revision: revision, Key: ServerPrefix + "s1", Value: s.Encode()}}}
 	if err := d.receive(FromNode{Batch: &b}); err != nil {
 		d.t.Fatal(err)
@@ -151,7 +151,7 @@
 		t.Error("the client took the token of another process")
 	}
 	d.sendServerState(6, 4, 7)
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	hb = d.lastHeartbeat()
 	if hb.FencingToken != 4 || hb.Sequence == 0 || len(hb.Proposals) != 0 {
 		t.Errorf("renewal %+v", hb)
@@ -159,8 +159,8 @@
 	sent := d.now
 	d.advance(ms(100))
 	d.ack(true)
-	if d.client.Until() != sent+lease.ControlTierTerms.Length || !d.client.Holds(d.now) || d.client.Holds(d.client.Until()) {
-		t.Errorf("lease ends at %v, renewal sent at %v", d.client.Until(), sent)
+	if d.client.LeaseEnd() != sent+lease.ControlTierTerms.Length || !d.client.Holds(d.now) || d.client.Holds(d.client.LeaseEnd()) {
+		t.Errorf("lease ends at %v, renewal sent at %v", d.client.LeaseEnd(), sent)
 	}
 	d.sendServerState(9, 0, 7)
 	if d.client.Holds(d.now) {
@@ -168,7 +168,7 @@
 	}
 }
 
-// A heartbeat is sent every Terms.RenewInterval, and no earlier than PromptHeartbeat after the last one for urgent
+// A heartbeat is sent every Terms.RenewInterval, and no earlier than MinHeartbeatInterval after the last one for urgent
 // changes. A report is sent only when it has changed.
 func TestHeartbeats(t *testing.T) {
 	d := &clientDriver{t: t, client: testClient(t, 3)}
@@ -228,7 +228,7 @@
 	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.Draining})
 	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.Returning})
 	before := d.heartbeats()
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	if p := d.lastHeartbeat().Proposals; d.heartbeats() == before || len(p) != 1 || p[0].Step == nil || p[0].Step.Phase != maintenance.Returning {
 		t.Errorf("%+v", p)
 	}
@@ -236,7 +236,7 @@
 	if len(d.lastHeartbeat().Proposals) != 1 {
 		t.Error("the step is proposed only once")
 	}
-	s := Standing{Box: maintenance.Server{Name: "s1", Incarnation: 7, Phase: maintenance.Returning}, FencingToken: 4, LeaseProcess: 7}
+	s := ServerState{Box: maintenance.Server{Name: "s1", Incarnation: 7, Phase: maintenance.Returning}, FencingToken: 4, LeaseProcess: 7}
 	b := watch.Batch{From: 6, To: 8, Updates: []watch.Update{{Revision: 8, Key: ServerPrefix + "s1", Value: s.Encode()}}}
 	if err := d.receive(FromNode{Batch: &b}); err != nil {
 		t.Fatal(err)
@@ -246,7 +246,7 @@
 		t.Error("the step is proposed after it was applied")
 	}
 	d.client.Propose(maintenance.Entry{Kind: maintenance.Step, Box: "s1", Incarnation: 7, Phase: maintenance.InService})
-	d.client.Withdraw()
+	d.client.CancelProposal()
 	d.advance(ms(600))
 	if len(d.lastHeartbeat().Proposals) != 0 {
 		t.Error("the step is proposed after it was canceled")
@@ -261,15 +261,15 @@
 		sameNode         bool // the client retries the same node
 		minWait, maxWait time.Duration
 	}{
-		{"connection lost", func(d *clientDriver) { d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now)) }, false, 0, FirstBackoff},
-		{"silence timeout", func(d *clientDriver) { d.advance(Silence) }, false, 0, FirstBackoff},
-		{"gap in the watch", func(d *clientDriver) { _ = d.receive(FromNode{Batch: &watch.Batch{From: 3, To: 5}}) }, true, 0, FirstBackoff},
-		{"two fields", func(d *clientDriver) { _ = d.receive(FromNode{Ack: &Ack{}, Welcome: &Welcome{}}) }, false, 0, FirstBackoff},
-		{"no field", func(d *clientDriver) { _ = d.receive(FromNode{}) }, false, 0, FirstBackoff},
+		{"connection lost", func(d *clientDriver) { d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now)) }, false, 0, InitialBackoff},
+		{"silence timeout", func(d *clientDriver) { d.advance(SilenceTimeout) }, false, 0, InitialBackoff},
+		{"gap in the watch", func(d *clientDriver) { _ = d.receive(FromNode{Batch: &watch.Batch{From: 3, To: 5}}) }, true, 0, InitialBackoff},
+		{"two fields", func(d *clientDriver) { _ = d.receive(FromNode{Ack: &Ack{}, Welcome: &Welcome{}}) }, false, 0, InitialBackoff},
+		{"no field", func(d *clientDriver) { _ = d.receive(FromNode{}) }, false, 0, InitialBackoff},
 		{"busy", func(d *clientDriver) { d.receive(FromNode{Refusal: &Refusal{Code: Busy, RetryAfter: ms(700)}}) }, true, ms(700), ms(700)},
-		{"moving", func(d *clientDriver) { d.receive(FromNode{Refusal: &Refusal{Code: Moving}}) }, false, 0, FirstBackoff},
+		{"moving", func(d *clientDriver) { d.receive(FromNode{Refusal: &Refusal{Code: NodeUnavailable}}) }, false, 0, InitialBackoff},
 		{"moving with a delay", func(d *clientDriver) {
-			d.receive(FromNode{Refusal: &Refusal{Code: Moving, RetryAfter: 2 * time.Second}})
+			d.receive(FromNode{Refusal: &Refusal{Code: NodeUnavailable, RetryAfter: 2 * time.Second}})
 		}, false, 2 * time.Second, 2 * time.Second},
 		{"unlimited delay", func(d *clientDriver) { d.receive(FromNode{Refusal: &Refusal{Code: Busy, RetryAfter: math.MaxInt64}}) }, true, maxRetryAfter, maxRetryAfter},
 		{"another fleet", func(d *clientDriver) { d.receive(FromNode{Refusal: &Refusal{Code: OtherFleet}}) }, false, MaxBackoff / 2, MaxBackoff},
@@ -300,7 +300,7 @@
 	for i := range 40 {
 		d.connect()
 		d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now))
-		limit := min(FirstBackoff<<min(i, 10), MaxBackoff)
+		limit := min(InitialBackoff<<min(i, 10), MaxBackoff)
 		if wait := d.client.deadline - d.now; wait > limit {
 			t.Errorf("attempt %d: waits %v, want at most %v", i, wait, limit)
 		}
@@ -311,10 +311,10 @@
 	}
 	d.open()
 	d.sendServerState(6, 4, 7)
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	d.ack(true)
 	d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now))
-	if wait := d.client.deadline - d.now; wait > FirstBackoff {
+	if wait := d.client.deadline - d.now; wait > InitialBackoff {
 		t.Errorf("waits %v after a session", wait)
 	}
 }
@@ -343,7 +343,7 @@
 	d = &clientDriver{t: t, client: testClient(t, 3)}
 	d.open()
 	d.sendServerState(6, 4, 7)
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	d.ack(true)
 	d.receive(FromNode{Refusal: &Refusal{Code: Superseded, Incarnation: 8}})
 	if d.client.State() != Ended || d.client.Holds(d.now) {
@@ -376,7 +376,7 @@
 	}
 }
 
-// A session that moved to another node returns to the preferred node within ReturnWithin. With a single control
+// A session that moved to another node returns to the preferred node within MaxReturnDelay. With a single control
 // node the client stays there.
 func TestReturnToFirstChoice(t *testing.T) {
 	d := &clientDriver{t: t, client: testClient(t, 3)}
@@ -393,7 +393,7 @@
 		if d.client.State() == Open {
 			d.ack(true)
 		}
-		if d.now-began > ReturnWithin {
+		if d.now-began > MaxReturnDelay {
 			t.Fatal("the client does not return")
 		}
 	}
@@ -464,12 +464,12 @@
 		d.open()
 		d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now))
 	}
-	if events := d.client.Events(); len(events) != maxEvents || events[maxEvents-1].Kind != Lost || events[maxEvents-1].Reason != "reset" {
+	if events := d.client.Events(); len(events) != maxEvents || events[maxEvents-1].Kind != SessionLost || events[maxEvents-1].Reason != "reset" {
 		t.Errorf("%d: %+v", len(events), events)
 	}
 	d.open()
 	d.sendServerState(6, 4, 7)
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	d.ack(true)
 	d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now))
 	for range 90 {
--- a/internal/fleet/session/collector.go
+++ b/internal/fleet/session/collector.go
@@ -11,9 +11,9 @@
 	"larchscale/internal/fleet/maintenance"
 )
 
-// Absent is how long the leader may receive nothing about a server before it assumes that the server has no
+// AbsentAfter is how long the leader may receive nothing about a server before it assumes that the server has no
 // session. The leader receives a status or a renewal of a server with a session at least every statusInterval.
-const Absent = 10 * time.Second
+const AbsentAfter = 10 * time.Second
 
 // trackedServer is the leader's record of one server.
 type trackedServer struct {
@@ -104,7 +104,7 @@
 }
 
 func (s *trackedServer) present(now time.Duration) bool {
-	return !s.closed && now-s.heardAt < Absent
+	return !s.closed && now-s.heardAt < AbsentAfter
 }
 
 func (c *Collector) takeRenewal(node string, r lease.Renewal, now time.Duration) {
@@ -145,9 +145,9 @@
 	}
 }
 
-// Node returns the node that a server's newest renewal or session came from, to which grants must be sent; "" =
+// NodeOf returns the node that a server's newest renewal or session came from, to which grants must be sent; "" =
 // unknown.
-func (c *Collector) Node(server string) string {
+func (c *Collector) NodeOf(server string) string {
 	tracked := c.servers[server]
 	if tracked == nil {
 		return ""
--- a/internal/fleet/session/collector_test.go
+++ b/internal/fleet/session/collector_test.go
@@ -41,8 +41,8 @@
 			}
 		}
 		applied, ok := c.Applied("s1", 0)
-		if applied != 7 || !ok || c.Node("s1") != "n2" {
-			t.Fatal(order, applied, ok, c.Node("s1"))
+		if applied != 7 || !ok || c.NodeOf("s1") != "n2" {
+			t.Fatal(order, applied, ok, c.NodeOf("s1"))
 		}
 	}
 }
@@ -78,11 +78,11 @@
 	if _, ok := c.Applied("s1", 3*time.Second); ok {
 		t.Error("a closed session is counted")
 	}
-	if behind, of := c.Behind(8, time.Second+Absent); len(behind) != 0 || of != 1 {
+	if behind, of := c.Behind(8, time.Second+AbsentAfter); len(behind) != 0 || of != 1 {
 		t.Error("absent servers are counted", behind, of)
 	}
-	if c.Node("s4") != "n1" || c.Node("s9") != "" {
-		t.Error(c.Node("s4"), c.Node("s9"))
+	if c.NodeOf("s4") != "n1" || c.NodeOf("s9") != "" {
+		t.Error(c.NodeOf("s4"), c.NodeOf("s9"))
 	}
 }
 
@@ -123,8 +123,8 @@
 	if len(c.servers) != limits.MaxServers {
 		t.Error(len(c.servers))
 	}
-	add(10_000, 10, Absent)
-	if _, ok := c.Applied(serverName(10_009), Absent); !ok || len(c.servers) != 10 {
+	add(10_000, 10, AbsentAfter)
+	if _, ok := c.Applied(serverName(10_009), AbsentAfter); !ok || len(c.servers) != 10 {
 		t.Error("absent servers are not dropped", len(c.servers))
 	}
 }
--- a/internal/fleet/session/event.go
+++ b/internal/fleet/session/event.go
@@ -10,13 +10,13 @@
 
 // Kinds of events.
 const (
-	Opened      EventKind = iota + 1 // a session is open at Node
-	Lost                             // the session at Node ended, or an attempt to open one failed; Reason says why
-	Refused                          // Node refused with Code; repeated only after a session or another code
-	Incarnated                       // the process took a newer incarnation, which Client.Incarnation returns
-	LeaseBegan                       // the server holds a lease
-	LeaseEnded                       // the server no longer holds a lease
-	SessionOver                      // the client has stopped for good: a newer process of this server is running
+	SessionOpened      EventKind = iota + 1 // a session is open at Node
+	SessionLost                             // the session at Node ended, or an attempt to open one failed; Reason says why
+	SessionRefused                          // Node refused with Code; repeated only after a session or another code
+	IncarnationChanged                      // the process took a newer incarnation, which Client.Incarnation returns
+	LeaseBegan                              // the server holds a lease
+	LeaseEnded                              // the server no longer holds a lease
+	SessionEnded                            // the client has stopped for good: a newer process of this server is running
 )
 
 // Event is a change in a session that is worth a log line.
--- a/internal/fleet/session/heartbeat.go
+++ b/internal/fleet/session/heartbeat.go
@@ -9,12 +9,12 @@
 
 // Timing of heartbeats and reports in addition to lease.Terms.RenewInterval.
 const (
-	ReportEvery     = 2 * time.Second        // minimum interval of reports in which only noise and request counts changed
-	PromptHeartbeat = 200 * time.Millisecond // minimum time between heartbeats sent before the renewal interval is over
-	// ReportTolerance is the relative change of Load or Capacity that counts as noise, and ReportFloor the absolute
-	// change, in requests per second. Only a change beyond both is reported before ReportEvery.
+	ReportInterval       = 2 * time.Second        // minimum interval of reports in which only noise and request counts changed
+	MinHeartbeatInterval = 200 * time.Millisecond // minimum time between heartbeats sent before the renewal interval is over
+	// ReportTolerance is the relative change of Load or Capacity that counts as noise, and ReportMinChange the absolute
+	// change, in requests per second. Only a change beyond both is reported before ReportInterval.
 	ReportTolerance = 0.05
-	ReportFloor     = 1.0
+	ReportMinChange = 1.0
 )
 
 // openSession is a client's state of an open session.
@@ -51,8 +51,8 @@
 	c.dropObsoleteStep()
 }
 
-// Withdraw cancels the current proposal.
-func (c *Client) Withdraw() { c.proposedStep = nil }
+// CancelProposal cancels the current proposal.
+func (c *Client) CancelProposal() { c.proposedStep = nil }
 
 // dropObsoleteStep drops the proposed step if it was applied or can no longer apply.
 func (c *Client) dropObsoleteStep() {
@@ -89,7 +89,7 @@
 	s := &c.session
 	regular := !s.sentFirst || now >= s.renewAt
 	p := c.pendingProposals()
-	if !regular && (now-s.sentAt < PromptHeartbeat || !c.needsPromptHeartbeat(p)) {
+	if !regular && (now-s.sentAt < MinHeartbeatInterval || !c.needsPromptHeartbeat(p)) {
 		return nil
 	}
 	hb := Heartbeat{Applied: c.local.Applied, Proposals: c.listProposals(p)}
@@ -126,12 +126,12 @@
 	case current.Warm != sent.Warm, current.Failing != sent.Failing, beyondNoise(current.Load, sent.Load), beyondNoise(current.Capacity, sent.Capacity):
 		return true
 	}
-	return now-s.reportSentAt >= ReportEvery && *current != *sent
+	return now-s.reportSentAt >= ReportInterval && *current != *sent
 }
 
 func beyondNoise(current, sent float64) bool {
 	change := math.Abs(current - sent)
-	return change > ReportFloor && change > ReportTolerance*max(math.Abs(current), math.Abs(sent))
+	return change > ReportMinChange && change > ReportTolerance*max(math.Abs(current), math.Abs(sent))
 }
 
 // shouldLeaveNode reports whether another node is more likely to bring lease grants than the current one.
@@ -144,7 +144,7 @@
 		return len(c.nodes) > 1 && withoutGrant >= c.searchStay
 	case c.holder.Token() == 0: // registration needs the agreement of the control tier first, which takes longer
 		return withoutGrant >= 2*patience
-	case s.leaderless && c.nodesWithoutGrant > 0 && c.everGranted && now-c.lastGrant >= patience+FirstBackoff:
+	case s.leaderless && c.nodesWithoutGrant > 0 && c.everGranted && now-c.lastGrant >= patience+InitialBackoff:
 		return true // the node knows no leader, so it is no better than the previous one
 	}
 	return withoutGrant >= patience
@@ -152,13 +152,13 @@
 
 // leaveNode goes to the next node after a session without grants.
 func (c *Client) leaveNode(now time.Duration) []Action {
-	c.addEvent(Event{Kind: Lost, Reason: "no lease grant received"})
+	c.addEvent(Event{Kind: SessionLost, Reason: "no lease grant received"})
 	if c.nodesWithoutGrant >= len(c.nodes)-1 {
 		limit := min(2*c.searchStay, MaxBackoff)
 		c.searchStay = limit/2 + c.randomPart(limit/2)
 	}
 	c.nodesWithoutGrant++
-	return c.reconnectToNext(c.randomPart(FirstBackoff), now)
+	return c.reconnectToNext(c.randomPart(InitialBackoff), now)
 }
 
 // readServerState updates the agreed state of this server from the view.
@@ -177,5 +177,5 @@
 	return nil
 }
 
-// Standing returns the agreed state of this server as of the view's revision; false = there is none.
-func (c *Client) Standing() (Standing, bool) { return c.serverState, c.hasServerState }
+// ServerState returns the agreed state of this server as of the view's revision; false = there is none.
+func (c *Client) ServerState() (ServerState, bool) { return c.serverState, c.hasServerState }
--- a/internal/fleet/session/messages.go
+++ b/internal/fleet/session/messages.go
@@ -83,11 +83,11 @@
 
 // Codes of a refusal.
 const (
-	Busy       RefusalCode = iota + 1 // retry after RetryAfter, at this node or another
-	Superseded                        // a newer process of the server is known, with Incarnation
-	OtherFleet                        // the server's revision belongs to another fleet
-	Invalid                           // the message is invalid
-	Moving                            // the node is stopping or has too many sessions: use another one
+	Busy            RefusalCode = iota + 1 // retry after RetryAfter, at this node or another
+	Superseded                             // a newer process of the server is known, with Incarnation
+	OtherFleet                             // the server's revision belongs to another fleet
+	Invalid                                // the message is invalid
+	NodeUnavailable                        // the node is stopping or has too many sessions: use another one
 )
 
 // Refusal refuses or ends a session.
@@ -98,7 +98,7 @@
 	Reason      string        `cbor:"4,keyasint,omitempty"` // for operators, at most MaxReason bytes
 }
 
-// Ack acknowledges heartbeats: at once when a lease was granted, otherwise after AckWithin.
+// Ack acknowledges heartbeats: at once when a lease was granted, otherwise after MaxAckDelay.
 type Ack struct {
 	Sequence     uint64 `cbor:"1,keyasint,omitempty"` // the newest granted renewal; 0 = none
 	FencingToken uint64 `cbor:"2,keyasint,omitempty"` // fencing token of that renewal
@@ -106,8 +106,8 @@
 	Leaderless   bool   `cbor:"4,keyasint,omitempty"` // whether this node knows no leader
 }
 
-// Standing is the agreed state of one app server, the value of its key in the watch.
-type Standing struct {
+// ServerState is the agreed state of one app server, the value of its key in the watch.
+type ServerState struct {
 	Box          maintenance.Server `cbor:"1,keyasint"`
 	PlanOver     bool               `cbor:"2,keyasint,omitempty"` // the plan that granted its maintenance is over
 	FencingToken uint64             `cbor:"3,keyasint,omitempty"` // of its lease; 0 = the server has none
--- a/internal/fleet/session/refused.go
+++ b/internal/fleet/session/refused.go
@@ -8,7 +8,7 @@
 // handleRefusal ends the session or attempt and schedules the next one as the refusal's code requires.
 func (c *Client) handleRefusal(r *Refusal, now time.Duration) []Action {
 	if r.Code != c.lastRefusal {
-		c.addEvent(Event{Kind: Refused, Code: r.Code, Reason: r.Reason})
+		c.addEvent(Event{Kind: SessionRefused, Code: r.Code, Reason: r.Reason})
 		c.lastRefusal = r.Code
 	}
 	minWait := min(max(r.RetryAfter, 0), maxRetryAfter)
@@ -17,7 +17,7 @@
 		return c.handleSuperseded(r, now)
 	case Busy:
 		return c.handleBusy(minWait, now)
-	case Moving:
+	case NodeUnavailable:
 		c.consecutiveFailures++
 		return c.reconnectToNext(max(minWait, c.backoff()), now)
 	}
@@ -46,12 +46,12 @@
 		c.state = Ended
 		c.holder.DropToken()
 		c.recordLeaseChange(now)
-		c.addEvent(Event{Kind: SessionOver, Reason: r.Reason})
+		c.addEvent(Event{Kind: SessionEnded, Reason: r.Reason})
 		return []Action{closing}
 	}
 	c.reincarnated = true
 	c.incarnation = r.Incarnation + 1
-	c.addEvent(Event{Kind: Incarnated})
+	c.addEvent(Event{Kind: IncarnationChanged})
 	c.local.Report.Incarnation = c.incarnation
-	return c.reconnect(c.nodeIndex, c.randomPart(FirstBackoff), now)
+	return c.reconnect(c.nodeIndex, c.randomPart(InitialBackoff), now)
 }
--- a/internal/fleet/session/scenarios_test.go
+++ b/internal/fleet/session/scenarios_test.go
@@ -38,7 +38,7 @@
 	w.run(time.Second) // all servers have a session and none has a fencing token
 	w.nodes[1].stop()
 	w.setNodesIsolated(false)
-	w.runUntil("the move of servers from a stopped node", Silence+2*FirstBackoff+500*time.Millisecond, func() bool {
+	w.runUntil("the move of servers from a stopped node", SilenceTimeout+2*InitialBackoff+500*time.Millisecond, func() bool {
 		for _, c := range w.clients {
 			if c.client.Node() == w.nodes[1].name && c.client.State() == Open {
 				return false
--- a/internal/fleet/session/search_test.go
+++ b/internal/fleet/session/search_test.go
@@ -11,7 +11,7 @@
 	d := &clientDriver{t: t, client: testClient(t, 5)}
 	d.open()
 	d.sendServerState(6, 4, 7)
-	d.advance(PromptHeartbeat)
+	d.advance(MinHeartbeatInterval)
 	d.ack(true)
 	return d
 }
@@ -33,19 +33,19 @@
 	}
 }
 
-// Without grants a client stays at each other node for GrantPatience, and then continues to search more slowly
+// Without grants a client stays at each other node for GrantTimeout, and then continues to search more slowly
 // without end.
 func TestSearchForGrants(t *testing.T) {
 	d := clientWithLease(t)
 	seen := map[string]bool{}
 	for i := range 20 {
 		seen[d.client.Node()] = true
-		limit := GrantPatience + ms(100)
+		limit := GrantTimeout + ms(100)
 		if i >= 4 {
 			limit = MaxBackoff + ms(100)
 		}
 		stayed := d.stayAtNode(false, limit)
-		if i >= 4 && stayed < initialStay || i < 4 && stayed < GrantPatience-ms(100) {
+		if i >= 4 && stayed < initialStay || i < 4 && stayed < GrantTimeout-ms(100) {
 			t.Errorf("node %d: the client stays %v", i, stayed)
 		}
 		if i == 4 && len(seen) != 5 {
@@ -60,18 +60,18 @@
 	}
 }
 
-// A client whose last grant is older than GrantPatience leaves a node at once if that node knows no leader either.
+// A client whose last grant is older than GrantTimeout leaves a node at once if that node knows no leader either.
 // Before that time it waits.
 func TestLeaderlessNodes(t *testing.T) {
 	d := clientWithLease(t)
 	d.perform(d.client.Disconnected(d.client.attempt, "reset", d.now))
 	d.open()
-	if stayed := d.stayAtNode(true, GrantPatience+FirstBackoff+ms(200)); stayed < GrantPatience-ms(600) {
+	if stayed := d.stayAtNode(true, GrantTimeout+InitialBackoff+ms(200)); stayed < GrantTimeout-ms(600) {
 		t.Errorf("during an election the client stays %v", stayed)
 	}
 	d.open()
-	if d.now-d.client.lastGrant < GrantPatience+FirstBackoff {
-		d.advance(GrantPatience + FirstBackoff - (d.now - d.client.lastGrant))
+	if d.now-d.client.lastGrant < GrantTimeout+InitialBackoff {
+		d.advance(GrantTimeout + InitialBackoff - (d.now - d.client.lastGrant))
 	}
 	if stayed := d.stayAtNode(true, ms(300)); stayed > ms(300) {
 		t.Errorf("the client stays %v", stayed)
--- a/internal/fleet/session/sim_client_test.go
+++ b/internal/fleet/session/sim_client_test.go
@@ -20,7 +20,7 @@
 	client              *Client
 	stream              *stream
 	currentAttempt      uint64
-	local               Local
+	local               LocalState
 	slowReader          bool // messages are read several seconds late
 	disturbedAt         time.Duration
 	leaseEndFromReceipt time.Duration // end of the lease if it ran from the receipt of the acknowledgement (a defect)
--- a/internal/fleet/session/sim_node_test.go
+++ b/internal/fleet/session/sim_node_test.go
@@ -82,7 +82,7 @@
 
 // encodedServerState returns the value of a server's key.
 func encodedServerState(b *lease.Server) []byte {
-	s := Standing{Box: maintenance.Server{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
+	s := ServerState{Box: maintenance.Server{Name: b.Name, Zone: b.Zone, Incarnation: b.Incarnation, Index: b.Index}, LeaseProcess: b.Incarnation}
 	if !b.Lost {
 		s.FencingToken = b.Life
 	}
@@ -98,7 +98,7 @@
 	} else if n.leader >= 0 && w.now-n.leaderHeardAt > time.Second {
 		n.leader = -1
 	}
-	n.table.Leaderless(n.leader < 0)
+	n.table.SetLeaderless(n.leader < 0)
 }
 
 func (n *simNode) hearLeader(leader int, term uint64) {
@@ -149,7 +149,7 @@
 		b := n.state.Server(name)
 		n.history.Put(n.applied, ServerPrefix+name, encodedServerState(b))
 		if !n.world.defects.keepsSuperseded {
-			n.closeEnded(n.table.Superseded(name, b.Incarnation))
+			n.closeEnded(n.table.EndSuperseded(name, b.Incarnation))
 		}
 	}
 	n.history.Advance(n.applied)
@@ -173,7 +173,7 @@
 		}
 	}
 	if w.defects.nodeGrants && m.Heartbeat.Sequence != 0 {
-		n.table.Granted([]lease.Grant{{Box: serverName(s.client.server), Life: m.Heartbeat.FencingToken, Seq: m.Heartbeat.Sequence, For: w.terms.Length}}, n.clock())
+		n.table.AcceptGrants([]lease.Grant{{Box: serverName(s.client.server), Life: m.Heartbeat.FencingToken, Seq: m.Heartbeat.Sequence, For: w.terms.Length}}, n.clock())
 	}
 }
 
@@ -221,12 +221,12 @@
 func (n *simNode) forget(s *stream) {
 	s.openAtNode = false
 	delete(n.streams, s.id)
-	n.table.Closed(s.id, n.clock())
+	n.table.ConnectionClosed(s.id, n.clock())
 }
 
 // writePending lets all sessions that are not writing send their pending messages.
 func (n *simNode) writePending() {
-	for _, id := range n.table.Pending(n.clock()) {
+	for _, id := range n.table.ReadySessions(n.clock()) {
 		if s := n.streams[id]; s != nil {
 			n.writeNext(s)
 		}
@@ -261,7 +261,7 @@
 	}
 	w.after(writeTime, func() {
 		n.exec(func() {
-			n.table.Written(s.id)
+			n.table.MessageWritten(s.id)
 			if s.openAtNode {
 				n.writeNext(s)
 			}
@@ -342,7 +342,7 @@
 func (n *simNode) grant(grants []lease.Grant) {
 	byNode := map[string][]lease.Grant{}
 	for _, g := range grants {
-		node := n.collector.Node(g.Box)
+		node := n.collector.NodeOf(g.Box)
 		byNode[node] = append(byNode[node], g)
 	}
 	for _, to := range n.world.nodes {
@@ -351,7 +351,7 @@
 			continue
 		}
 		n.world.sendBetween(n, to, func() {
-			to.table.Granted(list, to.clock())
+			to.table.AcceptGrants(list, to.clock())
 			to.writePending()
 		})
 	}
--- a/internal/fleet/session/standing.go
+++ b/internal/fleet/session/standing.go
@@ -28,7 +28,7 @@
 }()
 
 // Encode returns the value of the server's key in the watch. Equal states have equal encodings.
-func (s *Standing) Encode() []byte {
+func (s *ServerState) Encode() []byte {
 	data, err := serverStateEncoder.Marshal(s)
 	if err != nil {
 		panic(fmt.Sprintf("encoding a server's state: %v", err)) // every field can be encoded
@@ -37,16 +37,16 @@
 }
 
 // decodeServerState reads the agreed state of a server from a view; false = there is none.
-func decodeServerState(view *watch.View, server string) (s Standing, ok bool, err error) {
+func decodeServerState(view *watch.View, server string) (s ServerState, ok bool, err error) {
 	update, ok := view.Get(ServerPrefix + server)
 	if !ok {
-		return Standing{}, false, nil
+		return ServerState{}, false, nil
 	}
 	if len(update.Value) > maxServerStateBytes {
-		return Standing{}, false, fmt.Errorf("state of server %s has %d bytes: %w", server, len(update.Value), ErrInvalid)
+		return ServerState{}, false, fmt.Errorf("state of server %s has %d bytes: %w", server, len(update.Value), ErrInvalid)
 	}
 	if err := serverStateDecoder.Unmarshal(update.Value, &s); err != nil {
-		return Standing{}, false, fmt.Errorf("state of server %s: %w: %w", server, ErrInvalid, err)
+		return ServerState{}, false, fmt.Errorf("state of server %s: %w: %w", server, ErrInvalid, err)
 	}
 	return s, true, nil
 }
--- a/internal/fleet/session/table.go
+++ b/internal/fleet/session/table.go
@@ -13,10 +13,10 @@
 
 // Timing of a control node's side of sessions.
 const (
-	// AckWithin is how long a heartbeat waits for a lease grant before it is acknowledged without one.
-	AckWithin = 500 * time.Millisecond
-	// Expiry is how long a session may be silent before it is ended.
-	Expiry = 4 * time.Second
+	// MaxAckDelay is how long a heartbeat waits for a lease grant before it is acknowledged without one.
+	MaxAckDelay = 500 * time.Millisecond
+	// SessionTimeout is how long a session may be silent before it is ended.
+	SessionTimeout = 4 * time.Second
 
 	statusInterval        = 2 * time.Second // longest time between reports to the leader of a server that renews no lease
 	minProposalInterval   = 100 * time.Millisecond
@@ -133,13 +133,13 @@
 		return &Refusal{Code: Superseded, Incarnation: knownIncarnation, Reason: fmt.Sprintf("process %d of this server has spoken", knownIncarnation)}
 	}
 	if old != nil && old.hello.Incarnation == h.Incarnation && old.hello.Session >= h.Session {
-		return &Refusal{Code: Moving, Reason: "a newer session of this process is open"}
+		return &Refusal{Code: NodeUnavailable, Reason: "a newer session of this process is open"}
 	}
 	if t.draining {
-		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node ends"}
+		return &Refusal{Code: NodeUnavailable, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node ends"}
 	}
 	if old == nil && len(t.sessions) >= t.options.MaxSessions {
-		return &Refusal{Code: Moving, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node has as many sessions as it may"}
+		return &Refusal{Code: NodeUnavailable, RetryAfter: jitter(t.random, unavailableRetryAfter), Reason: "this node has as many sessions as it may"}
 	}
 	if retryAfter, ok := t.admission.take(now); !ok {
 		return &Refusal{Code: Busy, RetryAfter: retryAfter, Reason: "too many sessions open at once"}
@@ -152,7 +152,7 @@
 	if by.Incarnation > old.hello.Incarnation {
 		return Refusal{Code: Superseded, Incarnation: by.Incarnation, Reason: "a newer process of this server has opened a session"}
 	}
-	return Refusal{Code: Moving, Reason: "this process has opened a newer session"}
+	return Refusal{Code: NodeUnavailable, Reason: "this process has opened a newer session"}
 }
 
 func truncateReason(reason string) string {
@@ -200,8 +200,8 @@
 	}
 }
 
-// Granted accepts the leader's grants. Grants for renewals that no session of this node sent are ignored.
-func (t *Table) Granted(grants []lease.Grant, now time.Duration) {
+// AcceptGrants accepts the leader's grants. Grants for renewals that no session of this node sent are ignored.
+func (t *Table) AcceptGrants(grants []lease.Grant, now time.Duration) {
 	for _, g := range grants {
 		s := t.byServer[g.Box]
 		if s == nil || g.Life != s.renewal.Life || g.Seq > s.renewal.Seq || g.Seq <= s.grant.Seq && g.Life == s.grant.Life {
@@ -211,8 +211,8 @@
 	}
 }
 
-// Leaderless sets whether this node knows no leader.
-func (t *Table) Leaderless(leaderless bool) { t.leaderless = leaderless }
+// SetLeaderless sets whether this node knows no leader.
+func (t *Table) SetLeaderless(leaderless bool) { t.leaderless = leaderless }
 
 // Next returns the next message of a session that is not writing; false = there is nothing to send now. The session
 // counts as writing until the driver calls Written.
@@ -240,7 +240,7 @@
 }
 
 func (s *serverSession) ackDue(now time.Duration) bool {
-	return s.grantPending || s.ackPending && now-s.ackSince >= AckWithin
+	return s.grantPending || s.ackPending && now-s.ackSince >= MaxAckDelay
 }
 
 // nextAck returns an acknowledgement of all heartbeats so far. A grant is sent once.
@@ -288,16 +288,16 @@
 	}
 }
 
-// Written reports that the message that Next returned was written.
-func (t *Table) Written(id uint64) {
+// MessageWritten reports that the message that Next returned was written.
+func (t *Table) MessageWritten(id uint64) {
 	if s := t.sessions[id]; s != nil {
 		s.writing = false
 	}
 }
 
-// Pending returns the sessions that are not writing and may have something to send, oldest first. It scans all
+// ReadySessions returns the sessions that are not writing and may have something to send, oldest first. It scans all
 // sessions.
-func (t *Table) Pending(now time.Duration) []uint64 {
+func (t *Table) ReadySessions(now time.Duration) []uint64 {
 	var ids []uint64
 	for _, s := range t.openOrder {
 		if !s.writing && (s.welcomePending || s.ackDue(now) || t.batchDue(s)) {
@@ -307,8 +307,8 @@
 	return ids
 }
 
-// Closed reports that the connection of a session is closed.
-func (t *Table) Closed(id uint64, now time.Duration) {
+// ConnectionClosed reports that the connection of a session is closed.
+func (t *Table) ConnectionClosed(id uint64, now time.Duration) {
 	if s := t.sessions[id]; s != nil {
 		t.remove(s)
 	}
@@ -333,8 +333,8 @@
 func (t *Table) Tick(now time.Duration) []EndedSession {
 	var ended []EndedSession
 	for _, s := range slices.Clone(t.openOrder) {
-		if now-s.heardAt > Expiry {
-			ended = append(ended, t.endSession(s, Refusal{Code: Moving, Reason: "nothing was heard of this server"}))
+		if now-s.heardAt > SessionTimeout {
+			ended = append(ended, t.endSession(s, Refusal{Code: NodeUnavailable, Reason: "nothing was heard of this server"}))
 		}
 	}
 	return append(ended, t.drain(now)...)
@@ -354,13 +354,13 @@
 	}
 	for len(t.openOrder) > 0 && now-t.lastDrainedAt >= pace {
 		t.lastDrainedAt += pace
-		ended = append(ended, t.endSession(t.openOrder[0], Refusal{Code: Moving, Reason: "this node ends"}))
+		ended = append(ended, t.endSession(t.openOrder[0], Refusal{Code: NodeUnavailable, Reason: "this node ends"}))
 	}
 	return ended
 }
 
-// Superseded ends the session of a server if the agreed log has a newer process of that server.
-func (t *Table) Superseded(server string, incarnation uint64) []EndedSession {
+// EndSuperseded ends the session of a server if the agreed log has a newer process of that server.
+func (t *Table) EndSuperseded(server string, incarnation uint64) []EndedSession {
 	s := t.byServer[server]
 	if s == nil || s.hello.Incarnation >= incarnation {
 		return nil
@@ -375,8 +375,8 @@
 // Resume makes a drained node accept sessions again.
 func (t *Table) Resume() { t.draining = false }
 
-// Sessions returns the number of open sessions.
-func (t *Table) Sessions() int { return len(t.sessions) }
+// SessionCount returns the number of open sessions.
+func (t *Table) SessionCount() int { return len(t.sessions) }
 
 // Upper bounds of the encoded size of a digest's items, not counting the server's name.
 const (
--- a/internal/fleet/session/table_test.go
+++ b/internal/fleet/session/table_test.go
@@ -49,7 +49,7 @@
 	if m, ok := table.Next(id, now); !ok || m.Welcome == nil || m.Welcome.Fleet != 9 || m.Welcome.Node != "n1" {
 		t.Fatalf("%+v", m)
 	}
-	table.Written(id)
+	table.MessageWritten(id)
 }
 
 // writeAll writes all messages that a session has to send.
@@ -60,7 +60,7 @@
 			return messages
 		}
 		messages = append(messages, m)
-		table.Written(id)
+		table.MessageWritten(id)
 	}
 }
 
@@ -77,9 +77,9 @@
 		{"the known incarnation", hello("s2", 5, 1), 5, 0, 0},
 		{"older than the log", hello("s2", 4, 1), 5, Superseded, 0},
 		{"older than the session here", hello("s1", 2, 9), 0, Superseded, 0},
-		{"an earlier session of the process", hello("s1", 3, 2), 0, Moving, 0},
-		{"the same session again", hello("s1", 3, 3), 0, Moving, 0},
-		{"the process's next session", hello("s1", 3, 4), 0, 0, Moving},
+		{"an earlier session of the process", hello("s1", 3, 2), 0, NodeUnavailable, 0},
+		{"the same session again", hello("s1", 3, 3), 0, NodeUnavailable, 0},
+		{"the process's next session", hello("s1", 3, 4), 0, 0, NodeUnavailable},
 		{"the next process", hello("s1", 4, 1), 0, 0, Superseded},
 		{"another fleet", Hello{Server: "s2", Zone: "z", Incarnation: 1, Session: 1, Fleet: 8, Revision: 3}, 0, OtherFleet, 0},
 		{"this fleet", Hello{Server: "s2", Zone: "z", Incarnation: 1, Session: 1, Fleet: 9, Revision: 3}, 0, 0, 0},
@@ -97,7 +97,7 @@
 		switch {
 		case (refusal == nil) != (test.code == 0), refusal != nil && refusal.Code != test.code:
 			t.Errorf("%s: %+v", test.name, refusal)
-		case refusal != nil && (len(ended) > 0 || table.Sessions() != 1 || refusal.Code == Superseded && refusal.Incarnation <= test.hello.Incarnation):
+		case refusal != nil && (len(ended) > 0 || table.SessionCount() != 1 || refusal.Code == Superseded && refusal.Incarnation <= test.hello.Incarnation):
 			t.Errorf("%s: %+v %+v", test.name, ended, refusal)
 		case test.ended != 0 && (len(ended) != 1 || ended[0].ID != 1 || ended[0].Refusal.Code != test.ended):
 			t.Errorf("%s: %+v", test.name, ended)
@@ -158,10 +158,10 @@
 	table, _ := testTable(o, 10)
 	mustOpen(t, table, 1, hello("s1", 1, 1), 0)
 	mustOpen(t, table, 2, hello("s2", 1, 1), 0)
-	if _, refusal := table.Open(3, hello("s3", 1, 1), 0, 0); refusal == nil || refusal.Code != Moving || refusal.RetryAfter == 0 {
+	if _, refusal := table.Open(3, hello("s3", 1, 1), 0, 0); refusal == nil || refusal.Code != NodeUnavailable || refusal.RetryAfter == 0 {
 		t.Errorf("%+v", refusal)
 	}
-	if ended, refusal := table.Open(4, hello("s2", 1, 2), 0, 0); refusal != nil || len(ended) != 1 || table.Sessions() != 2 {
+	if ended, refusal := table.Open(4, hello("s2", 1, 2), 0, 0); refusal != nil || len(ended) != 1 || table.SessionCount() != 2 {
 		t.Errorf("%+v %+v", ended, refusal)
 	}
 }
@@ -226,7 +226,7 @@
 	}
 }
 
-// An acknowledgement is sent once: at once with a grant, otherwise after AckWithin.
+// An acknowledgement is sent once: at once with a grant, otherwise after MaxAckDelay.
 func TestAcknowledgements(t *testing.T) {
 	table, h := testTable(largeOptions, 10)
 	mustOpen(t, table, 1, hello("s1", 3, 3), 0)
@@ -244,18 +244,18 @@
 		return list
 	}
 	beat(1, ms(100))
-	if got := acks(ms(100) + AckWithin - 1); got != nil || len(table.Pending(ms(100)+AckWithin-1)) != 0 {
+	if got := acks(ms(100) + MaxAckDelay - 1); got != nil || len(table.ReadySessions(ms(100)+MaxAckDelay-1)) != 0 {
 		t.Errorf("%+v", got)
 	}
-	table.Leaderless(true)
-	if got := acks(ms(100) + AckWithin); !cmp.Equal(got, []Ack{{Revision: h.Revision(), Leaderless: true}}) {
+	table.SetLeaderless(true)
+	if got := acks(ms(100) + MaxAckDelay); !cmp.Equal(got, []Ack{{Revision: h.Revision(), Leaderless: true}}) {
 		t.Errorf("%+v", got)
 	}
-	table.Leaderless(false)
+	table.SetLeaderless(false)
 	beat(2, ms(700))
 	beat(3, ms(800))
 	grant := func(life, sequence uint64) {
-		table.Granted([]lease.Grant{{Box: "s1", Life: life, Seq: sequence, For: time.Second}, {Box: "s2", Life: 1, Seq: 1}}, ms(800))
+		table.AcceptGrants([]lease.Grant{{Box: "s1", Life: life, Seq: sequence, For: time.Second}, {Box: "s2", Life: 1, Seq: 1}}, ms(800))
 	}
 	grant(4, 9)
 	grant(5, 3)
@@ -264,7 +264,7 @@
 	}
 	grant(4, 3)
 	grant(4, 2)
-	if ids := table.Pending(ms(800)); !cmp.Equal(ids, []uint64{1}) {
+	if ids := table.ReadySessions(ms(800)); !cmp.Equal(ids, []uint64{1}) {
 		t.Errorf("%v", ids)
 	}
 	if got := acks(ms(800)); !cmp.Equal(got, []Ack{{Sequence: 3, FencingToken: 4, Revision: h.Revision()}}) {
@@ -296,7 +296,7 @@
 	}
 	complete := map[uint64]bool{}
 	for range 100 {
-		pending := table.Pending(0)
+		pending := table.ReadySessions(0)
 		sending := map[uint64]bool{}
 		for _, id := range pending {
 			m, ok := table.Next(id, 0)
@@ -313,7 +313,7 @@
 			t.Fatal(table.activeSnapshots, sending)
 		}
 		for id := range sending {
-			table.Written(id)
+			table.MessageWritten(id)
 		}
 	}
 	if len(complete) != 10 || table.activeSnapshots != 0 {
@@ -344,7 +344,7 @@
 	if _, ok := table.Next(2, 0); ok {
 		t.Error("two snapshots are sent at a time")
 	}
-	table.Closed(1, 0)
+	table.ConnectionClosed(1, 0)
 	if _, ok := table.Next(2, 0); !ok {
 		t.Error("the slot is not released")
 	}
@@ -355,10 +355,10 @@
 	for i := range uint64(30) {
 		mustOpen(t, table, i+1, hello(serverName(int(i)), 3, 1), 0)
 	}
-	if ended := table.Superseded(serverName(0), 3); ended != nil {
+	if ended := table.EndSuperseded(serverName(0), 3); ended != nil {
 		t.Errorf("%+v", ended)
 	}
-	if ended := table.Superseded(serverName(0), 4); len(ended) != 1 || ended[0].ID != 1 || ended[0].Refusal.Code != Superseded || ended[0].Refusal.Incarnation != 4 {
+	if ended := table.EndSuperseded(serverName(0), 4); len(ended) != 1 || ended[0].ID != 1 || ended[0].Refusal.Code != Superseded || ended[0].Refusal.Incarnation != 4 {
 		t.Errorf("%+v", ended)
 	}
 	for i := range uint64(28) {
@@ -366,30 +366,30 @@
 			t.Fatal(err)
 		}
 	}
-	if ended := table.Tick(Expiry + 1); len(ended) != 1 || ended[0].ID != 30 {
+	if ended := table.Tick(SessionTimeout + 1); len(ended) != 1 || ended[0].ID != 30 {
 		t.Errorf("%+v", ended)
 	}
 	table.Drain()
-	if _, refusal := table.Open(99, hello("new", 1, 1), 0, Expiry); refusal == nil || refusal.Code != Moving {
+	if _, refusal := table.Open(99, hello("new", 1, 1), 0, SessionTimeout); refusal == nil || refusal.Code != NodeUnavailable {
 		t.Errorf("%+v", refusal)
 	}
 	for i := range uint64(28) {
-		table.Heartbeat(i+2, Heartbeat{}, Expiry)
+		table.Heartbeat(i+2, Heartbeat{}, SessionTimeout)
 	}
 	total := 0
 	for i := range 40 {
-		ended := table.Tick(Expiry + ms(100*i))
+		ended := table.Tick(SessionTimeout + ms(100*i))
 		if total += len(ended); len(ended) > 2 {
 			t.Errorf("%d sessions ended at once", len(ended))
 		}
 	}
-	if total != 28 || table.Sessions() != 0 {
-		t.Error(total, table.Sessions())
+	if total != 28 || table.SessionCount() != 0 {
+		t.Error(total, table.SessionCount())
 	}
 	table.Resume()
-	mustOpen(t, table, 100, hello("new", 1, 1), Expiry+ms(4000))
-	if ended := table.Tick(Expiry + ms(5000)); len(ended) != 0 || table.Sessions() != 1 {
-		t.Errorf("%+v, %d sessions", ended, table.Sessions())
+	mustOpen(t, table, 100, hello("new", 1, 1), SessionTimeout+ms(4000))
+	if ended := table.Tick(SessionTimeout + ms(5000)); len(ended) != 0 || table.SessionCount() != 1 {
+		t.Errorf("%+v, %d sessions", ended, table.SessionCount())
 	}
 }
 
@@ -428,8 +428,8 @@
 	if d := readAll(); len(d.Renewals) != 2 || d.Renewals[0].Seq != 3 || len(d.Servers) != 1 || d.Servers[0].Applied != 8 {
 		t.Errorf("%+v", d)
 	}
-	table.Closed(3, 0)
-	table.Closed(3, 0)
+	table.ConnectionClosed(3, 0)
+	table.ConnectionClosed(3, 0)
 	if d := readAll(); !cmp.Equal(d, Digest{Closed: []ClosedSession{{serverName(2), 3, 1}}}) {
 		t.Errorf("%+v", d)
 	}
@@ -466,8 +466,8 @@
 			if _, err := table.Heartbeat(1, hb, now); err != nil {
 				t.Fatal(err)
 			}
-			table.Granted([]lease.Grant{{Box: "s1", Life: 4, Seq: uint64(now)}}, now)
-			if _, ok := table.Next(1, now); ok || len(table.Pending(now)) != 0 {
+			table.AcceptGrants([]lease.Grant{{Box: "s1", Life: 4, Seq: uint64(now)}}, now)
+			if _, ok := table.Next(1, now); ok || len(table.ReadySessions(now)) != 0 {
 				t.Fatal("a message was returned while another is being written")
 			}
 		}
@@ -480,7 +480,7 @@
 	if len(table.openOrder) != 1 || len(table.unreportedClosed) != 0 {
 		t.Error(len(table.openOrder), len(table.unreportedClosed))
 	}
-	table.Written(1)
+	table.MessageWritten(1)
 	messages := writeAll(table, 1, now)
 	if len(messages) > 3 || messages[0].Ack == nil || messages[0].Ack.Sequence != uint64(now) {
 		t.Errorf("%d messages", len(messages))
--- a/internal/fleet/stream/cut_test.go
+++ b/internal/fleet/stream/cut_test.go
@@ -192,7 +192,7 @@
 	<-readerDone
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.table.Closed(id, n.now)
+	n.table.ConnectionClosed(id, n.now)
 }
 
 func (n *tableNode) open(hello *session.Hello) (uint64, *session.Refusal) {
@@ -224,7 +224,7 @@
 		case !errors.Is(err, session.ErrUnknown): // a newer session has replaced this one
 			n.failed = err
 		}
-		n.now += session.AckWithin
+		n.now += session.MaxAckDelay
 		n.changed.Broadcast()
 		n.mu.Unlock()
 	}
@@ -238,7 +238,7 @@
 			return
 		}
 		n.mu.Lock()
-		n.table.Written(id)
+		n.table.MessageWritten(id)
 		n.mu.Unlock()
 	}
 }
@@ -422,7 +422,7 @@
 // tick advances the time.
 func (s *appServer) tick(ctx context.Context, by time.Duration) {
 	s.now += by
-	local := session.Local{Report: maintenance.Report{Warm: true}, Applied: s.client.View().Revision()}
+	local := session.LocalState{Report: maintenance.Report{Warm: true}, Applied: s.client.View().Revision()}
 	s.do(ctx, s.client.Tick(s.now, local))
 }
 
@@ -432,7 +432,7 @@
 	revision := s.client.View().Revision()
 	switch {
 	case message.Batch != nil:
-		s.tick(ctx, session.PromptHeartbeat)
+		s.tick(ctx, session.MinHeartbeatInterval)
 		if revision >= firstRevision && revision < lastRevision {
 			s.node.update(revision+1, s.value)
 		}
--- a/internal/measure/sessions/hollow.go
+++ b/internal/measure/sessions/hollow.go
@@ -119,11 +119,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch event.Kind {
-	case session.Opened:
+	case session.SessionOpened:
 		s.events.Opened++
-	case session.Lost:
+	case session.SessionLost:
 		s.events.Lost++
-	case session.Refused:
+	case session.SessionRefused:
 		s.events.Refused++
 	case session.LeaseBegan:
 		s.events.LeasesBegan++
