--- a/Makefile
+++ b/Makefile
@@ -63,12 +63,12 @@
 # The long form of the tests with the real program: 1,000 kills, and 500,000 requests against a collector that fails.
 torture:
 	go test -v -timeout 1800s -count=1 ./internal/standin -kills 1000 -requests 500000
-	go test -timeout 900s -count=1 ./internal/keeper -run Faults -rapid.checks=700
+	go test -timeout 900s -count=1 ./internal/ledgerstore -run Faults -rapid.checks=700
 	go test -timeout 900s -count=1 ./internal/fleet/trial -run Fleets -seeds 300
-	go test -timeout 3600s -count=1 ./internal/fleet/agree -seeds 5000 -big 20
+	go test -timeout 3600s -count=1 ./internal/fleet/consensus -seeds 5000 -big 20
 	go test -timeout 3600s -count=1 ./internal/fleet/session -seeds 1000 -large 20
 	go test -timeout 3600s -count=1 ./internal/fleet/driver -run Script -scripts 200 -parallel 4
-	go test -v -timeout 3600s -count=1 ./internal/fleet/desk -run Kills -kills 200
+	go test -v -timeout 3600s -count=1 ./internal/fleet/claimstore -run Kills -kills 200
 
 # The long form of the soak: real servers under faults with balancers that go on to the kill. `make test` plays 12 seeds.
 SEEDS ?= 60
@@ -108,5 +108,5 @@
 	go test -run '^$$' -fuzz FuzzOpen -fuzztime 10s ./internal/wal
 	go test -run '^$$' -fuzz FuzzApply -fuzztime 10s ./internal/ledger
 	go test -run '^$$' -fuzz FuzzPeers -fuzztime 10s ./internal/ledger
-	go test -run '^$$' -fuzz FuzzOutage -fuzztime 10s ./internal/keeper
+	go test -run '^$$' -fuzz FuzzOutage -fuzztime 10s ./internal/ledgerstore
 	go test -run '^$$' -fuzz FuzzSuccessor -fuzztime 10s ./internal/handoff
--- a/internal/capacity/counts.go
+++ b/internal/capacity/counts.go
@@ -45,13 +45,13 @@
 func Bounds() []Bound {
 	return []Bound{
 		{"link.maxBoxes", "internal/link/link.go", linkServers + 1, "servers", "the operator's file is refused, and the program does not start"},
-		{"takeout.MaxBoxes", "internal/fleet/takeout/state.go", maintenance.MaxBoxes, "servers", "a server that joins is refused"},
+		{"maintenance.MaxBoxes", "internal/fleet/maintenance/state.go", maintenance.MaxBoxes, "servers", "a server that joins is refused"},
 		{"lease.MaxBoxes", "internal/fleet/lease/state.go", lease.MaxBoxes, "servers", "a server gets no lease"},
-		{"place.MaxBoxes", "internal/fleet/place/state.go", placement.MaxBoxes, "servers", "a server is not placed on"},
+		{"placement.MaxBoxes", "internal/fleet/placement/state.go", placement.MaxBoxes, "servers", "a server is not placed on"},
 		{"forecast.MaxBoxes", "internal/fleet/forecast/sketch.go", forecast.MaxBoxes, "servers", "the sketch of a further server is refused"},
 		{"sequential.MaxBoxes", "internal/sequential/sequential.go", sequential.MaxBoxes, "servers", "trials are ended as void more often than their plan allows"},
 		{"trial.MaxHeard", "internal/fleet/trial/count.go", (trial.MaxHeard - trial.MaxKept) / trial.MaxBlocks, "servers", "reports to a trial in its last blocks are refused"},
-		{"hand.Slices, place.Slices", "internal/fleet/hand/hand.go, internal/fleet/place/state.go", takeover.Shards, "servers", "servers without a shard"},
+		{"takeover.Shards, placement.Shards", "internal/fleet/takeover/hand.go, internal/fleet/placement/state.go", takeover.Shards, "servers", "servers without a shard"},
 		{"route.MaxMembers", "client/route/route.go", route.MaxMembers, "servers", "callers do not know further servers"},
 		{"ledger.MaxNames", "internal/ledger/book.go", ledger.MaxNames, "tenants", "a server with a ledger does not start"},
 		{"ledger.MaxNames", "internal/ledger/book.go", ledger.MaxNames, "routes", "a server with a ledger does not start"},
--- a/internal/capacity/counts_test.go
+++ b/internal/capacity/counts_test.go
@@ -67,8 +67,8 @@
 // Constants that the counts repeat, as they are not exported.
 func TestConstantsOfOtherPackages(t *testing.T) {
 	for _, c := range []struct{ file, name, value string }{
-		{"../fleet/driver/driver.go", "reportEach", "10"}, // ticks of 100 ms: reportsPerSecond
-		{"../fleet/agree/node.go", "learnerTicks", "10"},  // the same: learnerHeartbeatsPerSecond
+		{"../fleet/driver/driver.go", "reportEach", "10"},    // ticks of 100 ms: reportsPerSecond
+		{"../fleet/consensus/node.go", "learnerTicks", "10"}, // the same: learnerHeartbeatsPerSecond
 	} {
 		if got := constant(t, c.file, c.name); got != c.value {
 			t.Errorf("%s %s is %s, counted with %s", c.file, c.name, got, c.value)
--- a/internal/capacity/names.go
+++ b/internal/capacity/names.go
@@ -17,10 +17,10 @@
 // mechanisms are how the designs carry what a role does.
 var mechanisms = map[string]map[Role]string{
 	designLearner: {
-		ServerControl: "`fleet/agree` raft learner, `fleet/driver` reports",
-		Leader:        "`fleet/agree` raft leader",
-		Follower:      "`fleet/agree` raft follower",
-		Fleet:         "`fleet/agree`, `fleet/driver`",
+		ServerControl: "`fleet/consensus` raft learner, `fleet/driver` reports",
+		Leader:        "`fleet/consensus` raft leader",
+		Follower:      "`fleet/consensus` raft follower",
+		Fleet:         "`fleet/consensus`, `fleet/driver`",
 	},
 	designLeases: {
 		ServerControl: "the same and `fleet/lease` renewals",
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -50,9 +50,9 @@
 		{"counted.peers.bytes", "ledger.server.cpu.asked"},
 		{"counted.callers.all", "counted.mesh.descriptors"},
 		{"ledger.MaxNames"},
-		{"takeout.MaxBoxes", "lease.MaxBoxes", "place.MaxBoxes"},
+		{"maintenance.MaxBoxes", "lease.MaxBoxes", "placement.MaxBoxes"},
 		{"learner.leader.rss"},
-		{"hand.Slices"},
+		{"takeover.Shards"},
 		{"counted.status.bytes"},
 	}
 	before := 0.0
--- a/internal/capacity/suspects.go
+++ b/internal/capacity/suspects.go
@@ -30,7 +30,7 @@
 // Suspects are what was named before anything was measured.
 func Suspects() []Suspect {
 	return []Suspect{
-		{"a bound of 300 servers in six places", Confirmed, nil, "`link.maxBoxes`, `takeout.MaxBoxes`, `lease.MaxBoxes`, `place.MaxBoxes`, `forecast.MaxBoxes`, `sequential.MaxBoxes` are under 740"},
+		{"a bound of 300 servers in six places", Confirmed, nil, "`link.maxBoxes`, `maintenance.MaxBoxes`, `lease.MaxBoxes`, `placement.MaxBoxes`, `forecast.MaxBoxes`, `sequential.MaxBoxes` are under 740"},
 		{"every server is a raft learner", "", []string{"learner.leader.messages", "learner.leader.bytes", "learner.leader.cpu", "learner.leases.leader.messages", "learner.leases.leader.bytes", "learner.leases.leader.cpu", "counted.leader.messages", "counted.leader.leases"}, ""},
 		{"an idle server's own control traffic", "", []string{"learner.server.bytes", "learner.leases.server.bytes"}, "under its budget without leases; the leases of takeover are not measured"},
 		{"members are admitted one by one", "", []string{"learner.build.time", "learner.build.cpu", "counted.admissions"}, ""},
@@ -38,7 +38,7 @@
 		{"a mesh of connections for claims, kept replies and messages", "", []string{"counted.mesh.descriptors", "counted.fleet.descriptors"}, ""},
 		{"1,024 shards", Confirmed, []string{"counted.shards.imbalance"}, "at twice the target some servers have none; at the target the fullest has this much more than the mean"},
 		{"`Host.Ready` waits for every member", Confirmed, nil, "`driver.Host.Ready` wants a report of every member since the process of the leader started; with 17 failures a day, one that is down and not removed holds up the first entry of a part"},
-		{"linear searches by name, whole-state snapshots and digests", "", []string{"counted.members.bytes", "learner.server.cpu", "learner.leases.server.cpu"}, "`agree.State.Named`, `agree.State.Member` look through all members"},
+		{"linear searches by name, whole-state snapshots and digests", "", []string{"counted.members.bytes", "learner.server.cpu", "learner.leases.server.cpu"}, "`consensus.State.Named`, `consensus.State.Member` look through all members"},
 		{"configuration has no way to the servers but a file and SIGHUP", Confirmed, []string{"counted.config.files"}, "and SIGHUP takes three addresses alone: the rest waits for a restart"},
 		{"`core.place` compared the names of routes and tenants one by one", Mended, []string{"pathbefore.cpu.request.tenant", "path.cpu.request.tenant", "pathbefore.cpu.request.class", "path.cpu.request.class"}, "`core.nameIndex` replaces it; at these loads the difference is within the spread"},
 		{"a request to the uwsgi front cost more with each route, and with each connection (found while measuring)", Mended, []string{"pathbefore.cpu.uwsgi.class", "path.cpu.uwsgi.class", "pathbefore.cpu.uwsgi.connection", "path.cpu.uwsgi.connection"}, "the rank bands are worked out once"},
--- a/internal/fleet/takeover/hand.go
+++ b/internal/fleet/takeover/hand.go
@@ -73,7 +73,7 @@
 type Limits struct {
 	Records       int           // at this replica, and of this server's own claims; further claims are refused
 	Bytes         int64         // of bodies and results, at this replica and again for this server's own claims
-	MaxRetention  time.Duration // maximum Request.Life
+	MaxRetention  time.Duration // maximum KeyedRequest.Life
 	MaxViewLag    time.Duration // maximum time that a server whose lease holds can be behind a view
 	MaxAdopted    int           // maximum number of requests that are taken over and in flight at this server
 	RetryInterval time.Duration // interval at which unacknowledged messages are sent again
--- a/internal/fleet/trials/split.go
+++ b/internal/fleet/trials/split.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// RequestEnded implements core.RequestEnded, on the core's loop.
+// RequestEnded implements core.OutcomeObserver, on the core's loop.
 func (t *Trials) RequestEnded(handle string, w core.RequestOutcome) {
 	u, ok := t.units[handle]
 	if !ok {
--- a/internal/pool/run_test.go
+++ b/internal/pool/run_test.go
@@ -188,7 +188,7 @@
 }
 
 // A silent connection is kept, because it cannot be told from a busy pool. A request is still answered when it is due
-// (core's TestASilentRunIsAnsweredByItsDueTime checks the time), a write is requested once, and the notices that the
+// (core's TestSilentRunIsAnsweredByDueTime checks the time), a write is requested once, and the notices that the
 // pool sends later are accepted.
 func TestSilentLinkIsKept(t *testing.T) {
 	s, p := start(t)
