--- a/internal/core/api.go
+++ b/internal/core/api.go
@@ -303,7 +303,7 @@
 	// PoolFinished reports the end of a run.
 	PoolFinished struct {
 		Handle  string
-		Outcome control.Outcome // OK, Errored, Stopped or Moot
+		Outcome control.Outcome // OK, Errored, Stopped or NotStarted
 		RunTime time.Duration
 		Body    []byte
 	}
--- a/internal/fleet/replycache/cache.go
+++ b/internal/fleet/replycache/cache.go
@@ -1,4 +1,4 @@
-// Package replycache is the core's Caller in front of the calls below: it carries out package kept on a goroutine of its own.
+// Package replycache is the core's Downstream in front of the calls below: it carries out package callcache on a goroutine of its own.
 // A call of a kept class is answered by a reply that is kept, by the call that another makes already, by the home of
 // its slice in the fleet, or below. Calls of other classes go below as they are.
 package replycache
--- a/internal/fleet/session/messages.go
+++ b/internal/fleet/session/messages.go
@@ -20,7 +20,7 @@
 // ConfigurationPrefix is the prefix of the watch keys of configuration documents.
 const ConfigurationPrefix = "configuration/"
 
-// ServerPrefix is the prefix of the watch key of each app server; the value of such a key is an encoded Standing.
+// ServerPrefix is the prefix of the watch key of each app server; the value of such a key is an encoded ServerState.
 const ServerPrefix = "server/"
 
 // Bounds of the messages.
--- a/internal/fleet/session/standing.go
+++ b/internal/fleet/session/standing.go
@@ -8,7 +8,7 @@
 	"larchscale/internal/fleet/watch"
 )
 
-// maxServerStateBytes bounds an encoded Standing.
+// maxServerStateBytes bounds an encoded ServerState.
 const maxServerStateBytes = 8 << 10
 
 var serverStateDecoder = func() cbor.DecMode {
--- a/internal/fleet/trials/trials.go
+++ b/internal/fleet/trials/trials.go
@@ -1,5 +1,5 @@
 // Package trials runs trials of two addresses for calls below on one box: it carries out package trial as a module of
-// the fleet's driver, chooses where each call goes as the core's Caller, and counts what each request was worth as the
+// the fleet's driver, chooses where each call goes as the core's Downstream, and counts what each request was worth as the
 // core's Judge. It does not block either loop; what they share is read by one pointer or counted under a short lock.
 package trials
 
